--- a/crates/daemon/src/router/call.rs
+++ b/crates/daemon/src/router/call.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method};
-use mulberryyoke_decide::place::Prefix;
+use mulberryyoke_decide::placement::PromptPrefix;
 use mulberryyoke_model::{Attempt, Class, CustomerId, KeyId, Millis, PoolId, Ticket};
 use tokio::sync::OwnedSemaphorePermit;
 
@@ -37,7 +37,7 @@
     /// Set if it must run at most once.
     pub(crate) key: Option<Key>,
     /// Start of the prompt, if it is a model's.
-    pub(crate) prefix: Option<Prefix>,
+    pub(crate) prefix: Option<PromptPrefix>,
     pub(crate) method: Method,
     pub(crate) path: String,
     /// End-to-end headers.
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use mulberryyoke_decide::limit::Limit;
+use mulberryyoke_decide::limiter::Limiter;
 use mulberryyoke_decide::retry::Budget;
 use mulberryyoke_event::slog::Logger;
 use mulberryyoke_model::{Grant, Incarnation};
@@ -34,7 +34,7 @@
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) rooms: Rooms,
     pub(crate) links: Links,
-    pub(crate) limit: Mutex<Limit>,
+    pub(crate) limit: Mutex<Limiter>,
     pub(crate) budget: Mutex<Budget>,
     pub(crate) memory: Memory,
     pub(crate) keys: Keys,
@@ -47,7 +47,7 @@
 impl Core {
     pub(crate) fn new(settings: Arc<settings::Router>, logger: Logger, fleet: Arc<Fleet>) -> Self {
         let limits = &settings.limits;
-        let limit = Limit::new(limits.queue_per_customer, limits.queue_total);
+        let limit = Limiter::new(limits.queue_per_customer, limits.queue_total);
         let budget = Budget::new(limits.retry_percent);
         let keys = Keys::new(fleet.member().started_at, settings.retention_ms);
         Self {
@@ -81,9 +81,9 @@
         let open = self.links.open(link.pool);
         while let Some(waiting) = room.take(grant.customer, link.id, &open) {
             let now = clock::now();
-            self.limit.lock().leave(waiting.customer, true, now);
+            self.limit.lock().remove(waiting.customer, true, now);
             let turn = Turn::Go(Place::granted(link, grant.id));
-            let Err(Turn::Go(mut place)) = waiting.owned.turn.send(turn) else {
+            let Err(Turn::Go(mut place)) = waiting.payload.turn.send(turn) else {
                 return true;
             };
             // The caller has just left: the slot goes to the next request.
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use hyper::Response;
-use mulberryyoke_decide::place::{self as decide, Candidate};
+use mulberryyoke_decide::placement::{self as decide, Candidate};
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Outcome, PoolId, ServerId, State};
 use mulberryyoke_settings::Policy;
@@ -130,7 +130,7 @@
 
     fn baseline(&self) -> Option<Place> {
         let candidates = candidates(self.core, self.call.pool);
-        let server = decide::least_of_two(&candidates, &mut rand::rng())?;
+        let server = decide::two_random_choices(&candidates, &mut rand::rng())?;
         let link = self.core.links.get(server)?;
         Some(Place::direct(&link))
     }
@@ -219,8 +219,8 @@
         let open = links.iter().filter(|link| link.standing.is_open());
         open.map(|link| Candidate {
             server: link.id,
-            near: link.near,
-            free: link.standing.free(),
+            same_zone: link.near,
+            free_slots: link.standing.free(),
             slots: link.standing.slots(),
             running: link.standing.running(),
         })
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -104,16 +104,16 @@
         for room in self.core.rooms.all() {
             room.read(|queue| {
                 for (_, waiting) in queue.iter() {
-                    let bound = waiting.bound;
+                    let bound = waiting.pinned_server;
                     let server = bound.and_then(|server| self.core.links.get(server));
                     let server = server.map(|link| link.server.name.clone());
                     all.push(Waiting {
-                        request: waiting.owned.attempt.request_id(),
+                        request: waiting.payload.attempt.request_id(),
                         customer: self.customer_name(waiting.customer),
                         pool: self.pool_name(room.pool),
                         class: waiting.class,
                         deadline: waiting.deadline,
-                        since: waiting.since,
+                        since: waiting.arrived_at,
                         position: queue.position(waiting),
                         waits_for: waits_for(server.as_deref()),
                         server,
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mulberryyoke_decide::declare::Told;
+use mulberryyoke_decide::declare::DeclaredDemand;
 use mulberryyoke_decide::exchange::Cursor;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::Load;
@@ -67,7 +67,7 @@
     core: &'a Arc<Core>,
     link: &'a Arc<Link>,
     client: SidecarClient,
-    told: Mutex<Told>,
+    told: Mutex<DeclaredDemand>,
     repeat: Notify,
 }
 
@@ -127,7 +127,7 @@
                     told.clear();
                 }
                 let interest = room.interest(&mut seen, &self.look(&told, all));
-                told.news(interest)
+                told.update(interest)
             };
             if full || !news.is_empty() {
                 let count = u64::try_from(news.len()).unwrap_or(u64::MAX);
@@ -164,7 +164,7 @@
     }
 
     /// What decides on the next declaration.
-    fn look<'t>(&self, told: &'t Told, all: bool) -> Look<'t> {
+    fn look<'t>(&self, told: &'t DeclaredDemand, all: bool) -> Look<'t> {
         let standing = &self.link.standing;
         Look {
             server: self.link.id,
@@ -246,7 +246,7 @@
         let mut declined = Vec::new();
         for grant in &polled.grants {
             // Before the request leaves its room, so that the change is seen after.
-            self.told.lock().granted(grant.customer);
+            self.told.lock().record_grant(grant.customer);
             if !self.core.grant(self.link, grant) {
                 declined.push(grant.id);
             }
--- a/crates/daemon/src/router/look.rs
+++ b/crates/daemon/src/router/look.rs
@@ -1,6 +1,6 @@
 //! How much of the waiting requests one sidecar is told.
 
-use mulberryyoke_decide::declare::{self, Told};
+use mulberryyoke_decide::declare::{self, DeclaredDemand};
 use mulberryyoke_decide::queue::Queue;
 use mulberryyoke_model::{CustomerId, Interest, Millis, ServerId};
 
@@ -18,7 +18,7 @@
     pub(crate) open: Vec<ServerId>,
     pub(crate) now: Millis,
     /// What the sidecar was told.
-    pub(crate) told: &'a Told,
+    pub(crate) told: &'a DeclaredDemand,
     /// Whether every customer is looked at, not only those with changes.
     pub(crate) all: bool,
 }
@@ -40,14 +40,14 @@
     fn wants(&self, queue: &Queue<Waiter>, interest: &Interest) -> bool {
         let customer = interest.customer;
         self.has_free
-            || self.told.knows(customer)
-            || queue.is_bound(customer, self.server)
-            || declare::is_told(
+            || self.told.contains(customer)
+            || queue.has_pinned(customer, self.server)
+            || declare::is_target(
                 interest,
                 queue.salt(customer),
                 self.server,
                 &self.open,
-                queue.lines(),
+                queue.subqueues(),
                 self.now,
             )
     }
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -7,7 +7,7 @@
 use hyper::header::{AUTHORIZATION, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Request, StatusCode};
-use mulberryyoke_decide::place::Prefix;
+use mulberryyoke_decide::placement::PromptPrefix;
 use mulberryyoke_decide::view::View;
 use mulberryyoke_model::{Attempt, Class, Customer, CustomerId, KeyHash, KeyId, Millis, PoolId};
 use serde::Deserialize;
@@ -47,7 +47,7 @@
     pool: PoolId,
     idempotent: bool,
     cost: u32,
-    prefix: Option<Prefix>,
+    prefix: Option<PromptPrefix>,
 }
 
 /// The customer that a request's bearer key names.
@@ -133,7 +133,7 @@
         pool: PoolId::of(&pool.name),
         idempotent: true,
         cost: hint.unwrap_or(DEFAULT_COST),
-        prefix: start.map(|start| Prefix::of(customer, start)),
+        prefix: start.map(|start| PromptPrefix::of(customer, start)),
     })
 }
 
--- a/crates/daemon/src/router/room.rs
+++ b/crates/daemon/src/router/room.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use mulberryyoke_decide::declare::SPREAD_MS;
-use mulberryyoke_decide::queue::{Changes, Key, Queue, Waiting};
+use mulberryyoke_decide::declare::FANOUT_DOUBLING_MS;
+use mulberryyoke_decide::queue::{ChangeLog, Entry, EntryKey, Queue};
 use mulberryyoke_model::{CustomerId, Interest, Millis, PoolId, ServerId};
 use parking_lot::Mutex;
 use tokio::sync::watch;
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 struct State {
     queue: Queue<Waiter>,
-    changes: Changes,
+    changes: ChangeLog,
 }
 
 /// The waiting requests of one pool, with a log of changes for the links.
@@ -44,20 +44,20 @@
         self.state.lock().queue.is_empty()
     }
 
-    pub(crate) fn push(&self, waiting: Waiting<Waiter>) -> Key {
+    pub(crate) fn push(&self, waiting: Entry<Waiter>) -> EntryKey {
         let customer = waiting.customer;
         let mut state = self.state.lock();
         let key = state.queue.push(waiting);
-        let number = state.changes.mark(customer);
+        let number = state.changes.record(customer);
         drop(state);
         self.changed.send_replace(number);
         key
     }
 
-    pub(crate) fn remove(&self, key: Key) -> Option<Waiting<Waiter>> {
+    pub(crate) fn remove(&self, key: EntryKey) -> Option<Entry<Waiter>> {
         let mut state = self.state.lock();
         let waiting = state.queue.remove(key)?;
-        let number = state.changes.mark(waiting.customer);
+        let number = state.changes.record(waiting.customer);
         drop(state);
         self.changed.send_replace(number);
         Some(waiting)
@@ -69,33 +69,33 @@
         customer: CustomerId,
         server: ServerId,
         open: &[ServerId],
-    ) -> Option<Waiting<Waiter>> {
+    ) -> Option<Entry<Waiter>> {
         let warm = |waiter: &Waiter| {
             let prefix = waiter.prefix;
-            let warmest = prefix.and_then(|prefix| prefix.warmest(open.iter().copied()));
+            let warmest = prefix.and_then(|prefix| prefix.preferred_server(open.iter().copied()));
             warmest == Some(server)
         };
         let mut state = self.state.lock();
-        let waiting = state.queue.take(customer, server, warm)?;
-        let number = state.changes.mark(customer);
+        let waiting = state.queue.pop(customer, server, warm)?;
+        let number = state.changes.record(customer);
         drop(state);
         self.changed.send_replace(number);
         Some(waiting)
     }
 
     /// Takes out the customer's request that would go last.
-    pub(crate) fn displace(&self, customer: CustomerId) -> Option<Waiting<Waiter>> {
-        let key = self.state.lock().queue.tail(customer)?;
+    pub(crate) fn displace(&self, customer: CustomerId) -> Option<Entry<Waiter>> {
+        let key = self.state.lock().queue.back(customer)?;
         self.remove(key)
     }
 
     /// Raises deferrable requests whose deadline is near.
     pub(crate) fn raise(&self, now: Millis) {
         let mut state = self.state.lock();
-        let raised = state.queue.raise(now);
+        let raised = state.queue.promote(now);
         let numbers = raised
             .into_iter()
-            .map(|customer| state.changes.mark(customer));
+            .map(|customer| state.changes.record(customer));
         let Some(number) = numbers.last() else {
             return;
         };
@@ -107,7 +107,7 @@
     /// becomes the latest change, or of every customer.
     pub(crate) fn interest(&self, seen: &mut u64, look: &Look<'_>) -> Vec<Interest> {
         let state = self.state.lock();
-        let since = std::mem::replace(seen, state.changes.last());
+        let since = std::mem::replace(seen, state.changes.latest());
         let mut customers: Vec<CustomerId> = if look.all {
             let waiting = state.queue.customers();
             waiting.chain(look.told.customers()).collect()
@@ -126,13 +126,14 @@
     /// that more sidecars are to be told.
     pub(crate) fn spread(&self, before: Millis, now: Millis) {
         let mut state = self.state.lock();
-        let steps = |since: Millis, at: Millis| at.saturating_sub(since) / SPREAD_MS;
+        let steps = |since: Millis, at: Millis| at.saturating_sub(since) / FANOUT_DOUBLING_MS;
         let waiting = state.queue.iter().map(|(_, waiting)| waiting);
-        let longer = waiting.filter(|held| steps(held.since, before) < steps(held.since, now));
+        let longer =
+            waiting.filter(|held| steps(held.arrived_at, before) < steps(held.arrived_at, now));
         let customers: HashSet<CustomerId> = longer.map(|waiting| waiting.customer).collect();
         let marked = customers
             .into_iter()
-            .map(|customer| state.changes.mark(customer));
+            .map(|customer| state.changes.record(customer));
         let Some(number) = marked.last() else {
             return;
         };
--- a/crates/daemon/src/router/wait.rs
+++ b/crates/daemon/src/router/wait.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use hyper::StatusCode;
-use mulberryyoke_decide::limit::Verdict;
-use mulberryyoke_decide::queue::{Key, Waiting};
+use mulberryyoke_decide::limiter::Decision;
+use mulberryyoke_decide::queue::{Entry, EntryKey};
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{CustomerId, ServerId};
 use tokio::sync::oneshot;
@@ -21,7 +21,7 @@
 struct Stay<'a> {
     core: &'a Core,
     room: &'a Room,
-    key: Key,
+    key: EntryKey,
     customer: CustomerId,
 }
 
@@ -29,7 +29,7 @@
     fn drop(&mut self) {
         if self.room.remove(self.key).is_some() {
             let now = clock::now();
-            self.core.limit.lock().leave(self.customer, false, now);
+            self.core.limit.lock().remove(self.customer, false, now);
         }
     }
 }
@@ -61,9 +61,9 @@
         prefix: call.prefix,
         turn,
     };
-    let mut waiting = Waiting::new(call.customer, call.class, call.deadline, call.since, waiter);
+    let mut waiting = Entry::new(call.customer, call.class, call.deadline, call.since, waiter);
     waiting.cost = call.cost;
-    waiting.bound = bound;
+    waiting.pinned_server = bound;
     let _stay = Stay {
         core,
         room: &room,
@@ -94,16 +94,16 @@
         limit.readmit(call.customer, call.share);
         return Ok(());
     }
-    let verdict = limit.admit(call.customer, call.share, call.queue);
+    let decision = limit.admit(call.customer, call.share, call.queue);
     drop(limit);
-    match verdict {
-        Verdict::Wait => Ok(()),
-        Verdict::Displace(customer) => {
+    match decision {
+        Decision::Enqueue => Ok(()),
+        Decision::Displace(customer) => {
             displace(core, customer);
             Ok(())
         }
-        Verdict::CustomerFull => Err(full(core, call)),
-        Verdict::RouterFull => Err(crowded(core, call)),
+        Decision::CustomerFull => Err(full(core, call)),
+        Decision::RouterFull => Err(crowded(core, call)),
     }
 }
 
@@ -113,9 +113,9 @@
         let Some(waiting) = room.displace(customer) else {
             continue;
         };
-        core.limit.lock().leave(customer, false, clock::now());
+        core.limit.lock().remove(customer, false, clock::now());
         // A caller who has just left needs no answer.
-        let _ = waiting.owned.turn.send(Turn::Displaced);
+        let _ = waiting.payload.turn.send(Turn::Displaced);
         return;
     }
 }
--- a/crates/daemon/src/router/waiter.rs
+++ b/crates/daemon/src/router/waiter.rs
@@ -1,6 +1,6 @@
 //! What is kept with a waiting request.
 
-use mulberryyoke_decide::place::Prefix;
+use mulberryyoke_decide::placement::PromptPrefix;
 use mulberryyoke_model::Attempt;
 use tokio::sync::oneshot;
 
@@ -19,6 +19,6 @@
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub(crate) attempt: Attempt,
-    pub(crate) prefix: Option<Prefix>,
+    pub(crate) prefix: Option<PromptPrefix>,
     pub(crate) turn: oneshot::Sender<Turn>,
 }
--- a/crates/decide/benches/queue.rs
+++ b/crates/decide/benches/queue.rs
@@ -3,10 +3,10 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use mulberryyoke_decide::declare::{Told, is_told};
-use mulberryyoke_decide::limit::Limit;
-use mulberryyoke_decide::place::{Candidate, Prefix, choose};
-use mulberryyoke_decide::queue::{Queue, Waiting};
+use mulberryyoke_decide::declare::{DeclaredDemand, is_target};
+use mulberryyoke_decide::limiter::Limiter;
+use mulberryyoke_decide::placement::{Candidate, PromptPrefix, choose};
+use mulberryyoke_decide::queue::{Entry, Queue};
 use mulberryyoke_model::{Class, CustomerId, ServerId};
 
 /// Customers of today, those backlogged at the aim, and all at the aim.
@@ -20,11 +20,11 @@
 
 const HERE: ServerId = ServerId(1);
 
-fn waiting(number: u32, customers: u32) -> Waiting<u32> {
+fn waiting(number: u32, customers: u32) -> Entry<u32> {
     let customer = CustomerId(number % customers);
     let class = Class::ALL[number as usize % 3];
     let deadline = 1_000_000 + u64::from(number.wrapping_mul(7_919) % 100_000);
-    let mut waiting = Waiting::new(customer, class, deadline, u64::from(number), number);
+    let mut waiting = Entry::new(customer, class, deadline, u64::from(number), number);
     waiting.cost = 430;
     waiting
 }
@@ -42,9 +42,9 @@
     let mut group = criterion.benchmark_group("queue turn");
     for customers in CUSTOMERS {
         let mut queue = filled(customers);
-        let mut limit = Limit::new(u32::MAX, u32::MAX);
+        let mut limiter = Limiter::new(u32::MAX, u32::MAX);
         for number in 0..customers * EACH {
-            limit.readmit(CustomerId(number % customers), 1);
+            limiter.readmit(CustomerId(number % customers), 1);
         }
         let mut number = customers * EACH;
         group.bench_function(BenchmarkId::from_parameter(customers), |bencher| {
@@ -52,10 +52,10 @@
                 number = number.wrapping_add(1);
                 let new = waiting(number, customers);
                 let customer = new.customer;
-                black_box(limit.admit(customer, 1, None));
+                black_box(limiter.admit(customer, 1, None));
                 queue.push(new);
-                let taken = queue.take(customer, HERE, |number| number % 5 == 0);
-                limit.leave(customer, true, u64::from(number));
+                let taken = queue.pop(customer, HERE, |number| number % 5 == 0);
+                limiter.remove(customer, true, u64::from(number));
                 taken
             });
         });
@@ -69,7 +69,7 @@
     let open: Vec<ServerId> = (0..SERVERS).map(ServerId).collect();
     for customers in CUSTOMERS {
         let queue = filled(customers);
-        let mut told = Told::default();
+        let mut told = DeclaredDemand::default();
         let mut number = 0;
         group.bench_function(BenchmarkId::from_parameter(customers), |bencher| {
             bencher.iter(|| {
@@ -77,8 +77,15 @@
                 let customer = CustomerId(number);
                 let interest = queue.interest(customer, HERE);
                 let salt = queue.salt(customer);
-                black_box(is_told(&interest, salt, HERE, &open, queue.lines(), 1));
-                told.news(vec![interest])
+                black_box(is_target(
+                    &interest,
+                    salt,
+                    HERE,
+                    &open,
+                    queue.subqueues(),
+                    1,
+                ));
+                told.update(vec![interest])
             });
         });
     }
@@ -90,13 +97,13 @@
     let candidates: Vec<Candidate> = (0..SERVERS)
         .map(|server| Candidate {
             server: ServerId(server),
-            near: server % 3 == 0,
-            free: server % 4,
+            same_zone: server % 3 == 0,
+            free_slots: server % 4,
             slots: 8,
             running: server,
         })
         .collect();
-    let prefix = Prefix::of(CustomerId(1), b"a prompt");
+    let prefix = PromptPrefix::of(CustomerId(1), b"a prompt");
     criterion.bench_function("choice of a server", |bencher| {
         bencher.iter(|| choose(black_box(&candidates), Some(prefix)));
     });
--- a/crates/decide/src/account.rs
+++ b/crates/decide/src/account.rs
@@ -17,9 +17,9 @@
 //! carries lifts and forgiven debts.
 
 mod charge;
+mod cost_correction;
 mod demand;
 mod fleet;
-mod hint;
 mod ledger;
 mod order;
 mod report;
@@ -27,9 +27,9 @@
 use mulberryyoke_model::CustomerId;
 use smallvec::SmallVec;
 
-pub use charge::{AHEAD, Charge};
+pub use charge::{CHARGE_LEAD, Charge};
+pub use cost_correction::CostCorrection;
 pub use demand::Demand;
-pub use hint::Hint;
 pub use ledger::{AccountKey, Ledger};
 pub use report::Reporter;
 
@@ -41,16 +41,16 @@
 
 /// Largest holding back of a customer by one sidecar, in tokens for each other
 /// server of the pool.
-pub const SCATTER: u32 = 512;
+pub const MAX_JITTER: u32 = 512;
 
 /// Most that a fleet-wide count learnt late (after a partition) sets a customer
 /// behind the least served one, in tokens for each unit of share.
 pub const MAX_DEBT: i64 = 16_384;
 
 /// Virtual service, in 1/256 tokens for each unit of share.
-pub type Virtual = i64;
+pub type VirtualService = i64;
 
-/// Parts of a token that [`Virtual`] resolves.
+/// Parts of a token that [`VirtualService`] resolves.
 pub(crate) const SCALE: i64 = 256;
 
 /// Service and demand of one customer at one sidecar.
@@ -85,7 +85,7 @@
     pub(crate) rank: Option<Rank>,
     pub(crate) running: u32,
     pub(crate) demands: SmallVec<[Demand; 2]>,
-    pub(crate) hint: Hint,
+    pub(crate) cost_correction: CostCorrection,
 }
 
 impl Account {
@@ -107,7 +107,7 @@
             rank: None,
             running: 0,
             demands: SmallVec::new(),
-            hint: Hint::default(),
+            cost_correction: CostCorrection::default(),
         }
     }
 
@@ -119,7 +119,7 @@
 
     /// Virtual service with `reach` servers in the pool.
     #[must_use]
-    pub fn virtual_service(&self, reach: u32) -> Virtual {
+    pub fn virtual_service(&self, reach: u32) -> VirtualService {
         let uncounted = self.uncounted() + self.reserved;
         let uncounted = uncounted.saturating_mul(u64::from(reach));
         let peers = self.recent.saturating_mul(u64::from(reach) - 1);
@@ -130,7 +130,7 @@
     }
 
     /// Moves the virtual service by `by`, up or down.
-    pub(crate) fn shift(&mut self, by: Virtual) {
+    pub(crate) fn shift(&mut self, by: VirtualService) {
         self.offset += by * i64::from(self.share);
     }
 
@@ -172,9 +172,9 @@
     }
 }
 
-/// A part of [`SCATTER`] between none and all of it, by the upper bits of a hash.
+/// A part of [`MAX_JITTER`] between none and all of it, by the upper bits of a hash.
 fn scatter(hash: u32) -> u32 {
-    hash / (u32::MAX / SCATTER + 1)
+    hash / (u32::MAX / MAX_JITTER + 1)
 }
 
 /// Tokens as a signed number; counts beyond 2^54 tokens saturate.
--- a/crates/decide/src/account/charge.rs
+++ b/crates/decide/src/account/charge.rs
@@ -1,9 +1,9 @@
 //! What one running request has been charged.
 
 /// How far the charge of a running request is ahead of its stream, in tokens.
-pub const AHEAD: u64 = 128;
+pub const CHARGE_LEAD: u64 = 128;
 
-/// Charge of one running request: what has streamed and up to [`AHEAD`] tokens of
+/// Charge of one running request: what has streamed and up to [`CHARGE_LEAD`] tokens of
 /// what is still expected, so that a customer's charges rise about as its requests
 /// run, and a request that was just started counts at once. Settled at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 impl Charge {
     /// The charge of a request that starts now, with an estimated cost in tokens.
     #[must_use]
-    pub const fn open(estimate: u64) -> Self {
+    pub const fn new(estimate: u64) -> Self {
         Self {
             estimate,
             metered: 0,
@@ -25,7 +25,7 @@
     /// Tokens charged so far.
     #[must_use]
     pub fn charged(&self) -> u64 {
-        let ahead = self.estimate.min(self.metered + AHEAD);
+        let ahead = self.estimate.min(self.metered + CHARGE_LEAD);
         self.metered.max(ahead)
     }
 
--- a/crates/decide/src/account/hint.rs
+++ b/crates/decide/src/account/cost_correction.rs
@@ -9,17 +9,17 @@
 /// Running mean of true cost over estimated cost, so that a customer whose
 /// hints are always low or high is charged about right from the start.
 #[derive(Clone, Copy, Debug)]
-pub struct Hint {
+pub struct CostCorrection {
     ratio: f64,
 }
 
-impl Default for Hint {
+impl Default for CostCorrection {
     fn default() -> Self {
         Self { ratio: 1.0 }
     }
 }
 
-impl Hint {
+impl CostCorrection {
     /// The corrected estimate, in tokens; at least 1.
     #[must_use]
     pub fn correct(self, cost: u32) -> u64 {
@@ -34,7 +34,7 @@
     }
 
     /// Learns from a request that ran to its end.
-    pub fn learn(&mut self, cost: u32, tokens: u64) {
+    pub fn observe(&mut self, cost: u32, tokens: u64) {
         #[expect(clippy::cast_precision_loss, reason = "a rough mean")]
         let seen = tokens as f64 / f64::from(cost.max(1));
         let seen = seen.clamp(MAX_RATIO.recip(), MAX_RATIO);
--- a/crates/decide/src/account/demand.rs
+++ b/crates/decide/src/account/demand.rs
@@ -20,7 +20,7 @@
 }
 
 impl Demand {
-    pub(crate) fn open(link: LinkKey) -> Self {
+    pub(crate) fn new(link: LinkKey) -> Self {
         Self {
             link,
             waiting: [0; 3],
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(crate) fn declare(&mut self, interest: &Interest) {
+    pub(crate) fn update(&mut self, interest: &Interest) {
         self.waiting = interest.waiting;
         self.since = interest.since;
         self.cost = interest.cost;
@@ -41,15 +41,15 @@
     }
 
     /// Counts one request of the best class less; a slot is reserved for it.
-    pub(crate) fn take(&mut self) {
-        let class = self.class();
+    pub(crate) fn reserve_one(&mut self) {
+        let class = self.best_class();
         if let Some(waiting) = self.waiting.get_mut(class) {
             *waiting -= 1;
         }
     }
 
     /// Counts a request again whose router never learnt of its slot.
-    pub(crate) fn give_back(&mut self, class: usize) {
+    pub(crate) fn release_one(&mut self, class: usize) {
         if let Some(waiting) = self.waiting.get_mut(class) {
             *waiting = waiting.saturating_add(1);
         }
@@ -66,7 +66,7 @@
 
     /// Rank of the best class that has a waiting request.
     #[must_use]
-    pub fn class(&self) -> usize {
+    pub fn best_class(&self) -> usize {
         let best = self.waiting.iter().position(|waiting| *waiting > 0);
         best.unwrap_or(self.waiting.len())
     }
--- a/crates/decide/src/account/fleet.rs
+++ b/crates/decide/src/account/fleet.rs
@@ -7,10 +7,14 @@
 impl Ledger {
     /// Takes over fleet-wide counts from the collector. With `settling` set they
     /// only set where later ones count from.
-    pub(crate) fn tell(&mut self, fleet: impl Iterator<Item = (CustomerId, u64)>, settling: bool) {
+    pub(crate) fn apply_fleet_totals(
+        &mut self,
+        fleet: impl Iterator<Item = (CustomerId, u64)>,
+        settling: bool,
+    ) {
         let mut told = Vec::new();
         for (customer, tokens) in fleet {
-            let key = self.open(customer);
+            let key = self.get_or_open(customer);
             self.update(key, |account| account.tell(tokens, settling));
             told.push(key);
         }
--- a/crates/decide/src/account/ledger.rs
+++ b/crates/decide/src/account/ledger.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::order::{Order, Rank};
-use super::{Account, MAX_DEBT, SCALE, URGENT_LEAD, Virtual};
+use super::{Account, MAX_DEBT, SCALE, URGENT_LEAD, VirtualService};
 
 new_key_type! {
     /// Key of an [`Account`].
@@ -26,7 +26,7 @@
     /// Whether anything was charged since the last report.
     pub(super) has_charged: bool,
     /// Virtual service of the customer served last; newcomers start no lower.
-    last: Virtual,
+    last: VirtualService,
 }
 
 impl Ledger {
@@ -46,7 +46,7 @@
     }
 
     /// The account of a customer, opened when new.
-    pub fn open(&mut self, customer: CustomerId) -> AccountKey {
+    pub fn get_or_open(&mut self, customer: CustomerId) -> AccountKey {
         if let Some(key) = self.by_customer.get(&customer) {
             return *key;
         }
@@ -90,7 +90,7 @@
 
     /// Virtual service of a customer now.
     #[must_use]
-    pub fn virtual_service(&self, key: AccountKey) -> Virtual {
+    pub fn virtual_service(&self, key: AccountKey) -> VirtualService {
         self.accounts[key].virtual_service(self.reach)
     }
 
@@ -116,13 +116,13 @@
 
     /// The least virtual service of the customers backlogged, or, with none, that
     /// of the customer served last.
-    pub(crate) fn floor(&self) -> Virtual {
+    pub(crate) fn floor(&self) -> VirtualService {
         self.order.floor().unwrap_or(self.last)
     }
 
     /// Lifts a customer that was not backlogged to a floor, so that no idle time is
     /// banked. What it is ahead of it by more than the largest debt is forgiven.
-    pub(crate) fn lift(&mut self, key: AccountKey, floor: Virtual) {
+    pub(crate) fn lift_to(&mut self, key: AccountKey, floor: VirtualService) {
         let account = &mut self.accounts[key];
         if account.rank.is_some() {
             return;
@@ -138,7 +138,7 @@
     }
 
     /// Notes that a customer is served next.
-    pub(crate) fn serve(&mut self, key: AccountKey) {
+    pub(crate) fn mark_served(&mut self, key: AccountKey) {
         self.last = self.last.max(self.virtual_service(key));
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Whether a report has something to tell or to ask for.
-    pub(crate) fn has_news(&self) -> bool {
+    pub(crate) fn needs_report(&self) -> bool {
         self.has_charged || self.is_backlogged()
     }
 
@@ -165,8 +165,8 @@
 
     /// Charges the start of a request.
     pub(crate) fn start(&mut self, key: AccountKey, tokens: u64) {
-        self.lift(key, self.floor());
-        self.serve(key);
+        self.lift_to(key, self.floor());
+        self.mark_served(key);
         self.has_charged = true;
         self.update(key, |account| {
             account.running += 1;
@@ -176,7 +176,7 @@
 
     /// The customer to serve next.
     #[must_use]
-    pub fn first(&self) -> Option<AccountKey> {
+    pub fn next_customer(&self) -> Option<AccountKey> {
         self.order.first(URGENT_LEAD * SCALE)
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Sets the number of servers that serve the pool.
-    pub fn set_reach(&mut self, reach: u32) {
+    pub fn set_pool_size(&mut self, reach: u32) {
         if self.reach == reach.max(1) {
             return;
         }
@@ -212,8 +212,8 @@
 
     /// Asserts that the customer served next is behind the least served one by no
     /// more than the lead of urgent work.
-    pub(crate) fn check(&self) {
-        let (Some(first), Some(floor)) = (self.first(), self.order.floor()) else {
+    pub(crate) fn check_invariants(&self) {
+        let (Some(first), Some(floor)) = (self.next_customer(), self.order.floor()) else {
             return;
         };
         let ahead = self.virtual_service(first) - floor;
--- a/crates/decide/src/account/order.rs
+++ b/crates/decide/src/account/order.rs
@@ -2,19 +2,19 @@
 
 use std::collections::BTreeSet;
 
-use super::{AccountKey, Virtual};
+use super::{AccountKey, VirtualService};
 
 /// Place of a customer in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Rank {
-    pub(crate) virtual_service: Virtual,
+    pub(crate) virtual_service: VirtualService,
     /// Orders customers served alike: differently in each life of a sidecar, so
     /// that none is ahead after every restart.
     pub(crate) tie: u32,
     pub(crate) urgent: bool,
 }
 
-type Place = (Virtual, u32, AccountKey);
+type Place = (VirtualService, u32, AccountKey);
 
 /// Customers that have runnable requests, by virtual service.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +46,7 @@
 
     /// The customer to serve next: the least served, one with urgent work
     /// counting as served less by `lead`.
-    pub(crate) fn first(&self, lead: Virtual) -> Option<AccountKey> {
+    pub(crate) fn first(&self, lead: VirtualService) -> Option<AccountKey> {
         let urgent = self.urgent.first();
         let other = self.other.first();
         match (urgent, other) {
@@ -57,7 +57,7 @@
     }
 
     /// Least virtual service of all.
-    pub(crate) fn floor(&self) -> Option<Virtual> {
+    pub(crate) fn floor(&self) -> Option<VirtualService> {
         let urgent = self.urgent.first().map(|(service, _, _)| *service);
         let other = self.other.first().map(|(service, _, _)| *service);
         match (urgent, other) {
--- a/crates/decide/src/account/report.rs
+++ b/crates/decide/src/account/report.rs
@@ -44,7 +44,7 @@
 impl Reporter {
     /// A reporter of service in a pool.
     #[must_use]
-    pub fn open(pool: PoolId) -> Self {
+    pub fn new(pool: PoolId) -> Self {
         Self {
             pool,
             sequence: 0,
@@ -82,7 +82,7 @@
     }
 
     /// The collector has counted a report.
-    pub(crate) fn count(&mut self, ledger: &mut Ledger, sequence: u64, now: Millis) {
+    pub(crate) fn acknowledge(&mut self, ledger: &mut Ledger, sequence: u64, now: Millis) {
         if sequence != self.sequence {
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     /// Lets go of counted service that peers' has caught up with.
-    pub(crate) fn pass(&mut self, ledger: &mut Ledger, now: Millis) {
+    pub(crate) fn catch_up(&mut self, ledger: &mut Ledger, now: Millis) {
         while let Some(recent) = self.recent.pop_front_if(|recent| recent.until <= now) {
             for (key, tokens) in recent.accounts {
                 ledger.catch_up(key, tokens);
@@ -111,8 +111,8 @@
 
     /// The report that is due, if any. While requests wait there is one even with
     /// nothing to tell, since its answer brings the fleet-wide counts.
-    pub(crate) fn report(&mut self, ledger: &mut Ledger, now: Millis) -> Option<Report> {
-        if now < self.next_at || !ledger.has_news() {
+    pub(crate) fn next_report(&mut self, ledger: &mut Ledger, now: Millis) -> Option<Report> {
+        if now < self.next_at || !ledger.needs_report() {
             return None;
         }
         self.next_at = now + REPORT_INTERVAL;
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -67,7 +67,7 @@
             setup,
             slots: setup.slots,
             ledger: Ledger::new(setup.incarnation.0),
-            reporter: Reporter::open(setup.pool),
+            reporter: Reporter::new(setup.pool),
             links: SlotMap::with_key(),
             collector: None,
             reservations: BTreeMap::new(),
--- a/crates/decide/src/admission/arrive.rs
+++ b/crates/decide/src/admission/arrive.rs
@@ -101,9 +101,9 @@
         if let Some(grant) = self.own_grant(ticket) {
             self.release(grant);
         }
-        let account = self.ledger.open(ticket.customer);
+        let account = self.ledger.get_or_open(ticket.customer);
         let estimate = self.estimate(account, ticket.cost);
-        let charge = Charge::open(estimate);
+        let charge = Charge::new(estimate);
         self.ledger.start(account, charge.charged());
         self.attempts.start(ticket.attempt);
         if let Some(key) = ticket.key {
@@ -121,7 +121,7 @@
     /// Expected cost of a request, in tokens.
     pub(crate) fn estimate(&self, account: AccountKey, cost: u32) -> u64 {
         match self.setup.kind {
-            Kind::Model => self.ledger.account(account).hint.correct(cost),
+            Kind::Model => self.ledger.account(account).cost_correction.correct(cost),
             Kind::Service => u64::from(cost.max(1)),
         }
     }
@@ -150,7 +150,7 @@
             account.running -= 1;
             account.refund(surplus);
             if teaches {
-                account.hint.learn(running.cost, tokens);
+                account.cost_correction.observe(running.cost, tokens);
             }
         });
         self.remember(attempt, &running, ending, now);
--- a/crates/decide/src/admission/check.rs
+++ b/crates/decide/src/admission/check.rs
@@ -30,6 +30,6 @@
             self.attempts.running(),
             "a running request is not remembered as such"
         );
-        self.ledger.check();
+        self.ledger.check_invariants();
     }
 }
--- a/crates/decide/src/admission/configure.rs
+++ b/crates/decide/src/admission/configure.rs
@@ -18,7 +18,7 @@
         let servers = config.servers().filter(|server| server.pool == pool);
         let active = servers.filter(|server| server.state == State::Active);
         let reach = u32::try_from(active.count()).unwrap_or(u32::MAX);
-        self.ledger.set_reach(reach);
+        self.ledger.set_pool_size(reach);
         let id = self.setup.server;
         let own = config
             .servers()
--- a/crates/decide/src/admission/grants.rs
+++ b/crates/decide/src/admission/grants.rs
@@ -4,7 +4,7 @@
 
 use super::link::LinkKey;
 use super::{Admission, Sharing};
-use crate::account::{AccountKey, Charge, Demand, Virtual};
+use crate::account::{AccountKey, Charge, Demand, VirtualService};
 
 /// How long a slot stays reserved for a request, in milliseconds.
 pub const GRANT_TTL: Millis = 1_000;
@@ -38,16 +38,16 @@
         self.fill(now);
     }
 
-    fn declare_one(&mut self, link: LinkKey, interest: &Interest, floor: Virtual) {
+    fn declare_one(&mut self, link: LinkKey, interest: &Interest, floor: VirtualService) {
         let Some(entry) = self.links.get_mut(link) else {
             return;
         };
-        let account = self.ledger.open(interest.customer);
+        let account = self.ledger.get_or_open(interest.customer);
         entry.accounts.insert(account);
         if interest.total() > 0 {
-            self.ledger.lift(account, floor);
+            self.ledger.lift_to(account, floor);
         }
-        self.change_demand(account, link, |demand| demand.declare(interest));
+        self.change_demand(account, link, |demand| demand.update(interest));
     }
 
     /// Gives back reserved slots that found no request.
@@ -101,7 +101,7 @@
         });
         if untold.is_some() {
             self.change_demand(account, reservation.link, |demand| {
-                demand.give_back(reservation.class);
+                demand.release_one(reservation.class);
             });
         }
         Some(reservation)
@@ -134,18 +134,18 @@
     }
 
     fn reserve(&mut self, now: Millis) -> bool {
-        let Some(account) = self.ledger.first() else {
+        let Some(account) = self.ledger.next_customer() else {
             return false;
         };
-        self.ledger.serve(account);
+        self.ledger.mark_served(account);
         let holder = self.ledger.account(account);
         let best = holder.demands.iter().filter(|demand| demand.runnable() > 0);
-        let best = best.min_by_key(|demand| (demand.class(), demand.since, demand.link));
+        let best = best.min_by_key(|demand| (demand.best_class(), demand.since, demand.link));
         let Some(best) = best else {
             return false;
         };
-        let (link, cost, class) = (best.link, best.cost, best.class());
-        let estimate = Charge::open(self.estimate(account, cost)).charged();
+        let (link, cost, class) = (best.link, best.cost, best.best_class());
+        let estimate = Charge::new(self.estimate(account, cost)).charged();
         let grant = Grant {
             id: self.next_grant,
             customer: holder.customer,
@@ -161,7 +161,7 @@
         };
         self.reservations.insert(grant.id, reservation);
         self.ledger.reserve(account, estimate);
-        self.change_demand(account, link, Demand::take);
+        self.change_demand(account, link, Demand::reserve_one);
         self.links[link].grants.push(grant);
         self.woken.push(link);
         true
@@ -181,7 +181,7 @@
                 .iter()
                 .position(|demand| demand.link == link);
             let index = found.unwrap_or_else(|| {
-                account.demands.push(Demand::open(link));
+                account.demands.push(Demand::new(link));
                 account.demands.len() - 1
             });
             let demand = &mut account.demands[index];
--- a/crates/decide/src/admission/poll.rs
+++ b/crates/decide/src/admission/poll.rs
@@ -84,12 +84,12 @@
         self.show_life(link);
         if self.collector == Some(link) {
             self.reporter.set_lag(now.saturating_sub(heard));
-            self.reporter.pass(&mut self.ledger, now);
-            self.reporter.count(&mut self.ledger, counted, now);
+            self.reporter.catch_up(&mut self.ledger, now);
+            self.reporter.acknowledge(&mut self.ledger, counted, now);
             let own = fleet.iter().filter(|usage| usage.pool == self.setup.pool);
             let own = own.map(|usage| (usage.customer, usage.tokens));
             let settling = self.reporter.is_settling(now);
-            self.ledger.tell(own, settling);
+            self.ledger.apply_fleet_totals(own, settling);
         }
         self.fill(now);
     }
@@ -110,7 +110,7 @@
         if told.is_idle != self.is_idle() {
             due = told.at + LOAD_INTERVAL;
         }
-        if self.collector == Some(link) && self.ledger.has_news() {
+        if self.collector == Some(link) && self.ledger.needs_report() {
             due = due.min(self.reporter.next_at());
         }
         match due {
@@ -133,7 +133,7 @@
         };
         entry.told = Some(told);
         let grants = std::mem::take(&mut entry.grants);
-        let report = is_collector.then(|| self.reporter.report(&mut self.ledger, now));
+        let report = is_collector.then(|| self.reporter.next_report(&mut self.ledger, now));
         (grants, report.flatten())
     }
 
--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold.rs
@@ -16,7 +16,7 @@
 
 pub use self::members::Members;
 pub use self::window::Window;
-use crate::rank::weight;
+use crate::rendezvous::weight;
 
 /// Views of the fleet that may be in use at once: while gateways come and go some still go by
 /// the one before.
--- a/crates/decide/src/declare.rs
+++ b/crates/decide/src/declare.rs
@@ -14,10 +14,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Sidecars told for each waiting request of a customer.
-pub const TOLD: usize = 4;
+pub const FANOUT_PER_REQUEST: usize = 4;
 
 /// Time after which twice as many sidecars are told, in milliseconds.
-pub const SPREAD_MS: Millis = 1_000;
+pub const FANOUT_DOUBLING_MS: Millis = 1_000;
 
 /// Factor by which a count has to change to be told again.
 const CHANGE: u32 = 4;
@@ -28,10 +28,10 @@
 /// How many of `open` sidecars are told of a customer's waiting requests while
 /// `customers` have some.
 #[must_use]
-pub fn reach(interest: &Interest, open: usize, customers: usize, now: Millis) -> usize {
-    let cover = (TOLD * open).div_ceil(customers.max(1));
-    let steps = now.saturating_sub(interest.since) / SPREAD_MS;
-    let each = TOLD << steps.min(DOUBLINGS);
+pub fn fanout(interest: &Interest, open: usize, customers: usize, now: Millis) -> usize {
+    let cover = (FANOUT_PER_REQUEST * open).div_ceil(customers.max(1));
+    let steps = now.saturating_sub(interest.since) / FANOUT_DOUBLING_MS;
+    let each = FANOUT_PER_REQUEST << steps.min(DOUBLINGS);
     let each = each.saturating_mul(interest.total() as usize);
     each.max(cover)
 }
@@ -40,7 +40,7 @@
 /// `salt` changes whenever the customer begins to wait; `open` are the servers
 /// that may get new work; `customers` have waiting requests.
 #[must_use]
-pub fn is_told(
+pub fn is_target(
     interest: &Interest,
     salt: u64,
     server: ServerId,
@@ -48,7 +48,7 @@
     customers: usize,
     now: Millis,
 ) -> bool {
-    let reach = reach(interest, open.len(), customers, now);
+    let reach = fanout(interest, open.len(), customers, now);
     if open.len() <= reach {
         return true;
     }
@@ -70,13 +70,13 @@
 /// What one sidecar believes to wait: what it was told last, less the slots that
 /// it has reserved since.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct DeclaredDemand {
     waiting: HashMap<CustomerId, [u16; 3]>,
 }
 
-impl Told {
+impl DeclaredDemand {
     /// Keeps of `interest` what has to be told, and takes it as told.
-    pub fn news(&mut self, mut interest: Vec<Interest>) -> Vec<Interest> {
+    pub fn update(&mut self, mut interest: Vec<Interest>) -> Vec<Interest> {
         interest.retain(|now| self.is_news(now));
         for interest in &interest {
             if interest.total() == 0 {
@@ -90,7 +90,7 @@
 
     /// The sidecar reserved a slot for a customer, and counts one request of the
     /// best class less.
-    pub fn granted(&mut self, customer: CustomerId) {
+    pub fn record_grant(&mut self, customer: CustomerId) {
         let Some(waiting) = self.waiting.get_mut(&customer) else {
             return;
         };
@@ -112,7 +112,7 @@
 
     /// Whether the sidecar was told of a customer.
     #[must_use]
-    pub fn knows(&self, customer: CustomerId) -> bool {
+    pub fn contains(&self, customer: CustomerId) -> bool {
         self.waiting.contains_key(&customer)
     }
 
--- a/crates/decide/src/engine/choice.rs
+++ b/crates/decide/src/engine/choice.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_model::{Millis, ServerId};
 
 use super::{Engine, Prompt, pause};
-use crate::place::weight;
+use crate::placement::weight;
 
 /// How much a millisecond of reading counts beside one of waiting: reading also
 /// delays those that come after.
--- a/crates/decide/src/home.rs
+++ b/crates/decide/src/home.rs
@@ -10,7 +10,7 @@
 
 use mulberryyoke_model::{KeyId, Millis, Server, ServerId, State};
 
-use crate::rank;
+use crate::rendezvous;
 
 /// Where a key may run now, and where it may have run before.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -73,5 +73,5 @@
 
 fn weight(server: &Server, key: KeyId) -> (u64, ServerId) {
     let id = ServerId::of(&server.name);
-    (rank::weight(u64::from(id.0), key.0), id)
+    (rendezvous::weight(u64::from(id.0), key.0), id)
 }
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limiter.rs
@@ -20,9 +20,9 @@
 
 /// What is to be done with a request that would wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It may wait; it is counted.
-    Wait,
+    Enqueue,
     /// It may wait; it is counted, and this other customer's last request must go.
     Displace(CustomerId),
     /// The customer has as much waiting as it may.
@@ -34,14 +34,14 @@
 
 /// Counts of waiting requests by customer, with their bounds.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct Limiter {
     accounts: HashMap<CustomerId, Account>,
     total: u32,
     per_customer: u32,
     most: u32,
 }
 
-impl Limit {
+impl Limiter {
     /// Bounds for one customer and for all together.
     #[must_use]
     pub fn new(per_customer: u32, most: u32) -> Self {
@@ -55,23 +55,23 @@
 
     /// Decides on a request that would wait; `queue` is the customer's own
     /// bound, if it has one.
-    pub fn admit(&mut self, customer: CustomerId, share: u32, queue: Option<u32>) -> Verdict {
+    pub fn admit(&mut self, customer: CustomerId, share: u32, queue: Option<u32>) -> Decision {
         let most = queue.unwrap_or(self.per_customer);
         let account = self.accounts.entry(customer).or_default();
         account.share = share.max(1);
         if account.waiting >= most {
-            return Verdict::CustomerFull;
+            return Decision::CustomerFull;
         }
         if self.total < self.most {
             self.count(customer);
-            return Verdict::Wait;
+            return Decision::Enqueue;
         }
         match self.largest() {
             Some(largest) if largest != customer && self.exceeds(largest, customer) => {
                 self.count(customer);
-                Verdict::Displace(largest)
+                Decision::Displace(largest)
             }
-            _ => Verdict::RouterFull,
+            _ => Decision::RouterFull,
         }
     }
 
@@ -113,7 +113,7 @@
     /// # Panics
     ///
     /// When none was counted as waiting: each is counted once and leaves once.
-    pub fn leave(&mut self, customer: CustomerId, started: bool, now: Millis) {
+    pub fn remove(&mut self, customer: CustomerId, started: bool, now: Millis) {
         let account = self.accounts.get_mut(&customer);
         let account = account.filter(|account| account.waiting > 0);
         let account = account.expect("a request that leaves was counted as waiting");
--- a/crates/decide/src/place.rs
+++ b/crates/decide/src/placement.rs
@@ -10,9 +10,9 @@
     /// The server.
     pub server: ServerId,
     /// Whether it is in the router's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Slots that should be free.
-    pub free: u32,
+    pub free_slots: u32,
     /// Slots in all.
     pub slots: u32,
     /// Requests this router has running there.
@@ -22,9 +22,9 @@
 /// The start of a customer's prompt, hashed. Requests that share it gain from
 /// the same engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Prefix(u64);
+pub struct PromptPrefix(u64);
 
-impl Prefix {
+impl PromptPrefix {
     /// Hashes the start of a prompt.
     #[must_use]
     pub fn of(customer: CustomerId, start: &[u8]) -> Self {
@@ -38,7 +38,7 @@
     }
 
     /// The server of highest weight.
-    pub fn warmest(self, servers: impl IntoIterator<Item = ServerId>) -> Option<ServerId> {
+    pub fn preferred_server(self, servers: impl IntoIterator<Item = ServerId>) -> Option<ServerId> {
         servers
             .into_iter()
             .max_by_key(|&server| self.weight(server))
@@ -57,24 +57,32 @@
 /// Chooses among servers with a free slot: the warm one, else a near one, else
 /// the one with the most free slots. `None` when no slot is free.
 #[must_use]
-pub fn choose(candidates: &[Candidate], prefix: Option<Prefix>) -> Option<ServerId> {
-    let warm = prefix.and_then(|prefix| prefix.warmest(candidates.iter().map(|c| c.server)));
-    let free = candidates.iter().filter(|candidate| candidate.free > 0);
+pub fn choose(candidates: &[Candidate], prefix: Option<PromptPrefix>) -> Option<ServerId> {
+    let warm =
+        prefix.and_then(|prefix| prefix.preferred_server(candidates.iter().map(|c| c.server)));
+    let free = candidates
+        .iter()
+        .filter(|candidate| candidate.free_slots > 0);
     let best = free.max_by_key(|candidate| {
         let is_warm = Some(candidate.server) == warm;
-        (is_warm, candidate.near, candidate.free, candidate.server)
+        (
+            is_warm,
+            candidate.same_zone,
+            candidate.free_slots,
+            candidate.server,
+        )
     });
     best.map(|candidate| candidate.server)
 }
 
 /// The baseline: the less loaded of two servers drawn at random, whether it
 /// has a free slot or not.
-pub fn least_of_two(candidates: &[Candidate], rng: &mut impl Rng) -> Option<ServerId> {
+pub fn two_random_choices(candidates: &[Candidate], rng: &mut impl Rng) -> Option<ServerId> {
     let last = candidates.len().checked_sub(1)?;
     let one = candidates[rng.random_range(0..=last)];
     let other = candidates[rng.random_range(0..=last)];
     let load = |candidate: &Candidate| {
-        let busy = candidate.slots.saturating_sub(candidate.free);
+        let busy = candidate.slots.saturating_sub(candidate.free_slots);
         f64::from(busy.max(candidate.running)) / f64::from(candidate.slots.max(1))
     };
     let less = if load(&other) < load(&one) {
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -25,7 +25,7 @@
 pub use self::suspect::{End, Suspect};
 pub use self::verdict::Verdict;
 use crate::aggregate::rank;
-use crate::rank::weight;
+use crate::rendezvous::weight;
 
 /// Requests that are remembered. With more, those with the least and oldest evidence are
 /// forgotten: 4,096 records take about 1 MB by the size of their fields, however many different
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,12 +1,12 @@
 //! Requests that wait at a router, by customer.
 //!
 //! Within a customer the order is class, then deadline, then arrival. A
-//! deferrable request ranks as urgent once its deadline is [`RISE_MS`] away.
+//! deferrable request ranks as urgent once its deadline is [`PROMOTION_LEAD_MS`] away.
 //! Which customer goes first is not decided here but by the sidecars.
 
-mod changes;
+mod change_log;
+mod entry;
 mod line;
-mod waiting;
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -14,23 +14,23 @@
 use slotmap::{SlotMap, new_key_type};
 use smallvec::SmallVec;
 
-pub use changes::Changes;
+pub use change_log::ChangeLog;
+pub use entry::Entry;
 use line::Line;
-pub use waiting::Waiting;
 
 /// How long before its deadline a deferrable request ranks as urgent, in milliseconds.
-pub const RISE_MS: Millis = 30_000;
+pub const PROMOTION_LEAD_MS: Millis = 30_000;
 
 /// How far apart the deadlines of requests may be that change places for a warm
 /// prefix, in milliseconds.
-pub const SLACK_MS: Millis = 250;
+pub const REORDER_WINDOW_MS: Millis = 250;
 
 /// How many requests of a line are weighed for a warm prefix.
 const WEIGHED: usize = 8;
 
 new_key_type! {
     /// Key of a waiting request.
-    pub struct Key;
+    pub struct EntryKey;
 }
 
 /// Where a request may run: at one server only, or at any of the pool.
@@ -40,9 +40,9 @@
 /// with each.
 #[derive(Debug)]
 pub struct Queue<T> {
-    arena: SlotMap<Key, Waiting<T>>,
+    arena: SlotMap<EntryKey, Entry<T>>,
     lines: HashMap<(CustomerId, Bound), Line>,
-    rises: BTreeSet<(Millis, Key)>,
+    rises: BTreeSet<(Millis, EntryKey)>,
     arrivals: u64,
 }
 
@@ -71,18 +71,19 @@
     }
 
     /// Adds a request.
-    pub fn push(&mut self, mut waiting: Waiting<T>) -> Key {
+    pub fn push(&mut self, mut waiting: Entry<T>) -> EntryKey {
         waiting.arrival = self.arrivals;
-        waiting.rank = waiting.class;
+        waiting.effective_class = waiting.class;
         self.arrivals += 1;
         let deadline = waiting.deadline;
         let deferrable = waiting.class == Class::Deferrable;
         let key = self.arena.insert(waiting);
         if deferrable {
-            self.rises.insert((deadline.saturating_sub(RISE_MS), key));
+            self.rises
+                .insert((deadline.saturating_sub(PROMOTION_LEAD_MS), key));
         }
         let waiting = &self.arena[key];
-        let line = self.lines.entry((waiting.customer, waiting.bound));
+        let line = self.lines.entry((waiting.customer, waiting.pinned_server));
         line.or_insert_with(|| Line::new(waiting.arrival))
             .insert(key, waiting);
         key
@@ -93,11 +94,11 @@
     /// # Panics
     ///
     /// When it stands in no line: each request stands in one.
-    pub fn remove(&mut self, key: Key) -> Option<Waiting<T>> {
+    pub fn remove(&mut self, key: EntryKey) -> Option<Entry<T>> {
         let waiting = self.arena.remove(key)?;
         self.rises
-            .remove(&(waiting.deadline.saturating_sub(RISE_MS), key));
-        let place = (waiting.customer, waiting.bound);
+            .remove(&(waiting.deadline.saturating_sub(PROMOTION_LEAD_MS), key));
+        let place = (waiting.customer, waiting.pinned_server);
         let line = self.lines.get_mut(&place);
         let line = line.expect("a waiting request stands in a line");
         line.remove(key, &waiting);
@@ -109,13 +110,13 @@
 
     /// Takes the customer's next request that `server` may run. `warm` tells
     /// whether the server is the preferred one of a request; it decides only
-    /// among the first few of equal rank whose deadlines are [`SLACK_MS`] apart.
-    pub fn take(
+    /// among the first few of equal rank whose deadlines are [`REORDER_WINDOW_MS`] apart.
+    pub fn pop(
         &mut self,
         customer: CustomerId,
         server: ServerId,
         warm: impl Fn(&T) -> bool,
-    ) -> Option<Waiting<T>> {
+    ) -> Option<Entry<T>> {
         let key = self.head(customer, server, warm)?;
         self.remove(key)
     }
@@ -125,27 +126,28 @@
         customer: CustomerId,
         server: ServerId,
         warm: impl Fn(&T) -> bool,
-    ) -> Option<Key> {
+    ) -> Option<EntryKey> {
         let lines = [None, Some(server)]
             .into_iter()
             .filter_map(|bound| self.lines.get(&(customer, bound)));
-        let heads: SmallVec<[Key; 2 * WEIGHED]> = lines.filter_map(Line::heads).flatten().collect();
-        let place = |key: &Key| {
+        let heads: SmallVec<[EntryKey; 2 * WEIGHED]> =
+            lines.filter_map(Line::heads).flatten().collect();
+        let place = |key: &EntryKey| {
             let waiting = &self.arena[*key];
-            (waiting.rank, waiting.deadline, waiting.arrival)
+            (waiting.effective_class, waiting.deadline, waiting.arrival)
         };
         let first = heads.iter().copied().min_by_key(place)?;
         let (rank, deadline, _) = place(&first);
-        let last = deadline.saturating_add(SLACK_MS);
+        let last = deadline.saturating_add(REORDER_WINDOW_MS);
         let near = heads.iter().filter(|&key| {
             let waiting = &self.arena[*key];
-            waiting.rank == rank && waiting.deadline <= last && warm(&waiting.owned)
+            waiting.effective_class == rank && waiting.deadline <= last && warm(&waiting.payload)
         });
         near.copied().min_by_key(place).or(Some(first))
     }
 
     /// Raises deferrable requests whose deadline is near; returns their customers.
-    pub fn raise(&mut self, now: Millis) -> Vec<CustomerId> {
+    pub fn promote(&mut self, now: Millis) -> Vec<CustomerId> {
         let mut raised = Vec::new();
         while let Some(&(at, key)) = self.rises.first() {
             if at > now {
@@ -153,12 +155,12 @@
             }
             self.rises.pop_first();
             let waiting = &mut self.arena[key];
-            let place = (waiting.customer, waiting.bound);
+            let place = (waiting.customer, waiting.pinned_server);
             let Some(line) = self.lines.get_mut(&place) else {
                 continue;
             };
             line.remove(key, waiting);
-            waiting.rank = Class::Urgent;
+            waiting.effective_class = Class::Urgent;
             line.insert(key, waiting);
             raised.push(waiting.customer);
         }
@@ -167,13 +169,13 @@
 
     /// The customer's request that would go last, for eviction.
     #[must_use]
-    pub fn tail(&self, customer: CustomerId) -> Option<Key> {
+    pub fn back(&self, customer: CustomerId) -> Option<EntryKey> {
         let lines = self.lines.iter();
         let own = lines.filter(|((owner, _), _)| *owner == customer);
         let tails = own.filter_map(|(_, line)| line.tail());
         tails.max_by_key(|&key| {
             let waiting = &self.arena[key];
-            (waiting.rank, waiting.deadline, waiting.arrival)
+            (waiting.effective_class, waiting.deadline, waiting.arrival)
         })
     }
 
@@ -198,7 +200,7 @@
                 let total = &mut interest.waiting[rank.index()];
                 *total = total.saturating_add(count);
                 if let Some(key) = line.oldest(rank) {
-                    let since = self.arena[key].since;
+                    let since = self.arena[key].arrived_at;
                     oldest[rank.index()] = oldest[rank.index()].min(since);
                 }
             }
@@ -212,8 +214,8 @@
 
     /// Requests of the same customer and standing that go before one.
     #[must_use]
-    pub fn position(&self, waiting: &Waiting<T>) -> usize {
-        let line = self.lines.get(&(waiting.customer, waiting.bound));
+    pub fn position(&self, waiting: &Entry<T>) -> usize {
+        let line = self.lines.get(&(waiting.customer, waiting.pinned_server));
         line.map_or(0, |line| line.position(waiting))
     }
 
@@ -226,14 +228,14 @@
 
     /// Whether the customer has requests that only `server` may run.
     #[must_use]
-    pub fn is_bound(&self, customer: CustomerId, server: ServerId) -> bool {
+    pub fn has_pinned(&self, customer: CustomerId, server: ServerId) -> bool {
         self.lines.contains_key(&(customer, Some(server)))
     }
 
     /// How many customers have something waiting; one with bound requests counts
     /// more than once.
     #[must_use]
-    pub fn lines(&self) -> usize {
+    pub fn subqueues(&self) -> usize {
         self.lines.len()
     }
 
@@ -243,7 +245,7 @@
     }
 
     /// Every waiting request.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &Waiting<T>)> {
+    pub fn iter(&self) -> impl Iterator<Item = (EntryKey, &Entry<T>)> {
         self.arena.iter()
     }
 }
--- a/crates/decide/src/queue/changes.rs
+++ b/crates/decide/src/queue/change_log.rs
@@ -6,15 +6,15 @@
 
 /// A log of changes that keeps the latest of each customer only.
 #[derive(Clone, Debug, Default)]
-pub struct Changes {
+pub struct ChangeLog {
     last: u64,
     by_number: BTreeMap<u64, CustomerId>,
     by_customer: HashMap<CustomerId, u64>,
 }
 
-impl Changes {
+impl ChangeLog {
     /// Notes a change; returns its number.
-    pub fn mark(&mut self, customer: CustomerId) -> u64 {
+    pub fn record(&mut self, customer: CustomerId) -> u64 {
         self.last += 1;
         if let Some(earlier) = self.by_customer.insert(customer, self.last) {
             self.by_number.remove(&earlier);
@@ -25,7 +25,7 @@
 
     /// The number of the latest change.
     #[must_use]
-    pub const fn last(&self) -> u64 {
+    pub const fn latest(&self) -> u64 {
         self.last
     }
 
--- a/crates/decide/src/sample.rs
+++ b/crates/decide/src/sample.rs
@@ -8,7 +8,7 @@
 
 use mulberryyoke_model::ServerId;
 
-use crate::rank::weight;
+use crate::rendezvous::weight;
 
 /// Whether a node uses a server, of `count` servers of which it uses about `most`. `node` is its
 /// rank ([`crate::aggregate::rank`]).
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -12,7 +12,7 @@
 use mulberryyoke_model::{Server, ServerId, State};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::rank;
+use crate::rendezvous;
 
 /// Share of the subset that goes to other zones: one in this many.
 const REMOTE: usize = 4;
@@ -100,7 +100,7 @@
 }
 
 fn weight(router: &str, server: &Server) -> u64 {
-    rank::weight(
+    rendezvous::weight(
         xxh3_64(router.as_bytes()),
         u64::from(ServerId::of(&server.name).0),
     )
--- a/crates/decide/tests/admission/table.rs
+++ b/crates/decide/tests/admission/table.rs
@@ -1,7 +1,7 @@
 //! Small decisions in tables.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::account::{AHEAD, Charge, Hint};
+use mulberryyoke_decide::account::{CHARGE_LEAD, Charge, CostCorrection};
 use mulberryyoke_decide::admission::{Admission, Setup, Sharing};
 use mulberryyoke_decide::key::{Answer, Mark, Memory, Past, Seen};
 use mulberryyoke_model::{CustomerId, Incarnation, Interest, KeyId, Kind, PoolId, ServerId};
@@ -15,11 +15,11 @@
         (100, &[40, 60], 100, 0, 0),
         (100, &[90, 20], 100, 10, 0),
         (1, &[5, 5], 1, 9, 0),
-        (1_000, &[72], AHEAD, 72, AHEAD),
-        (1_000, &[900, 50], AHEAD, 872, 50),
+        (1_000, &[72], CHARGE_LEAD, 72, CHARGE_LEAD),
+        (1_000, &[900, 50], CHARGE_LEAD, 872, 50),
     ];
     for (estimate, parts, first, more, back) in cases {
-        let mut charge = Charge::open(estimate);
+        let mut charge = Charge::new(estimate);
         expect_that!(charge.charged(), eq(first), "{estimate} {parts:?}");
         let charged: u64 = parts.iter().map(|part| charge.meter(*part)).sum();
         expect_that!(charged, eq(more), "{estimate} {parts:?}");
@@ -30,9 +30,9 @@
 #[gtest]
 fn hints_that_are_always_off_are_corrected() {
     for (hint, cost) in [(43, 430), (4_300, 430), (430, 430)] {
-        let mut learnt = Hint::default();
+        let mut learnt = CostCorrection::default();
         for _ in 0..100 {
-            learnt.learn(hint, cost);
+            learnt.observe(hint, cost);
         }
         expect_that!(learnt.correct(hint), eq(cost), "{hint}");
     }
--- a/crates/decide/tests/declare.rs
+++ b/crates/decide/tests/declare.rs
@@ -1,7 +1,9 @@
 //! What sidecars are told of waiting requests.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::declare::{SPREAD_MS, TOLD, Told, is_told};
+use mulberryyoke_decide::declare::{
+    DeclaredDemand, FANOUT_DOUBLING_MS, FANOUT_PER_REQUEST, is_target,
+};
 use mulberryyoke_model::{CustomerId, Interest, ServerId};
 
 const ACME: CustomerId = CustomerId(1);
@@ -24,19 +26,37 @@
     let open = servers(count);
     let told = open
         .iter()
-        .filter(|&&server| is_told(interest, 0, server, &open, customers, now));
+        .filter(|&&server| is_target(interest, 0, server, &open, customers, now));
     told.count()
 }
 
 #[gtest]
 fn a_few_sidecars_are_told_of_a_few_requests_and_more_as_they_wait() {
     let rows = [
-        ("one", [0, 1, 0], 12, 0, TOLD),
-        ("two", [1, 1, 0], 12, 0, 2 * TOLD),
+        ("one", [0, 1, 0], 12, 0, FANOUT_PER_REQUEST),
+        ("two", [1, 1, 0], 12, 0, 2 * FANOUT_PER_REQUEST),
         ("many", [0, 100, 0], 12, 0, 12),
-        ("shortly before", [0, 1, 0], 12, SPREAD_MS - 1, TOLD),
-        ("after a step", [0, 1, 0], 12, SPREAD_MS, 2 * TOLD),
-        ("after two", [0, 1, 0], 12, 2 * SPREAD_MS, 12.min(4 * TOLD)),
+        (
+            "shortly before",
+            [0, 1, 0],
+            12,
+            FANOUT_DOUBLING_MS - 1,
+            FANOUT_PER_REQUEST,
+        ),
+        (
+            "after a step",
+            [0, 1, 0],
+            12,
+            FANOUT_DOUBLING_MS,
+            2 * FANOUT_PER_REQUEST,
+        ),
+        (
+            "after two",
+            [0, 1, 0],
+            12,
+            2 * FANOUT_DOUBLING_MS,
+            12.min(4 * FANOUT_PER_REQUEST),
+        ),
         ("for ever", [0, 1, 0], 12, u64::MAX / 2, 12),
         ("one server", [0, 1, 0], 1, 0, 1),
     ];
@@ -48,7 +68,7 @@
 
 #[gtest]
 fn the_fewer_customers_wait_the_more_sidecars_know_of_each() {
-    for (customers, expected) in [(1, 12), (2, 12), (8, 6), (12, TOLD), (0, 12)] {
+    for (customers, expected) in [(1, 12), (2, 12), (8, 6), (12, FANOUT_PER_REQUEST), (0, 12)] {
         let told = told(&interest([0, 1, 0]), 12, customers, 1_000);
         expect_that!(told, eq(expected), "{customers} customers");
     }
@@ -61,7 +81,7 @@
     let mut counts = [0; 12];
     for salt in 0..600 {
         for server in &open {
-            let is_told = is_told(&few, salt, *server, &open, 100, 1_000);
+            let is_told = is_target(&few, salt, *server, &open, 100, 1_000);
             counts[server.0 as usize] += u32::from(is_told);
         }
     }
@@ -84,19 +104,19 @@
         ("nothing urgent", [1, 9, 0], [0, 9, 0], true),
     ];
     for (row, before, now, expected) in rows {
-        let mut told = Told::default();
-        told.news(vec![interest(before)]);
-        let news = told.news(vec![interest(now)]);
+        let mut told = DeclaredDemand::default();
+        told.update(vec![interest(before)]);
+        let news = told.update(vec![interest(now)]);
         expect_that!(!news.is_empty(), eq(expected), "{row}");
     }
 }
 
 #[gtest]
 fn changes_too_small_to_tell_add_up() {
-    let mut told = Told::default();
-    told.news(vec![interest([0, 40, 0])]);
+    let mut told = DeclaredDemand::default();
+    told.update(vec![interest([0, 40, 0])]);
     let waiting = (0..=39_u16).rev();
-    let news = waiting.filter(|&count| !told.news(vec![interest([0, count, 0])]).is_empty());
+    let news = waiting.filter(|&count| !told.update(vec![interest([0, count, 0])]).is_empty());
     expect_that!(news.collect::<Vec<_>>(), eq(&vec![10, 2, 0]));
     expect_that!(told.customers().count(), eq(0));
 }
@@ -106,13 +126,13 @@
 fn a_sidecar_that_has_used_up_what_it_knows_is_told_of_the_rest() {
     let rows = [([0, 3, 0], 3, [0, 1, 0]), ([1, 1, 0], 2, [0, 1, 0])];
     for (before, grants, now) in rows {
-        let mut told = Told::default();
-        told.news(vec![interest(before)]);
+        let mut told = DeclaredDemand::default();
+        told.update(vec![interest(before)]);
         for _ in 0..grants {
-            told.granted(ACME);
+            told.record_grant(ACME);
         }
-        expect_that!(told.knows(ACME), eq(false), "{before:?}");
-        let news = told.news(vec![interest(now)]);
+        expect_that!(told.contains(ACME), eq(false), "{before:?}");
+        let news = told.update(vec![interest(now)]);
         expect_that!(news, elements_are![eq(&interest(now))], "{before:?}");
     }
 }
--- a/crates/decide/tests/limit.rs
+++ b/crates/decide/tests/limiter.rs
@@ -1,16 +1,16 @@
 //! Bounds on waiting requests.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::limit::{Limit, MAX_RETRY_AFTER_S, Rate, Verdict};
+use mulberryyoke_decide::limiter::{Decision, Limiter, MAX_RETRY_AFTER_S, Rate};
 use mulberryyoke_model::CustomerId;
 
 const LARGE: CustomerId = CustomerId(1);
 const SMALL: CustomerId = CustomerId(2);
 const OTHER: CustomerId = CustomerId(3);
 
-fn fill(limit: &mut Limit, customer: CustomerId, share: u32, count: u32) {
+fn fill(limiter: &mut Limiter, customer: CustomerId, share: u32, count: u32) {
     for _ in 0..count {
-        limit.readmit(customer, share);
+        limiter.readmit(customer, share);
     }
 }
 
@@ -22,18 +22,30 @@
         ("customer's own, larger", Some(5), 5),
     ];
     for (row, queue, most) in rows {
-        let mut limit = Limit::new(3, 100);
+        let mut limiter = Limiter::new(3, 100);
         for _ in 0..most {
-            expect_that!(limit.admit(LARGE, 1, queue), eq(Verdict::Wait), "{row}");
+            expect_that!(
+                limiter.admit(LARGE, 1, queue),
+                eq(Decision::Enqueue),
+                "{row}"
+            );
         }
         expect_that!(
-            limit.admit(LARGE, 1, queue),
-            eq(Verdict::CustomerFull),
+            limiter.admit(LARGE, 1, queue),
+            eq(Decision::CustomerFull),
+            "{row}"
+        );
+        expect_that!(
+            limiter.admit(SMALL, 1, None),
+            eq(Decision::Enqueue),
+            "{row}"
+        );
+        limiter.remove(LARGE, true, 0);
+        expect_that!(
+            limiter.admit(LARGE, 1, queue),
+            eq(Decision::Enqueue),
             "{row}"
         );
-        expect_that!(limit.admit(SMALL, 1, None), eq(Verdict::Wait), "{row}");
-        limit.leave(LARGE, true, 0);
-        expect_that!(limit.admit(LARGE, 1, queue), eq(Verdict::Wait), "{row}");
     }
 }
 
@@ -45,54 +57,58 @@
             [(LARGE, 1, 9), (SMALL, 1, 1)],
             LARGE,
             1,
-            Verdict::RouterFull,
+            Decision::RouterFull,
         ),
         (
             "small asks",
             [(LARGE, 1, 9), (SMALL, 1, 1)],
             SMALL,
             1,
-            Verdict::Displace(LARGE),
+            Decision::Displace(LARGE),
         ),
         (
             "newcomer asks",
             [(LARGE, 1, 9), (SMALL, 1, 1)],
             OTHER,
             1,
-            Verdict::Displace(LARGE),
+            Decision::Displace(LARGE),
         ),
         (
             "share counts",
             [(LARGE, 9, 9), (SMALL, 1, 1)],
             OTHER,
             1,
-            Verdict::RouterFull,
+            Decision::RouterFull,
         ),
         (
             "larger share asks",
             [(LARGE, 1, 5), (SMALL, 5, 5)],
             SMALL,
             5,
-            Verdict::Displace(LARGE),
+            Decision::Displace(LARGE),
         ),
     ];
     for (row, held, customer, share, expected) in rows {
-        let mut limit = Limit::new(100, 10);
+        let mut limiter = Limiter::new(100, 10);
         for (holder, share, count) in held {
-            fill(&mut limit, holder, share, count);
+            fill(&mut limiter, holder, share, count);
         }
-        expect_that!(limit.admit(customer, share, None), eq(expected), "{row}");
+        expect_that!(limiter.admit(customer, share, None), eq(expected), "{row}");
     }
 }
 
 #[gtest]
 fn displacing_keeps_the_total() {
-    let mut limit = Limit::new(100, 4);
-    fill(&mut limit, LARGE, 1, 4);
-    assert_that!(limit.admit(SMALL, 1, None), eq(Verdict::Displace(LARGE)));
-    limit.leave(LARGE, false, 0);
+    let mut limiter = Limiter::new(100, 4);
+    fill(&mut limiter, LARGE, 1, 4);
+    assert_that!(limiter.admit(SMALL, 1, None), eq(Decision::Displace(LARGE)));
+    limiter.remove(LARGE, false, 0);
     expect_that!(
-        (limit.total(), limit.waiting(LARGE), limit.waiting(SMALL)),
+        (
+            limiter.total(),
+            limiter.waiting(LARGE),
+            limiter.waiting(SMALL)
+        ),
         eq((4, 3, 1))
     );
 }
@@ -108,17 +124,17 @@
         (900, 0, 120, 120),
     ];
     for (waiting, pause, least, most) in rows {
-        let mut limit = Limit::new(u32::MAX, u32::MAX);
+        let mut limiter = Limiter::new(u32::MAX, u32::MAX);
         let mut now = 0;
         if pause > 0 {
             for _ in 0..1_000 {
                 now += pause;
-                limit.readmit(LARGE, 1);
-                limit.leave(LARGE, true, now);
+                limiter.readmit(LARGE, 1);
+                limiter.remove(LARGE, true, now);
             }
         }
-        fill(&mut limit, LARGE, 1, waiting);
-        let seconds = limit.retry_after(LARGE, now);
+        fill(&mut limiter, LARGE, 1, waiting);
+        let seconds = limiter.retry_after(LARGE, now);
         expect_that!(
             seconds,
             all![ge(least), le(most)],
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Choice of a server and the budget of retries.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::place::{Candidate, Prefix, choose, least_of_two};
+use mulberryyoke_decide::placement::{Candidate, PromptPrefix, choose, two_random_choices};
 use mulberryyoke_decide::retry::Budget;
 use mulberryyoke_model::{CustomerId, ServerId};
 use rand_chacha::ChaCha8Rng;
@@ -9,11 +9,11 @@
 
 const ACME: CustomerId = CustomerId(1);
 
-fn candidate(server: u32, near: bool, free: u32) -> Candidate {
+fn candidate(server: u32, same_zone: bool, free_slots: u32) -> Candidate {
     Candidate {
         server: ServerId(server),
-        near,
-        free,
+        same_zone,
+        free_slots,
         slots: 8,
         running: 0,
     }
@@ -56,9 +56,9 @@
 #[gtest]
 fn a_warm_server_goes_first_but_never_idles_another() {
     let servers: Vec<u32> = (1..=5).collect();
-    let prefix = Prefix::of(ACME, b"You are a helpful assistant");
+    let prefix = PromptPrefix::of(ACME, b"You are a helpful assistant");
     let warm = prefix
-        .warmest(servers.iter().copied().map(ServerId))
+        .preferred_server(servers.iter().copied().map(ServerId))
         .unwrap();
     let free = |busy: Option<ServerId>| -> Vec<Candidate> {
         let all = servers
@@ -66,7 +66,7 @@
             .map(|&server| candidate(server, server != warm.0, 2));
         all.map(|mut candidate| {
             if Some(candidate.server) == busy {
-                candidate.free = 0;
+                candidate.free_slots = 0;
             }
             candidate
         })
@@ -82,17 +82,17 @@
     let servers = || (0..8).map(ServerId);
     let mut counts = [0; 8];
     for number in 0..800_u32 {
-        let prefix = Prefix::of(ACME, &number.to_le_bytes());
-        let warm = prefix.warmest(servers()).unwrap();
+        let prefix = PromptPrefix::of(ACME, &number.to_le_bytes());
+        let warm = prefix.preferred_server(servers()).unwrap();
         counts[warm.0 as usize] += 1;
         // A server that leaves moves only its own prefixes.
         let without = servers().filter(|server| *server != ServerId(0));
-        let after = prefix.warmest(without).unwrap();
+        let after = prefix.preferred_server(without).unwrap();
         expect_that!(after == warm || warm == ServerId(0), eq(true));
     }
     expect_that!(counts, each(all![gt(50), lt(150)]));
-    let other = Prefix::of(CustomerId(2), &1_u32.to_le_bytes());
-    expect_that!(other, not(eq(Prefix::of(ACME, &1_u32.to_le_bytes()))));
+    let other = PromptPrefix::of(CustomerId(2), &1_u32.to_le_bytes());
+    expect_that!(other, not(eq(PromptPrefix::of(ACME, &1_u32.to_le_bytes()))));
 }
 
 #[gtest]
@@ -101,12 +101,12 @@
     let candidates = [candidate(1, true, 0), candidate(2, true, 8)];
     let mut counts = [0, 0];
     for _ in 0..1_000 {
-        let server = least_of_two(&candidates, &mut rng).unwrap();
+        let server = two_random_choices(&candidates, &mut rng).unwrap();
         counts[server.0 as usize - 1] += 1;
     }
     // The loaded one only when it is drawn twice: a quarter.
     expect_that!(counts[0], all![gt(200), lt(300)]);
-    expect_that!(least_of_two(&[], &mut rng), none());
+    expect_that!(two_random_choices(&[], &mut rng), none());
 }
 
 #[gtest]
--- a/crates/decide/tests/queue.rs
+++ b/crates/decide/tests/queue.rs
@@ -1,7 +1,9 @@
 //! Order of waiting requests.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::queue::{Changes, Key, Queue, RISE_MS, SLACK_MS, Waiting};
+use mulberryyoke_decide::queue::{
+    ChangeLog, Entry, EntryKey, PROMOTION_LEAD_MS, Queue, REORDER_WINDOW_MS,
+};
 use mulberryyoke_model::{Class, CustomerId, Millis, ServerId};
 use proptest::prelude::*;
 
@@ -13,20 +15,20 @@
 
 type Named = &'static str;
 
-fn waiting(customer: CustomerId, class: Class, deadline: Millis, name: Named) -> Waiting<Named> {
-    Waiting::new(customer, class, deadline, 0, name)
+fn waiting(customer: CustomerId, class: Class, deadline: Millis, name: Named) -> Entry<Named> {
+    Entry::new(customer, class, deadline, 0, name)
 }
 
-fn bound(server: ServerId, name: Named) -> Waiting<Named> {
+fn bound(server: ServerId, name: Named) -> Entry<Named> {
     let mut waiting = waiting(ACME, Class::Normal, FAR, name);
-    waiting.bound = Some(server);
+    waiting.pinned_server = Some(server);
     waiting
 }
 
 fn drain(queue: &mut Queue<Named>, customer: CustomerId, server: ServerId) -> Vec<Named> {
-    let take = || queue.take(customer, server, |_| false);
+    let take = || queue.pop(customer, server, |_| false);
     std::iter::from_fn(take)
-        .map(|waiting| waiting.owned)
+        .map(|waiting| waiting.payload)
         .collect()
 }
 
@@ -95,11 +97,14 @@
     queue.push(waiting(ACME, Class::Deferrable, FAR, "deferrable"));
     queue.push(waiting(ACME, Class::Normal, FAR, "normal"));
     queue.push(waiting(ACME, Class::Urgent, FAR + 1, "urgent"));
-    expect_that!(queue.raise(FAR - RISE_MS - 1), is_empty());
+    expect_that!(queue.promote(FAR - PROMOTION_LEAD_MS - 1), is_empty());
     expect_that!(queue.interest(ACME, HERE).waiting, eq([1, 1, 1]));
-    expect_that!(queue.raise(FAR - RISE_MS), elements_are![eq(&ACME)]);
+    expect_that!(
+        queue.promote(FAR - PROMOTION_LEAD_MS),
+        elements_are![eq(&ACME)]
+    );
     expect_that!(queue.interest(ACME, HERE).waiting, eq([2, 1, 0]));
-    expect_that!(queue.raise(FAR), is_empty());
+    expect_that!(queue.promote(FAR), is_empty());
     let order = drain(&mut queue, ACME, HERE);
     expect_that!(order, elements_are![&"deferrable", &"urgent", &"normal"]);
 }
@@ -127,7 +132,7 @@
         (Class::Urgent, FAR, 9, 300),
         (Class::Urgent, FAR + 5, 7, 200),
     ] {
-        let mut waiting = Waiting::new(ACME, class, deadline, since, "");
+        let mut waiting = Entry::new(ACME, class, deadline, since, "");
         waiting.cost = cost;
         queue.push(waiting);
     }
@@ -143,11 +148,16 @@
 fn warm_prefix_changes_places_only_within_the_slack() {
     let rows = [
         ("equal deadline", Class::Normal, FAR, "warm"),
-        ("within the slack", Class::Normal, FAR + SLACK_MS, "warm"),
+        (
+            "within the slack",
+            Class::Normal,
+            FAR + REORDER_WINDOW_MS,
+            "warm",
+        ),
         (
             "beyond the slack",
             Class::Normal,
-            FAR + SLACK_MS + 1,
+            FAR + REORDER_WINDOW_MS + 1,
             "cold",
         ),
         ("lower class", Class::Deferrable, FAR, "cold"),
@@ -156,8 +166,12 @@
         let mut queue = Queue::default();
         queue.push(waiting(ACME, Class::Normal, FAR, "cold"));
         queue.push(waiting(ACME, class, deadline, "warm"));
-        let taken = queue.take(ACME, HERE, |name| *name == "warm");
-        expect_that!(taken.map(|waiting| waiting.owned), some(eq(first)), "{row}");
+        let taken = queue.pop(ACME, HERE, |name| *name == "warm");
+        expect_that!(
+            taken.map(|waiting| waiting.payload),
+            some(eq(first)),
+            "{row}"
+        );
     }
 }
 
@@ -167,11 +181,11 @@
     queue.push(waiting(ACME, Class::Normal, FAR, "first"));
     let last = queue.push(waiting(ACME, Class::Deferrable, FAR, "last"));
     queue.push(waiting(ACME, Class::Normal, FAR + 1, "second"));
-    expect_that!(queue.tail(ACME), some(eq(last)));
-    expect_that!(queue.tail(BETA), none());
+    expect_that!(queue.back(ACME), some(eq(last)));
+    expect_that!(queue.back(BETA), none());
     let mut positions: Vec<(Named, usize)> = queue
         .iter()
-        .map(|(_, waiting)| (waiting.owned, queue.position(waiting)))
+        .map(|(_, waiting)| (waiting.payload, queue.position(waiting)))
         .collect();
     positions.sort_unstable();
     expect_that!(
@@ -182,15 +196,15 @@
 
 #[gtest]
 fn changes_keep_the_latest_of_each_customer() {
-    let mut changes = Changes::default();
-    changes.mark(ACME);
-    let seen = changes.last();
-    changes.mark(BETA);
-    changes.mark(ACME);
-    changes.mark(BETA);
+    let mut changes = ChangeLog::default();
+    changes.record(ACME);
+    let seen = changes.latest();
+    changes.record(BETA);
+    changes.record(ACME);
+    changes.record(BETA);
     let new: Vec<CustomerId> = changes.since(seen).collect();
     expect_that!(new, elements_are![eq(&ACME), eq(&BETA)]);
-    expect_that!(changes.since(changes.last()).count(), eq(0));
+    expect_that!(changes.since(changes.latest()).count(), eq(0));
 }
 
 /// What may happen to a queue.
@@ -231,34 +245,34 @@
     #[test]
     fn nothing_is_lost_or_doubled(steps in prop::collection::vec(step(), 0..200)) {
         let mut queue: Queue<usize> = Queue::default();
-        let mut held: Vec<(Key, usize)> = Vec::new();
+        let mut held: Vec<(EntryKey, usize)> = Vec::new();
         for (number, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Push { customer, class, deadline, bound } => {
                     let class = Class::ALL[class];
                     let mut waiting =
-                        Waiting::new(CustomerId(customer), class, deadline, 0, number);
-                    waiting.bound = (bound > 0).then_some(ServerId(bound));
+                        Entry::new(CustomerId(customer), class, deadline, 0, number);
+                    waiting.pinned_server = (bound > 0).then_some(ServerId(bound));
                     held.push((queue.push(waiting), number));
                 }
                 Step::Take { customer, server } => {
                     let customer = CustomerId(customer);
                     let counted = queue.interest(customer, ServerId(server)).total();
-                    let taken = queue.take(customer, ServerId(server), |_| false);
+                    let taken = queue.pop(customer, ServerId(server), |_| false);
                     prop_assert_eq!(taken.is_some(), counted > 0);
-                    held.retain(|(_, number)| Some(*number) != taken.as_ref().map(|w| w.owned));
+                    held.retain(|(_, number)| Some(*number) != taken.as_ref().map(|w| w.payload));
                 }
                 Step::Remove(index) if index < held.len() => {
                     let (key, number) = held.remove(index);
-                    prop_assert_eq!(queue.remove(key).map(|w| w.owned), Some(number));
+                    prop_assert_eq!(queue.remove(key).map(|w| w.payload), Some(number));
                     prop_assert!(queue.remove(key).is_none());
                 }
                 Step::Remove(_) => {}
-                Step::Raise(now) => drop(queue.raise(now)),
+                Step::Raise(now) => drop(queue.promote(now)),
             }
             prop_assert_eq!(queue.len(), held.len());
         }
-        let mut left: Vec<usize> = queue.iter().map(|(_, waiting)| waiting.owned).collect();
+        let mut left: Vec<usize> = queue.iter().map(|(_, waiting)| waiting.payload).collect();
         left.sort_unstable();
         let mut expected: Vec<usize> = held.into_iter().map(|(_, number)| number).collect();
         expected.sort_unstable();
