--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -21,8 +21,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
 
-use mulberryyoke_decide::exchange::{self as decide_exchange, Ledger, Life};
-use mulberryyoke_decide::member::{self as decide_member, Place};
+use mulberryyoke_decide::exchange::{self as decide_exchange, Instance, Ledger};
+use mulberryyoke_decide::member::{self as decide_member, Router};
 use mulberryyoke_decide::view::View;
 use mulberryyoke_model::{Attempt, Change, Config, Incarnation, Outcome, Revision, ServerId};
 use mulberryyoke_platform::{kv, vm};
@@ -98,18 +98,18 @@
             incarnation,
             started_at: clock::now(),
         };
-        let place = Place {
+        let router = Router {
             name: settings.name.clone(),
             region: settings.region.clone(),
             zone: settings.zone.clone(),
         };
-        let life = Life {
+        let instance = Instance {
             incarnation,
             started_at: member.started_at,
         };
-        let bounds = decide_member::Bounds {
+        let limits = decide_member::Limits {
             suspect_ms: (SUSPECT_INTERVALS * settings.exchange_ms).max(LEAST_SUSPECT_MS),
-            ..decide_member::Bounds::default()
+            ..decide_member::Limits::default()
         };
         let options = kv::Options {
             silence_ms: SILENCE_MS,
@@ -123,8 +123,8 @@
             store: Store::open(),
             kv_up: AtomicBool::new(false),
             roster: Roster::default(),
-            peers: Peers::open(place, bounds, Arc::clone(&bytes)),
-            ledger: Mutex::new(Ledger::open(life, decide_exchange::Bounds::default())),
+            peers: Peers::open(router, limits, Arc::clone(&bytes)),
+            ledger: Mutex::new(Ledger::new(instance, decide_exchange::Limits::default())),
             idle: Mutex::default(),
             bytes,
             local: OnceLock::new(),
--- a/crates/daemon/src/fleet/exchange.rs
+++ b/crates/daemon/src/fleet/exchange.rs
@@ -6,7 +6,7 @@
 
 use futures::future::join_all;
 use metrics::{counter, gauge};
-use mulberryyoke_decide::exchange::Bounds;
+use mulberryyoke_decide::exchange::Limits;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::Relation;
 use mulberryyoke_wire::Summary;
@@ -96,16 +96,16 @@
         let entries = (budget / (others * ENTRY_BYTES)).max(FEWEST_ENTRIES);
         let now = clock::now();
         let mut ledger = self.ledger.lock();
-        ledger.set_bounds(Bounds {
-            entries: usize::try_from(entries).unwrap_or(usize::MAX),
+        ledger.set_limits(Limits {
+            max_entries: usize::try_from(entries).unwrap_or(usize::MAX),
             horizon_ms: HORIZON_MS.max(HORIZON_INTERVALS * self.settings.exchange_ms),
-            ..Bounds::default()
+            ..Limits::default()
         });
         if plan.parent.is_none() {
-            ledger.follow(None, now);
+            ledger.set_parent(None, now);
         }
         ledger.tick(now);
-        let age_ms = now.saturating_sub(ledger.heard(now));
+        let age_ms = now.saturating_sub(ledger.as_of(now));
         #[expect(clippy::cast_precision_loss, reason = "milliseconds of an age are few")]
         gauge!("exchange_age_ms", "router" => self.member.name.clone()).set(age_ms as f64);
     }
--- a/crates/daemon/src/fleet/message.rs
+++ b/crates/daemon/src/fleet/message.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use mulberryyoke_decide::exchange::Life;
+use mulberryyoke_decide::exchange::Instance;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Relation, ServerId, Statement};
 use mulberryyoke_wire::Summary;
@@ -27,23 +27,23 @@
 impl Fleet {
     /// The next statement for a life that this router calls, which its plan makes
     /// `relation` to it.
-    pub(super) fn state(&self, life: Life, relation: Relation) -> Statement {
+    pub(super) fn state(&self, life: Instance, relation: Relation) -> Statement {
         let now = clock::now();
         let mut ledger = self.ledger.lock();
         if relation == Relation::Child {
-            ledger.follow(Some(life), now);
+            ledger.set_parent(Some(life), now);
         }
-        ledger.state(life.incarnation, relation, now)
+        ledger.next_statement(life.incarnation, relation, now)
     }
 
     /// The answering statement for a life that called; none as its child unless this
     /// router's own plan says so too.
-    pub(super) fn answer(&self, life: Life, relation: Relation) -> Option<Statement> {
+    pub(super) fn answer(&self, life: Instance, relation: Relation) -> Option<Statement> {
         let mut ledger = self.ledger.lock();
         if relation == Relation::Child && ledger.parent() != Some(life.incarnation) {
             return None;
         }
-        Some(ledger.state(life.incarnation, relation, clock::now()))
+        Some(ledger.next_statement(life.incarnation, relation, clock::now()))
     }
 
     /// A message for another router that this one is `relation` to.
@@ -76,7 +76,7 @@
     pub(super) fn hear(self: &Arc<Self>, summary: &Summary) {
         if let Some(statement) = &summary.statement {
             let mut ledger = self.ledger.lock();
-            ledger.hear(life(&summary.from), statement, clock::now());
+            ledger.receive(life(&summary.from), statement, clock::now());
         }
         let Some((peer, is_new)) = self.peers.hear(summary) else {
             return;
--- a/crates/daemon/src/fleet/peer.rs
+++ b/crates/daemon/src/fleet/peer.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use mulberryyoke_decide::exchange::Life;
+use mulberryyoke_decide::exchange::Instance;
 use mulberryyoke_model::{Relation, Revision, ServerId};
 use mulberryyoke_wire::{self as wire, Bytes, Member, RouterClient};
 use parking_lot::Mutex;
@@ -41,14 +41,14 @@
 }
 
 impl Heard {
-    pub(super) fn life(&self) -> Life {
+    pub(super) fn life(&self) -> Instance {
         life(&self.member)
     }
 }
 
 /// The life of a router.
-pub(super) fn life(member: &Member) -> Life {
-    Life {
+pub(super) fn life(member: &Member) -> Instance {
+    Instance {
         incarnation: member.incarnation,
         started_at: member.started_at,
     }
--- a/crates/daemon/src/fleet/peers.rs
+++ b/crates/daemon/src/fleet/peers.rs
@@ -6,7 +6,7 @@
 
 use futures::StreamExt;
 use futures::stream;
-use mulberryyoke_decide::member::{Bounds, Place, Plan, Table};
+use mulberryyoke_decide::member::{Limits, Neighbors, Router, Table};
 use mulberryyoke_model::{Attempt, Outcome, Relation, ServerId};
 use mulberryyoke_platform::vm::{Role, Vm};
 use mulberryyoke_wire::{Bytes, Member, Summary};
@@ -28,27 +28,27 @@
 }
 
 impl Peers {
-    pub(super) fn open(own: Place, bounds: Bounds, bytes: Arc<Bytes>) -> Self {
+    pub(super) fn open(own: Router, limits: Limits, bytes: Arc<Bytes>) -> Self {
         Self {
             by_name: RwLock::default(),
-            table: Mutex::new(Table::open(own, bounds)),
+            table: Mutex::new(Table::new(own, limits)),
             bytes,
-            fresh_for: Duration::from_millis(bounds.suspect_ms),
+            fresh_for: Duration::from_millis(limits.suspect_ms),
         }
     }
 
     /// Takes in the VM list.
     pub(super) fn list(&self, vms: Vec<Vm>) {
         let routers: Vec<Vm> = vms.into_iter().filter(|v| v.role == Role::Router).collect();
-        let places = routers.iter().map(|vm| Place {
+        let members = routers.iter().map(|vm| Router {
             name: vm.name.clone(),
             region: vm.region.clone(),
             zone: vm.zone.clone(),
         });
         let now = clock::now();
         let mut table = self.table.lock();
-        table.list(places.collect(), now);
-        let known: BTreeSet<String> = table.names(now).into_iter().collect();
+        table.set_listed(members.collect(), now);
+        let known: BTreeSet<String> = table.alive_names(now).into_iter().collect();
         drop(table);
         let mut by_name = self.by_name.write();
         let listed: BTreeSet<&String> = routers.iter().map(|vm| &vm.name).collect();
@@ -80,8 +80,8 @@
     }
 
     /// With whom to exchange.
-    pub(super) fn plan(&self) -> Plan {
-        self.table.lock().plan(clock::now())
+    pub(super) fn plan(&self) -> Neighbors {
+        self.table.lock().neighbors(clock::now())
     }
 
     pub(super) fn is_watcher(&self) -> bool {
@@ -90,18 +90,18 @@
 
     /// Names of all routers that are not suspect.
     pub(super) fn names(&self) -> Vec<String> {
-        self.table.lock().names(clock::now())
+        self.table.lock().alive_names(clock::now())
     }
 
     /// Notes a failed call; returns whether that made the router suspect.
     pub(super) fn fail(&self, name: &str) -> bool {
-        self.table.lock().fail(name, clock::now())
+        self.table.lock().record_failure(name, clock::now())
     }
 
     /// Notes what a router says. Returns it, and whether it is heard anew.
     pub(super) fn hear(&self, summary: &Summary) -> Option<(Arc<Peer>, bool)> {
         let peer = self.get(&summary.from.name)?;
-        self.table.lock().hear(&peer.name, clock::now());
+        self.table.lock().record_contact(&peer.name, clock::now());
         let earlier = peer.replace_heard(Heard {
             member: summary.from.clone(),
             at: std::time::Instant::now(),
--- a/crates/daemon/src/fleet/usage.rs
+++ b/crates/daemon/src/fleet/usage.rs
@@ -17,20 +17,20 @@
     /// Fleet totals that changed since the cursor, which is moved on. Totals never
     /// go back within this router's life.
     pub fn totals(&self, changed_since: &mut Cursor) -> Vec<Usage> {
-        self.ledger.lock().totals(changed_since)
+        self.ledger.lock().totals_since(changed_since)
     }
 
     /// Totals to tell a sidecar after its report was collected: those that the report
     /// raised, and of the others a bounded number that grew most since they were told. A
     /// cursor belongs to one link.
     pub fn tell(&self, sidecar: Incarnation, cursor: &mut Cursor) -> Vec<Usage> {
-        self.ledger.lock().tell(sidecar, cursor)
+        self.ledger.lock().totals_for_sidecar(sidecar, cursor)
     }
 
     /// About the instant up to which the totals include what other routers counted, as
     /// far as they are heard.
     #[must_use]
     pub fn heard(&self) -> Millis {
-        self.ledger.lock().heard(clock::now())
+        self.ledger.lock().as_of(clock::now())
     }
 }
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -122,7 +122,7 @@
 
 fn target(view: &View, customer: CustomerId, body: &[u8]) -> Result<Target, Refusal> {
     let read: Body = serde_json::from_slice(body).map_err(|error| unreadable(&error))?;
-    let pool = view.model(&read.model);
+    let pool = view.model_pool(&read.model);
     let pool = pool.ok_or_else(|| no_model(&read.model))?;
     let hint = read.max_completion_tokens.or(read.max_tokens);
     let start = read.messages.or(read.prompt).map(|raw| {
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -93,7 +93,7 @@
 fn models(core: &Core, request: &Request<Incoming>) -> Result<Response<Answer>, Refusal> {
     let view = core.fleet.view();
     request::customer(&view, request.headers())?;
-    let mut names: Vec<&str> = view.models().map(|pool| pool.name.as_str()).collect();
+    let mut names: Vec<&str> = view.model_pools().map(|pool| pool.name.as_str()).collect();
     names.sort_unstable();
     let models = names.into_iter().map(
         |name| json!({"id": name, "object": "model", "created": 0, "owned_by": "mulberryyoke"}),
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -48,7 +48,7 @@
     fleet.offer(vec![pool(7)]);
     watch.changed().await.unwrap();
     assert_that!(*watch.borrow_and_update(), eq(7));
-    assert_that!(fleet.view().model("chat"), some(anything()));
+    assert_that!(fleet.view().model_pool("chat"), some(anything()));
     fleet.offer(vec![pool(7), pool(3)]);
     assert_that!(watch.has_changed().unwrap(), eq(false));
     fleet.stop().await;
--- a/crates/decide/examples/exchange.rs
+++ b/crates/decide/examples/exchange.rs
@@ -9,8 +9,8 @@
 //! `cargo run --release -p mulberryyoke-decide --example exchange`
 
 use bincode::Options;
-use mulberryyoke_decide::exchange::{Bounds, Cursor, Ledger, Life};
-use mulberryyoke_decide::member::{self, Place, Table};
+use mulberryyoke_decide::exchange::{Cursor, Instance, Ledger, Limits};
+use mulberryyoke_decide::member::{self, Router, Table};
 use mulberryyoke_model::{CustomerId, Incarnation, PoolId, Relation, Report, Statement, Usage};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -32,7 +32,7 @@
 const SAMPLES: usize = 10;
 
 struct Node {
-    life: Life,
+    life: Instance,
     ledger: Ledger,
     table: Table,
     running: Vec<(usize, u64)>,
@@ -65,8 +65,8 @@
     }
 }
 
-fn place(index: usize) -> Place {
-    Place {
+fn place(index: usize) -> Router {
+    Router {
         name: format!("router-{index}"),
         region: format!("region-{}", index % REGIONS),
         zone: format!("zone-{}", index % ZONES),
@@ -76,17 +76,17 @@
 impl Run {
     fn open(routers: usize, customers: usize, running: usize) -> Self {
         let now = 1_000_000;
-        let places: Vec<Place> = (0..routers).map(place).collect();
+        let places: Vec<Router> = (0..routers).map(place).collect();
         let nodes = (0..routers).map(|index| {
-            let life = Life {
+            let life = Instance {
                 incarnation: Incarnation(index as u64 + 1),
                 started_at: now,
             };
-            let mut table = Table::open(place(index), member::Bounds::default());
-            table.list(places.clone(), now);
+            let mut table = Table::new(place(index), member::Limits::default());
+            table.set_listed(places.clone(), now);
             Node {
                 life,
-                ledger: Ledger::open(life, Bounds::default()),
+                ledger: Ledger::new(life, Limits::default()),
                 table,
                 running: vec![(0, 0); running],
                 charged: vec![0; customers],
@@ -157,7 +157,7 @@
         sampled
             .map(|node| {
                 let mut totals = vec![0; self.truth.len()];
-                for usage in node.ledger.totals(&mut Cursor::default()) {
+                for usage in node.ledger.totals_since(&mut Cursor::default()) {
                     totals[usage.customer.0 as usize] = usage.tokens;
                 }
                 totals
@@ -177,9 +177,9 @@
         }
         for node in &mut self.nodes {
             node.entries = entries(std::mem::take(&mut node.others));
-            node.ledger.set_bounds(Bounds {
-                entries: node.entries,
-                ..Bounds::default()
+            node.ledger.set_limits(Limits {
+                max_entries: node.entries,
+                ..Limits::default()
             });
             node.ledger.tick(self.now);
         }
@@ -213,18 +213,18 @@
     }
 
     fn exchange(&mut self, index: usize) {
-        let plan = self.nodes[index].table.plan(self.now);
-        if let Some(parent) = &plan.parent {
+        let neighbors = self.nodes[index].table.neighbors(self.now);
+        if let Some(parent) = &neighbors.parent {
             let parent = position(parent);
             let life = self.nodes[parent].life;
-            self.nodes[index].ledger.follow(Some(life), self.now);
+            self.nodes[index].ledger.set_parent(Some(life), self.now);
             self.call(index, parent, Relation::Child);
             return;
         }
-        self.nodes[index].ledger.follow(None, self.now);
+        self.nodes[index].ledger.set_parent(None, self.now);
         // Of two peers the one with the lesser name calls.
         let own = place(index).name;
-        for peer in plan.peers.iter().filter(|peer| own < **peer) {
+        for peer in neighbors.peers.iter().filter(|peer| own < **peer) {
             self.call(index, position(peer), Relation::Peer);
         }
     }
@@ -237,12 +237,12 @@
         let (from, to) = (self.nodes[caller].life, self.nodes[other].life);
         let request = self.nodes[caller]
             .ledger
-            .state(to.incarnation, relation, self.now);
-        self.nodes[other].ledger.hear(from, &request, self.now);
+            .next_statement(to.incarnation, relation, self.now);
+        self.nodes[other].ledger.receive(from, &request, self.now);
         let answer = self.nodes[other]
             .ledger
-            .state(from.incarnation, answer, self.now);
-        self.nodes[caller].ledger.hear(to, &answer, self.now);
+            .next_statement(from.incarnation, answer, self.now);
+        self.nodes[caller].ledger.receive(to, &answer, self.now);
         for node in [caller, other] {
             self.nodes[node].others += 1;
             self.nodes[node].bytes += size(&request) + size(&answer);
--- a/crates/decide/src/exchange.rs
+++ b/crates/decide/src/exchange.rs
@@ -36,7 +36,6 @@
 
 mod account;
 mod attribution;
-mod bounds;
 mod collector;
 mod counters;
 mod cursor;
@@ -44,8 +43,9 @@
 mod graveyard;
 mod hear;
 mod inbound;
+mod instance;
 mod ledger;
-mod life;
+mod limits;
 mod outbound;
 mod repair;
 mod settle;
@@ -53,7 +53,7 @@
 mod totals;
 
 pub use account::Account;
-pub use bounds::Bounds;
 pub use cursor::Cursor;
+pub use instance::Instance;
 pub use ledger::Ledger;
-pub use life::Life;
+pub use limits::Limits;
--- a/crates/decide/src/exchange/hear.rs
+++ b/crates/decide/src/exchange/hear.rs
@@ -5,7 +5,7 @@
 use super::inbound::Inbound;
 use super::repair;
 use super::told::Told;
-use super::{Account, Ledger, Life};
+use super::{Account, Instance, Ledger};
 
 impl Ledger {
     pub(super) fn told_by(&self, parent: Incarnation) -> Option<&Told> {
@@ -13,14 +13,14 @@
         told.filter(|told| told.life().incarnation == parent)
     }
 
-    pub(super) fn hear_peer(&mut self, from: Life, statement: &Statement, now: Millis) {
+    pub(super) fn hear_peer(&mut self, from: Instance, statement: &Statement, now: Millis) {
         let origin = self.origin(from, now);
         origin.hear(statement, now);
         for extract in &statement.extracts {
             if extract.origin == self.own.incarnation {
                 continue;
             }
-            let life = Life {
+            let life = Instance {
                 incarnation: extract.origin,
                 started_at: extract.started_at,
             };
@@ -29,7 +29,7 @@
         self.settle_origins(now);
     }
 
-    pub(super) fn hear_child(&mut self, from: Life, statement: &Statement, now: Millis) {
+    pub(super) fn hear_child(&mut self, from: Instance, statement: &Statement, now: Millis) {
         if self.told_by(from.incarnation).is_some() {
             // Two routers that are each other's parent would count in a circle.
             return;
@@ -41,7 +41,7 @@
         self.settle_children(now);
     }
 
-    pub(super) fn hear_parent(&mut self, from: Life, statement: &Statement, now: Millis) {
+    pub(super) fn hear_parent(&mut self, from: Instance, statement: &Statement, now: Millis) {
         let told = self.told.as_mut();
         let told = told.filter(|told| told.life().incarnation == from.incarnation);
         let Some(told) = told else {
@@ -51,7 +51,7 @@
         self.settle_told(now);
     }
 
-    pub(super) fn origin(&mut self, life: Life, now: Millis) -> &mut Inbound {
+    pub(super) fn origin(&mut self, life: Instance, now: Millis) -> &mut Inbound {
         let earlier = life.started_at < self.counts_since;
         let rebased = earlier || self.graveyard.contains(life.incarnation);
         let origin = self.origins.entry(life.incarnation);
@@ -83,11 +83,11 @@
                 self.own.incarnation,
                 &self.origins,
                 now,
-                self.bounds.horizon_ms,
+                self.limits.horizon_ms,
             );
         }
         if let Some(known) = edge.known.take() {
-            let most = self.bounds.entries;
+            let most = self.limits.max_entries;
             let round = edge.rounds;
             edge.rounds += 1;
             statement.extracts = repair::extracts(&self.origins, statement.to, &known, round, most);
@@ -96,7 +96,7 @@
 
     /// Forgets lives that are long gone. Their service stays in the totals.
     pub(super) fn forget(&mut self, now: Millis) {
-        let before = now.saturating_sub(self.bounds.forget_ms);
+        let before = now.saturating_sub(self.limits.retention_ms);
         let graveyard = &mut self.graveyard;
         let mut keep = |life: &Incarnation, inbound: &mut Inbound| {
             let kept = inbound.changed_at() >= before;
--- a/crates/decide/src/exchange/inbound.rs
+++ b/crates/decide/src/exchange/inbound.rs
@@ -6,7 +6,7 @@
 
 use super::account::flatten;
 use super::outbound::predict;
-use super::{Account, Life};
+use super::{Account, Instance};
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Held {
@@ -21,7 +21,7 @@
 /// Counters as heard from one origin's life.
 #[derive(Debug)]
 pub(super) struct Inbound {
-    life: Life,
+    life: Instance,
     /// Whether counting begins at the values first heard.
     rebased: bool,
     /// The last sequence number heard from the origin itself.
@@ -36,7 +36,7 @@
 }
 
 impl Inbound {
-    pub(super) fn open(life: Life, rebased: bool, now: Millis) -> Self {
+    pub(super) fn open(life: Instance, rebased: bool, now: Millis) -> Self {
         Self {
             life,
             rebased,
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(super) fn life(&self) -> Life {
+    pub(super) fn life(&self) -> Instance {
         self.life
     }
 
--- a/crates/decide/src/exchange/life.rs
+++ b/crates/decide/src/exchange/instance.rs
@@ -4,7 +4,7 @@
 
 /// One life of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct Instance {
     /// Its identity.
     pub incarnation: Incarnation,
     /// When it began.
--- a/crates/decide/src/exchange/ledger.rs
+++ b/crates/decide/src/exchange/ledger.rs
@@ -13,14 +13,14 @@
 use super::repair;
 use super::told::Told;
 use super::totals::Totals;
-use super::{Bounds, Cursor, Life};
+use super::{Cursor, Instance, Limits};
 
 /// A router's share in the exchange: what its sidecars and children report, what it
 /// hears from others, and the fleet's totals.
 #[derive(Debug)]
 pub struct Ledger {
-    pub(super) own: Life,
-    pub(super) bounds: Bounds,
+    pub(super) own: Instance,
+    pub(super) limits: Limits,
     pub(super) ticked_at: Millis,
     pub(super) ticks: u64,
     /// Sequence number of the last statement to anyone.
@@ -40,10 +40,10 @@
 impl Ledger {
     /// Opens the ledger of a router's life with nothing remembered.
     #[must_use]
-    pub fn open(own: Life, bounds: Bounds) -> Self {
+    pub fn new(own: Instance, limits: Limits) -> Self {
         Self {
             own,
-            bounds,
+            limits,
             ticked_at: own.started_at,
             ticks: 0,
             sequence: 0,
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Sets the bounds.
-    pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.bounds = bounds;
+    /// Sets the limits.
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = limits;
     }
 
     /// Counts a sidecar's report in the totals at once. Returns the sequence number of
@@ -80,7 +80,7 @@
     }
 
     /// Names the parent, or none for a router that exchanges with peers.
-    pub fn follow(&mut self, parent: Option<Life>, now: Millis) {
+    pub fn set_parent(&mut self, parent: Option<Instance>, now: Millis) {
         let target = parent.map_or(Target::Peers, |life| Target::Parent(life.incarnation));
         let held = self.attribution.target();
         if target == held {
@@ -101,7 +101,7 @@
         if parent.is_none() {
             // What was heard of the peers meanwhile has been told by the parent.
             self.counts_since = now;
-            let horizon_ms = self.bounds.horizon_ms;
+            let horizon_ms = self.limits.horizon_ms;
             for origin in self.origins.values_mut() {
                 origin.settle(now, horizon_ms, |_, _| ());
             }
@@ -119,9 +119,14 @@
 
     /// Makes the next statement for a receiver's life. `relation` is what this router
     /// is to the receiver.
-    pub fn state(&mut self, to: Incarnation, relation: Relation, now: Millis) -> Statement {
+    pub fn next_statement(
+        &mut self,
+        to: Incarnation,
+        relation: Relation,
+        now: Millis,
+    ) -> Statement {
         let age_ms = match relation {
-            Relation::Parent => now.saturating_sub(self.heard(now)),
+            Relation::Parent => now.saturating_sub(self.as_of(now)),
             Relation::Peer | Relation::Child => self.age_below(now),
         };
         self.sequence += 1;
@@ -136,7 +141,7 @@
             ),
             Relation::Parent => (&mut edge.child, self.totals.counters()),
         };
-        let flows = outbound.compose(sequence, counters, now, &self.bounds);
+        let flows = outbound.compose(sequence, counters, now, &self.limits);
         let counted = match relation {
             Relation::Peer => self.origins.get(&to).map_or(0, Inbound::sequence),
             Relation::Child => self.told_by(to).map_or(0, Told::sequence),
@@ -159,7 +164,7 @@
     }
 
     /// Takes in a statement of another router.
-    pub fn hear(&mut self, from: Life, statement: &Statement, now: Millis) {
+    pub fn receive(&mut self, from: Instance, statement: &Statement, now: Millis) {
         if statement.to != self.own.incarnation || from.incarnation == self.own.incarnation {
             return;
         }
@@ -201,7 +206,7 @@
     }
 
     /// Totals that changed since the cursor, which is moved on.
-    pub fn totals(&self, cursor: &mut Cursor) -> Vec<Usage> {
+    pub fn totals_since(&self, cursor: &mut Cursor) -> Vec<Usage> {
         self.totals.since(cursor)
     }
 
@@ -209,8 +214,8 @@
     /// the others up to the bound on entries, those that grew most since they were told
     /// (all the first time). What is left out is told short by no more than the least
     /// growth that is told. A cursor belongs to one link.
-    pub fn tell(&self, sidecar: Incarnation, cursor: &mut Cursor) -> Vec<Usage> {
+    pub fn totals_for_sidecar(&self, sidecar: Incarnation, cursor: &mut Cursor) -> Vec<Usage> {
         let named = self.collector.latest(sidecar);
-        self.totals.tell(named, self.bounds.entries, cursor)
+        self.totals.tell(named, self.limits.max_entries, cursor)
     }
 }
--- a/crates/decide/src/exchange/outbound.rs
+++ b/crates/decide/src/exchange/outbound.rs
@@ -6,7 +6,7 @@
 use mulberryyoke_model::{Flow, Millis, PoolId};
 
 use super::counters::{Counter, Counters};
-use super::{Account, Bounds};
+use super::{Account, Limits};
 
 /// Share of a full message that goes to counters within the error bound, so that
 /// the last few tokens of each are told in the end.
@@ -38,15 +38,15 @@
         sequence: u64,
         counters: &Counters,
         now: Millis,
-        bounds: &Bounds,
+        limits: &Limits,
     ) -> Vec<(PoolId, Flow)> {
         let changed = counters
             .iter()
             .filter(|(account, counter)| self.is_due(*account, counter));
         let mut chosen: Vec<(Account, Counter)> = changed.map(|(a, c)| (a, *c)).collect();
-        let predict = self.acknowledged && chosen.len() > bounds.entries;
+        let predict = self.acknowledged && chosen.len() > limits.max_entries;
         if predict {
-            chosen = self.select(chosen, now, bounds);
+            chosen = self.select(chosen, now, limits);
         }
         let mut batch = Vec::with_capacity(chosen.len());
         let mut flows = Vec::with_capacity(chosen.len());
@@ -117,10 +117,10 @@
         &self,
         changed: Vec<(Account, Counter)>,
         now: Millis,
-        bounds: &Bounds,
+        limits: &Limits,
     ) -> Vec<(Account, Counter)> {
         let deviation = |(account, counter): &(Account, Counter)| {
-            let held = self.at_receiver(*account, now, bounds.horizon_ms);
+            let held = self.at_receiver(*account, now, limits.horizon_ms);
             held.abs_diff(counter.tokens)
         };
         let mut ranked: Vec<_> = changed
@@ -128,8 +128,8 @@
             .map(|entry| (deviation(&entry), entry))
             .collect();
         ranked.sort_unstable_by_key(|(deviation, (account, _))| (Reverse(*deviation), *account));
-        let over = ranked.partition_point(|(deviation, _)| *deviation > bounds.error);
-        let count = (over + (bounds.entries / REST).max(1)).min(bounds.entries);
+        let over = ranked.partition_point(|(deviation, _)| *deviation > limits.max_error);
+        let count = (over + (limits.max_entries / REST).max(1)).min(limits.max_entries);
         ranked.truncate(count);
         ranked.into_iter().map(|(_, entry)| entry).collect()
     }
--- a/crates/decide/src/exchange/settle.rs
+++ b/crates/decide/src/exchange/settle.rs
@@ -9,8 +9,8 @@
     /// About the instant up to which the totals include what other routers counted, as
     /// far as they are heard.
     #[must_use]
-    pub fn heard(&self, now: Millis) -> Millis {
-        let fresh_ms = self.bounds.horizon_ms;
+    pub fn as_of(&self, now: Millis) -> Millis {
+        let fresh_ms = self.limits.horizon_ms;
         let age_ms = if let Some(told) = &self.told {
             told.age(now, fresh_ms)
         } else {
@@ -24,7 +24,7 @@
     /// How old what this router hands on is, in milliseconds: the counters of its sidecars
     /// and children.
     pub(super) fn age_below(&self, now: Millis) -> Millis {
-        let fresh_ms = self.bounds.horizon_ms;
+        let fresh_ms = self.limits.horizon_ms;
         let children = self.children.values();
         let ages = children.filter_map(|child| child.age(now, fresh_ms));
         let sidecars = self.collector.ages(now, fresh_ms);
@@ -34,7 +34,7 @@
     pub(super) fn settle_children(&mut self, now: Millis) {
         let mut grown = Vec::new();
         for child in self.children.values_mut() {
-            child.settle(now, self.bounds.horizon_ms, |account, tokens| {
+            child.settle(now, self.limits.horizon_ms, |account, tokens| {
                 grown.push((account, tokens));
             });
         }
@@ -47,7 +47,7 @@
         }
         let totals = &mut self.totals;
         for origin in self.origins.values_mut() {
-            origin.settle(now, self.bounds.horizon_ms, |account, tokens| {
+            origin.settle(now, self.limits.horizon_ms, |account, tokens| {
                 totals.add(account, tokens);
             });
         }
@@ -60,7 +60,7 @@
         let Some(edge) = self.edges.get(&told.life().incarnation) else {
             return;
         };
-        let horizon_ms = self.bounds.horizon_ms;
+        let horizon_ms = self.limits.horizon_ms;
         let attribution = &self.attribution;
         let pending = |account| {
             let held = edge.parent.at_receiver(account, now, horizon_ms);
--- a/crates/decide/src/exchange/told.rs
+++ b/crates/decide/src/exchange/told.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_model::{Millis, Statement};
 
 use super::inbound::Inbound;
-use super::{Account, Life};
+use super::{Account, Instance};
 
 /// Totals as told by one parent's life.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
 
 impl Told {
     /// Opens the totals of a parent's life that has yet to count `pending`.
-    pub(super) fn open(parent: Life, now: Millis, pending: Vec<(Account, u64)>) -> Self {
+    pub(super) fn open(parent: Instance, now: Millis, pending: Vec<(Account, u64)>) -> Self {
         Self {
             inbound: Inbound::open(parent, false, now),
             settled: pending.into_iter().collect(),
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) fn life(&self) -> Life {
+    pub(super) fn life(&self) -> Instance {
         self.inbound.life()
     }
 
--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -5,13 +5,13 @@
 //! while is suspect. Every router plans alone; routers that disagree for a while
 //! exchange too much or too late, and nothing else depends on it.
 
-mod bounds;
-mod place;
-mod plan;
+mod limits;
+mod neighbors;
+mod router;
 mod table;
 mod tree;
 
-pub use bounds::Bounds;
-pub use place::Place;
-pub use plan::Plan;
+pub use limits::Limits;
+pub use neighbors::Neighbors;
+pub use router::Router;
 pub use table::Table;
--- a/crates/decide/src/member/plan.rs
+++ b/crates/decide/src/member/neighbors.rs
@@ -2,7 +2,7 @@
 
 /// With whom a router exchanges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct Neighbors {
     /// Routers to exchange with as peers.
     pub peers: Vec<String>,
     /// The router to hand counters to, if there is a tree and this is not a root.
--- a/crates/decide/src/member/place.rs
+++ b/crates/decide/src/member/router.rs
@@ -4,7 +4,7 @@
 
 /// A router and where it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Router {
     /// Unique name.
     pub name: String,
     /// Region.
@@ -13,7 +13,7 @@
     pub zone: String,
 }
 
-impl Place {
+impl Router {
     /// Rank in the tree; a parent's is always higher than its child's, whatever either
     /// of them knows of the others, so that no cycle can arise.
     pub(super) fn weight(&self) -> (u64, &str) {
--- a/crates/decide/src/member/table.rs
+++ b/crates/decide/src/member/table.rs
@@ -5,11 +5,11 @@
 use mulberryyoke_model::Millis;
 
 use super::tree::{self, Position};
-use super::{Bounds, Place, Plan};
+use super::{Limits, Neighbors, Router};
 
 #[derive(Debug)]
 struct Entry {
-    place: Place,
+    place: Router,
     listed: bool,
     heard_at: Option<Millis>,
     /// Since when every call has failed.
@@ -21,25 +21,25 @@
 /// The known routers, this one excluded.
 #[derive(Debug)]
 pub struct Table {
-    own: Place,
-    bounds: Bounds,
+    own: Router,
+    limits: Limits,
     entries: BTreeMap<String, Entry>,
 }
 
 impl Table {
     /// Opens a table that knows of no other router.
     #[must_use]
-    pub fn open(own: Place, bounds: Bounds) -> Self {
+    pub fn new(own: Router, limits: Limits) -> Self {
         Self {
             own,
-            bounds,
+            limits,
             entries: BTreeMap::new(),
         }
     }
 
     /// Takes in the routers of the VM list. One that is no longer listed stays as long
     /// as it is heard.
-    pub fn list(&mut self, places: Vec<Place>, now: Millis) {
+    pub fn set_listed(&mut self, places: Vec<Router>, now: Millis) {
         for entry in self.entries.values_mut() {
             entry.listed = false;
         }
@@ -58,13 +58,13 @@
             entry.place = place;
             entry.listed = true;
         }
-        let bounds = self.bounds;
+        let limits = self.limits;
         self.entries
-            .retain(|_, entry| entry.listed || entry.is_fresh(now, &bounds));
+            .retain(|_, entry| entry.listed || entry.is_fresh(now, &limits));
     }
 
     /// A router called, or answered a call.
-    pub fn hear(&mut self, name: &str, now: Millis) {
+    pub fn record_contact(&mut self, name: &str, now: Millis) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.heard_at = Some(now);
             entry.failing_since = None;
@@ -73,18 +73,18 @@
     }
 
     /// A call to a router failed. Returns whether that made it suspect.
-    pub fn fail(&mut self, name: &str, now: Millis) -> bool {
+    pub fn record_failure(&mut self, name: &str, now: Millis) -> bool {
         let Some(entry) = self.entries.get_mut(name) else {
             return false;
         };
         entry.failing_since.get_or_insert(now);
-        let suspect = entry.is_suspect(now, &self.bounds);
+        let suspect = entry.is_suspect(now, &self.limits);
         suspect && !std::mem::replace(&mut entry.told, true)
     }
 
     /// When a router was heard last.
     #[must_use]
-    pub fn heard_at(&self, name: &str) -> Option<Millis> {
+    pub fn last_contact_at(&self, name: &str) -> Option<Millis> {
         self.entries.get(name)?.heard_at
     }
 
@@ -92,21 +92,21 @@
     #[must_use]
     pub fn is_suspect(&self, name: &str, now: Millis) -> bool {
         let entry = self.entries.get(name);
-        entry.is_none_or(|entry| entry.is_suspect(now, &self.bounds))
+        entry.is_none_or(|entry| entry.is_suspect(now, &self.limits))
     }
 
     /// Every known router that is not suspect, this one included.
     #[must_use]
-    pub fn names(&self, now: Millis) -> Vec<String> {
+    pub fn alive_names(&self, now: Millis) -> Vec<String> {
         let trusted = self.trusted(now);
         trusted.iter().map(|place| place.name.clone()).collect()
     }
 
     /// With whom to exchange.
     #[must_use]
-    pub fn plan(&self, now: Millis) -> Plan {
-        let trusted = tree::position(&self.own, &self.trusted(now), &self.bounds);
-        let wanted = tree::position(&self.own, &self.all(), &self.bounds);
+    pub fn neighbors(&self, now: Millis) -> Neighbors {
+        let trusted = tree::position(&self.own, &self.trusted(now), &self.limits);
+        let wanted = tree::position(&self.own, &self.all(), &self.limits);
         let wanted = match wanted {
             Position::Root(peers) => peers,
             Position::Child(parent) => vec![parent],
@@ -116,12 +116,12 @@
             .filter(|place| self.is_suspect(&place.name, now));
         let probe = suspect.map(|place| place.name.clone()).collect();
         match trusted {
-            Position::Root(peers) => Plan {
+            Position::Root(peers) => Neighbors {
                 peers: peers.iter().map(|place| place.name.clone()).collect(),
                 parent: None,
                 probe,
             },
-            Position::Child(parent) => Plan {
+            Position::Child(parent) => Neighbors {
                 peers: Vec::new(),
                 parent: Some(parent.name.clone()),
                 probe,
@@ -134,33 +134,37 @@
     #[must_use]
     pub fn is_watcher(&self, now: Millis) -> bool {
         let trusted = self.trusted(now);
-        trusted.len() <= self.bounds.watching
-            || tree::is_among(&self.own, trusted.into_iter(), self.bounds.watchers)
+        trusted.len() <= self.limits.max_all_watching
+            || tree::is_among(
+                &self.own,
+                trusted.into_iter(),
+                self.limits.watchers_per_zone,
+            )
     }
 
-    fn all(&self) -> Vec<&Place> {
+    fn all(&self) -> Vec<&Router> {
         let others = self.entries.values().map(|entry| &entry.place);
         others.chain([&self.own]).collect()
     }
 
-    fn trusted(&self, now: Millis) -> Vec<&Place> {
+    fn trusted(&self, now: Millis) -> Vec<&Router> {
         let trusted = self
             .entries
             .values()
-            .filter(|entry| !entry.is_suspect(now, &self.bounds));
+            .filter(|entry| !entry.is_suspect(now, &self.limits));
         let trusted = trusted.map(|entry| &entry.place);
         trusted.chain([&self.own]).collect()
     }
 }
 
 impl Entry {
-    fn is_suspect(&self, now: Millis, bounds: &Bounds) -> bool {
+    fn is_suspect(&self, now: Millis, limits: &Limits) -> bool {
         let since = self.failing_since;
-        since.is_some_and(|since| now.saturating_sub(since) >= bounds.suspect_ms)
+        since.is_some_and(|since| now.saturating_sub(since) >= limits.suspect_ms)
     }
 
-    fn is_fresh(&self, now: Millis, bounds: &Bounds) -> bool {
+    fn is_fresh(&self, now: Millis, limits: &Limits) -> bool {
         let heard = self.heard_at;
-        heard.is_some_and(|heard| now.saturating_sub(heard) < bounds.suspect_ms)
+        heard.is_some_and(|heard| now.saturating_sub(heard) < limits.suspect_ms)
     }
 }
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -70,13 +70,13 @@
 
     /// The pool of model engines that serves a model.
     #[must_use]
-    pub fn model(&self, name: &str) -> Option<&Pool> {
+    pub fn model_pool(&self, name: &str) -> Option<&Pool> {
         let pool = self.pool(PoolId::of(name))?;
         (pool.kind == Kind::Model && pool.name == name).then_some(pool)
     }
 
     /// Every pool of model engines, in no order.
-    pub fn models(&self) -> impl Iterator<Item = &Pool> {
+    pub fn model_pools(&self) -> impl Iterator<Item = &Pool> {
         self.pools().filter(|pool| pool.kind == Kind::Model)
     }
 
--- a/crates/decide/tests/exchange/flat.rs
+++ b/crates/decide/tests/exchange/flat.rs
@@ -1,7 +1,7 @@
 //! Routers that all exchange with each other.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::exchange::{Bounds, Cursor, Ledger, Life};
+use mulberryyoke_decide::exchange::{Cursor, Instance, Ledger, Limits};
 use mulberryyoke_model::{CustomerId, Incarnation, Report, Usage};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -57,7 +57,7 @@
 
 fn run(
     restarts: u32,
-    bounds: Bounds,
+    limits: Limits,
     check: impl Fn(&mut Net, u64) -> std::result::Result<(), TestCaseError>,
 ) {
     let config = Config {
@@ -69,7 +69,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = proptest::collection::vec(step(restarts), 0..250);
     let result = runner.run(&steps, |steps| {
-        let mut net = Net::open(NODES, bounds);
+        let mut net = Net::open(NODES, limits);
         let mut rates = Vec::new();
         let mut since_tick = vec![0; CUSTOMERS as usize];
         for step in steps {
@@ -93,10 +93,10 @@
     }
 }
 
-fn all_fit() -> Bounds {
-    Bounds {
-        entries: CUSTOMERS as usize,
-        ..Bounds::default()
+fn all_fit() -> Limits {
+    Limits {
+        max_entries: CUSTOMERS as usize,
+        ..Limits::default()
     }
 }
 
@@ -146,13 +146,13 @@
 
 #[test]
 fn predicted_totals_exceed_the_truth_by_a_bounded_amount() {
-    let bounds = Bounds {
-        entries: 2,
-        error: 50,
-        ..Bounds::default()
+    let limits = Limits {
+        max_entries: 2,
+        max_error: 50,
+        ..Limits::default()
     };
-    run(0, bounds, |net, fastest| {
-        let ahead = bounds.error + fastest * bounds.horizon_ms / 1_000;
+    run(0, limits, |net, fastest| {
+        let ahead = limits.max_error + fastest * limits.horizon_ms / 1_000;
         for node in &net.nodes {
             for (customer, tokens) in &net.credited {
                 let total = node.totals.get(customer).copied().unwrap_or(0);
@@ -224,11 +224,11 @@
         ),
     ];
     for (what, reports) in rows {
-        let life = Life {
+        let life = Instance {
             incarnation: Incarnation(1),
             started_at: 0,
         };
-        let mut ledger = Ledger::open(life, Bounds::default());
+        let mut ledger = Ledger::new(life, Limits::default());
         let mut cursor = Cursor::default();
         let mut total = 0;
         for (sequence, tokens, expected) in reports {
@@ -237,7 +237,7 @@
                 usage: vec![usage(*tokens)],
             };
             ledger.collect(Incarnation(9), &report, 0);
-            if let Some(usage) = ledger.totals(&mut cursor).first() {
+            if let Some(usage) = ledger.totals_since(&mut cursor).first() {
                 total = usage.tokens;
             }
             expect_that!(total, eq(*expected), "{what}");
@@ -248,7 +248,7 @@
 #[googletest::test]
 fn the_totals_are_as_old_as_what_they_rest_on() {
     let mut net = Net::open(3, all_fit());
-    let heard = |net: &Net| net.now - net.nodes[0].ledger.heard(net.now);
+    let heard = |net: &Net| net.now - net.nodes[0].ledger.as_of(net.now);
     expect_that!(heard(&net), eq(0));
     net.credit(1, 0, 100);
     net.now += 400;
@@ -259,7 +259,7 @@
     net.exchange(0, 2, Fate::Whole);
     expect_that!(heard(&net), eq(350));
     // A peer that is not heard for long no longer counts.
-    net.now += Bounds::default().horizon_ms + 1;
+    net.now += Limits::default().horizon_ms + 1;
     net.exchange(0, 2, Fate::Whole);
     expect_that!(heard(&net), eq(0));
 }
--- a/crates/decide/tests/exchange/net.rs
+++ b/crates/decide/tests/exchange/net.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use mulberryyoke_decide::exchange::{Bounds, Cursor, Ledger, Life};
+use mulberryyoke_decide::exchange::{Cursor, Instance, Ledger, Limits};
 use mulberryyoke_model::{CustomerId, Incarnation, PoolId, Relation, Report, Statement, Usage};
 
 /// Time between two ticks, in milliseconds.
@@ -13,7 +13,7 @@
 
 /// A router and the one sidecar that reports to it.
 pub struct Node {
-    pub life: Life,
+    pub life: Instance,
     pub ledger: Ledger,
     pub totals: BTreeMap<u32, u64>,
     cursor: Cursor,
@@ -41,19 +41,19 @@
     pub credited: BTreeMap<u32, u64>,
     /// Tokens credited at lives that have ended.
     pub ended: BTreeMap<u32, u64>,
-    bounds: Bounds,
+    limits: Limits,
     lives: u64,
-    late: Vec<(usize, Life, Statement)>,
+    late: Vec<(usize, Instance, Statement)>,
 }
 
 impl Net {
-    pub fn open(count: usize, bounds: Bounds) -> Self {
+    pub fn open(count: usize, limits: Limits) -> Self {
         let mut net = Self {
             now: 1_000_000,
             nodes: Vec::new(),
             credited: BTreeMap::new(),
             ended: BTreeMap::new(),
-            bounds,
+            limits,
             lives: 0,
             late: Vec::new(),
         };
@@ -67,13 +67,13 @@
 
     fn node(&mut self, sidecar: Incarnation, sequence: u64, charged: BTreeMap<u32, u64>) -> Node {
         self.lives += 1;
-        let life = Life {
+        let life = Instance {
             incarnation: Incarnation(self.lives),
             started_at: self.now,
         };
         Node {
             life,
-            ledger: Ledger::open(life, self.bounds),
+            ledger: Ledger::new(life, self.limits),
             totals: BTreeMap::new(),
             cursor: Cursor::default(),
             sidecar,
@@ -142,7 +142,7 @@
         let (from, to) = (self.nodes[caller].life, self.nodes[other].life);
         let now = self.now;
         let ledger = &mut self.nodes[caller].ledger;
-        let request = ledger.state(to.incarnation, relation, now);
+        let request = ledger.next_statement(to.incarnation, relation, now);
         if fate == Fate::RequestLost {
             return;
         }
@@ -154,10 +154,10 @@
             self.late.push((other, from, request.clone()));
         }
         let ledger = &mut self.nodes[other].ledger;
-        ledger.hear(from, &request, now);
-        let answer = ledger.state(from.incarnation, answer_relation, now);
+        ledger.receive(from, &request, now);
+        let answer = ledger.next_statement(from.incarnation, answer_relation, now);
         if fate != Fate::AnswerLost {
-            self.nodes[caller].ledger.hear(to, &answer, now);
+            self.nodes[caller].ledger.receive(to, &answer, now);
         }
         self.observe(caller);
         self.observe(other);
@@ -166,7 +166,7 @@
     /// Delivers what was delayed or repeated, the latest first.
     pub fn deliver_late(&mut self) {
         while let Some((other, from, request)) = self.late.pop() {
-            self.nodes[other].ledger.hear(from, &request, self.now);
+            self.nodes[other].ledger.receive(from, &request, self.now);
             self.observe(other);
         }
     }
@@ -194,7 +194,7 @@
     /// Reads the totals of a node; they must not go back.
     pub fn observe(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        for usage in node.ledger.totals(&mut node.cursor) {
+        for usage in node.ledger.totals_since(&mut node.cursor) {
             let held = node.totals.entry(usage.customer.0).or_default();
             assert!(usage.tokens >= *held, "a total went back");
             *held = usage.tokens;
--- a/crates/decide/tests/exchange/tree.rs
+++ b/crates/decide/tests/exchange/tree.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use googletest::prelude::*;
-use mulberryyoke_decide::exchange::Bounds as ExchangeBounds;
-use mulberryyoke_decide::member::{Bounds, Place, Plan, Table};
+use mulberryyoke_decide::exchange::Limits as ExchangeLimits;
+use mulberryyoke_decide::member::{Limits, Neighbors, Router, Table};
 use mulberryyoke_model::Relation;
 
 use crate::net::{Fate, Net, TICK_MS};
@@ -18,8 +18,8 @@
 /// Rounds in which a token passes from any router to any other.
 const PASSING: usize = 8;
 
-fn place(index: usize) -> Place {
-    Place {
+fn place(index: usize) -> Router {
+    Router {
         name: format!("r{index}"),
         region: format!("region{}", index % 2),
         zone: format!("zone{}", index % 6),
@@ -34,17 +34,17 @@
 
 impl Fleet {
     fn open() -> Self {
-        let bounds = Bounds {
-            flat: 4,
+        let limits = Limits {
+            max_full_mesh: 4,
             fanout: 3,
             suspect_ms: 2 * TICK_MS,
-            ..Bounds::default()
+            ..Limits::default()
         };
-        let net = Net::open(ROUTERS, ExchangeBounds::default());
-        let places: Vec<Place> = (0..ROUTERS).map(place).collect();
+        let net = Net::open(ROUTERS, ExchangeLimits::default());
+        let places: Vec<Router> = (0..ROUTERS).map(place).collect();
         let table = |index| {
-            let mut table = Table::open(place(index), bounds);
-            table.list(places.clone(), net.now);
+            let mut table = Table::new(place(index), limits);
+            table.set_listed(places.clone(), net.now);
             table
         };
         Self {
@@ -54,8 +54,8 @@
         }
     }
 
-    fn plan(&self, index: usize) -> Plan {
-        self.tables[index].plan(self.net.now)
+    fn neighbors(&self, index: usize) -> Neighbors {
+        self.tables[index].neighbors(self.net.now)
     }
 
     fn index(name: &str) -> usize {
@@ -67,14 +67,14 @@
             if self.dead.contains(&index) {
                 continue;
             }
-            let plan = self.plan(index);
-            if let Some(parent) = plan.parent {
+            let neighbors = self.neighbors(index);
+            if let Some(parent) = neighbors.parent {
                 self.call(index, Self::index(&parent), Relation::Child);
                 continue;
             }
             let now = self.net.now;
-            self.net.nodes[index].ledger.follow(None, now);
-            for peer in plan.peers {
+            self.net.nodes[index].ledger.set_parent(None, now);
+            for peer in neighbors.peers {
                 self.call(index, Self::index(&peer), Relation::Peer);
             }
         }
@@ -85,13 +85,13 @@
         let now = self.net.now;
         let name = place(other).name;
         if self.dead.contains(&other) {
-            self.tables[caller].fail(&name, now);
+            self.tables[caller].record_failure(&name, now);
             return;
         }
-        self.tables[caller].hear(&name, now);
+        self.tables[caller].record_contact(&name, now);
         if relation == Relation::Child {
             let life = self.net.nodes[other].life;
-            self.net.nodes[caller].ledger.follow(Some(life), now);
+            self.net.nodes[caller].ledger.set_parent(Some(life), now);
         }
         self.net.call(caller, other, relation, Fate::Whole);
     }
@@ -134,12 +134,18 @@
 #[googletest::test]
 fn positions_agree_and_lead_to_few_roots() {
     let fleet = Fleet::open();
-    let plans: Vec<Plan> = (0..ROUTERS).map(|index| fleet.plan(index)).collect();
-    let roots: Vec<&Plan> = plans.iter().filter(|plan| plan.parent.is_none()).collect();
+    let neighbors: Vec<Neighbors> = (0..ROUTERS).map(|index| fleet.neighbors(index)).collect();
+    let roots: Vec<&Neighbors> = neighbors
+        .iter()
+        .filter(|neighbors| neighbors.parent.is_none())
+        .collect();
     expect_that!(roots.len(), eq(2));
-    expect_true!(roots.iter().all(|plan| plan.peers.len() == 1));
+    expect_true!(roots.iter().all(|neighbors| neighbors.peers.len() == 1));
     let mut children = BTreeMap::new();
-    for parent in plans.iter().filter_map(|plan| plan.parent.as_ref()) {
+    for parent in neighbors
+        .iter()
+        .filter_map(|neighbors| neighbors.parent.as_ref())
+    {
         *children.entry(parent).or_insert(0) += 1;
     }
     // Three of its zone, and three roots of other zones.
@@ -160,7 +166,7 @@
     let mut fleet = Fleet::open();
     fleet.credit_all();
     fleet.rounds(PASSING);
-    let mut roots = (0..ROUTERS).filter(|index| fleet.plan(*index).parent.is_none());
+    let mut roots = (0..ROUTERS).filter(|index| fleet.neighbors(*index).parent.is_none());
     let (dying, staying) = (roots.next().unwrap(), roots.next().unwrap());
     let before = fleet.totals();
     fleet.dead.insert(dying);
@@ -186,7 +192,7 @@
     let mut fleet = Fleet::open();
     fleet.credit_all();
     fleet.rounds(PASSING);
-    let parents = (0..ROUTERS).filter_map(|index| fleet.plan(index).parent);
+    let parents = (0..ROUTERS).filter_map(|index| fleet.neighbors(index).parent);
     let parents: BTreeSet<usize> = parents.map(|name| Fleet::index(&name)).collect();
     for parent in parents {
         fleet.net.restart(parent);
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -1,82 +1,88 @@
 //! Membership of routers.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::member::{Bounds, Place, Plan, Table};
+use mulberryyoke_decide::member::{Limits, Neighbors, Router, Table};
 
 const SUSPECT_MS: u64 = 3_000;
 
-fn place(name: &str) -> Place {
-    Place {
+fn place(name: &str) -> Router {
+    Router {
         name: name.to_owned(),
         region: "north".to_owned(),
         zone: "a".to_owned(),
     }
 }
 
-fn bounds() -> Bounds {
-    Bounds {
+fn limits() -> Limits {
+    Limits {
         suspect_ms: SUSPECT_MS,
-        ..Bounds::default()
+        ..Limits::default()
     }
 }
 
 fn table(names: &[&str]) -> Table {
-    let mut table = Table::open(place("r1"), bounds());
-    table.list(names.iter().copied().map(place).collect(), 0);
+    let mut table = Table::new(place("r1"), limits());
+    table.set_listed(names.iter().copied().map(place).collect(), 0);
     table
 }
 
 #[googletest::test]
 fn a_small_fleet_is_flat() {
-    let plan = table(&["r1", "r2", "r3"]).plan(0);
-    let expected = Plan {
+    let neighbors = table(&["r1", "r2", "r3"]).neighbors(0);
+    let expected = Neighbors {
         peers: vec!["r2".to_owned(), "r3".to_owned()],
-        ..Plan::default()
+        ..Neighbors::default()
     };
-    expect_that!(plan, eq(&expected));
+    expect_that!(neighbors, eq(&expected));
 }
 
 #[googletest::test]
 fn a_router_is_suspect_once_calls_have_failed_for_long() {
     let mut table = table(&["r1", "r2", "r3"]);
-    expect_false!(table.fail("r2", 1_000));
-    expect_false!(table.fail("r2", 2_000));
+    expect_false!(table.record_failure("r2", 1_000));
+    expect_false!(table.record_failure("r2", 2_000));
     expect_false!(table.is_suspect("r2", 1_000 + SUSPECT_MS - 1));
     let at = 1_000 + SUSPECT_MS;
     expect_true!(table.is_suspect("r2", at));
-    let plan = table.plan(at);
-    expect_that!(plan.peers, elements_are![eq("r3")]);
-    expect_that!(plan.probe, elements_are![eq("r2")]);
-    expect_that!(table.names(at), unordered_elements_are![eq("r1"), eq("r3")]);
-    expect_true!(table.fail("r2", at));
-    expect_false!(table.fail("r2", at + 1));
-    table.hear("r2", at);
+    let neighbors = table.neighbors(at);
+    expect_that!(neighbors.peers, elements_are![eq("r3")]);
+    expect_that!(neighbors.probe, elements_are![eq("r2")]);
+    expect_that!(
+        table.alive_names(at),
+        unordered_elements_are![eq("r1"), eq("r3")]
+    );
+    expect_true!(table.record_failure("r2", at));
+    expect_false!(table.record_failure("r2", at + 1));
+    table.record_contact("r2", at);
     expect_false!(table.is_suspect("r2", at));
-    expect_that!(table.plan(at).probe, is_empty());
+    expect_that!(table.neighbors(at).probe, is_empty());
 }
 
 #[googletest::test]
 fn a_router_that_is_heard_outlives_its_entry_in_the_list() {
     let mut table = table(&["r1", "r2", "r3"]);
-    table.hear("r2", 5_000);
-    table.list(vec![place("r1")], 5_000);
+    table.record_contact("r2", 5_000);
+    table.set_listed(vec![place("r1")], 5_000);
     expect_that!(
-        table.names(5_000),
+        table.alive_names(5_000),
         unordered_elements_are![eq("r1"), eq("r2")]
     );
-    table.list(vec![place("r1")], 5_000 + SUSPECT_MS);
-    expect_that!(table.names(5_000 + SUSPECT_MS), elements_are![eq("r1")]);
+    table.set_listed(vec![place("r1")], 5_000 + SUSPECT_MS);
+    expect_that!(
+        table.alive_names(5_000 + SUSPECT_MS),
+        elements_are![eq("r1")]
+    );
 }
 
 #[googletest::test]
 fn a_large_zone_has_few_watchers() {
     let names: Vec<String> = (1..=20).map(|index| format!("r{index}")).collect();
     let tables = names.iter().map(|own| {
-        let mut table = Table::open(place(own), bounds());
-        table.list(names.iter().map(|name| place(name)).collect(), 0);
+        let mut table = Table::new(place(own), limits());
+        table.set_listed(names.iter().map(|name| place(name)).collect(), 0);
         table
     });
     let watchers = tables.filter(|table| table.is_watcher(0)).count();
-    expect_that!(watchers, eq(Bounds::default().watchers));
+    expect_that!(watchers, eq(Limits::default().watchers_per_zone));
     expect_true!(table(&["r1", "r2"]).is_watcher(0));
 }
--- a/crates/decide/tests/view.rs
+++ b/crates/decide/tests/view.rs
@@ -96,9 +96,9 @@
     expect_that!(view.customer_by_key(&KeyHash::of("beta-key")), none());
     expect_that!(view.customer(CustomerId::of("beta")), none());
     expect_that!(view.customers().count(), eq(1));
-    expect_that!(view.model("chat"), some(anything()));
-    expect_that!(view.model("booking"), none());
-    expect_that!(view.models().count(), eq(1));
+    expect_that!(view.model_pool("chat"), some(anything()));
+    expect_that!(view.model_pool("booking"), none());
+    expect_that!(view.model_pools().count(), eq(1));
     expect_that!(view.pools().count(), eq(3));
     expect_that!(view.server(ServerId::of("s3")), some(anything()));
     expect_that!(view.server(ServerId::of("s4")), none());
