--- a/crates/decide/src/exchange/account.rs
+++ b/crates/decide/src/exchange/account.rs
@@ -1,20 +1,19 @@
-//! What is counted.
+//! Accounts, by which tokens are counted.
 
 use std::collections::BTreeMap;
 
 use mulberryyoke_model::{CustomerId, Flow, PoolId, Tally, Usage};
 
-/// Service is counted for each customer in each pool.
+/// A customer in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Account {
-    /// The pool that gives the service.
+    /// The pool that serves the requests.
     pub pool: PoolId,
-    /// The customer that receives it.
+    /// The customer that sends the requests.
     pub customer: CustomerId,
 }
 
 impl Account {
-    /// The account of a usage.
     pub(super) fn of(usage: &Usage) -> Self {
         Self {
             pool: usage.pool,
@@ -50,7 +49,7 @@
     tallies.map(|(pool, flows)| Tally { pool, flows }).collect()
 }
 
-/// The accounts and flows of tallies.
+/// Iterates over the flows of all tallies with their accounts.
 pub(super) fn flatten(tallies: &[Tally]) -> impl Iterator<Item = (Account, &Flow)> {
     tallies.iter().flat_map(|tally| {
         tally.flows.iter().map(|flow| {
--- a/crates/decide/src/exchange/settle.rs
+++ b/crates/decide/src/exchange/apply.rs
@@ -1,4 +1,4 @@
-//! How a ledger's totals grow.
+//! Applying received counters to the totals.
 
 use mulberryyoke_model::Millis;
 
@@ -6,24 +6,24 @@
 use super::attribution::Target;
 
 impl Ledger {
-    /// About the instant up to which the totals include what other routers counted, as
-    /// far as they are heard.
+    /// Approximate time up to which the totals include the counters of routers that
+    /// are not silent.
     #[must_use]
     pub fn as_of(&self, now: Millis) -> Millis {
         let fresh_ms = self.limits.horizon_ms;
-        let age_ms = if let Some(told) = &self.told {
-            told.age(now, fresh_ms)
+        let age_ms = if let Some(totals) = &self.parent_totals {
+            totals.age(now, fresh_ms)
         } else {
             let peers = self.origins.values();
             mean(peers.filter_map(|origin| origin.age(now, fresh_ms)))
         };
-        let age_ms = age_ms.unwrap_or(0).max(self.age_below(now));
+        let age_ms = age_ms.unwrap_or(0).max(self.subtree_age(now));
         now.saturating_sub(age_ms)
     }
 
-    /// How old what this router hands on is, in milliseconds: the counters of its sidecars
-    /// and children.
-    pub(super) fn age_below(&self, now: Millis) -> Millis {
+    /// Mean age, in milliseconds, of the counters of this router's sidecars and
+    /// children.
+    pub(super) fn subtree_age(&self, now: Millis) -> Millis {
         let fresh_ms = self.limits.horizon_ms;
         let children = self.children.values();
         let ages = children.filter_map(|child| child.age(now, fresh_ms));
@@ -31,43 +31,43 @@
         mean(ages.chain(sidecars)).unwrap_or(0)
     }
 
-    pub(super) fn settle_children(&mut self, now: Millis) {
-        let mut grown = Vec::new();
+    pub(super) fn apply_children(&mut self, now: Millis) {
+        let mut growth = Vec::new();
         for child in self.children.values_mut() {
-            child.settle(now, self.limits.horizon_ms, |account, tokens| {
-                grown.push((account, tokens));
+            child.apply(now, self.limits.horizon_ms, |account, tokens| {
+                growth.push((account, tokens));
             });
         }
-        self.credit(grown);
+        self.credit(growth);
     }
 
-    pub(super) fn settle_origins(&mut self, now: Millis) {
+    pub(super) fn apply_origins(&mut self, now: Millis) {
         if self.attribution.target() != Target::Peers {
             return;
         }
         let totals = &mut self.totals;
         for origin in self.origins.values_mut() {
-            origin.settle(now, self.limits.horizon_ms, |account, tokens| {
+            origin.apply(now, self.limits.horizon_ms, |account, tokens| {
                 totals.add(account, tokens);
             });
         }
     }
 
-    pub(super) fn settle_told(&mut self, now: Millis) {
-        let Some(told) = &mut self.told else {
+    pub(super) fn apply_parent_totals(&mut self, now: Millis) {
+        let Some(parent_totals) = &mut self.parent_totals else {
             return;
         };
-        let Some(edge) = self.edges.get(&told.life().incarnation) else {
+        let Some(session) = self.sessions.get(&parent_totals.instance().incarnation) else {
             return;
         };
         let horizon_ms = self.limits.horizon_ms;
         let attribution = &self.attribution;
         let pending = |account| {
-            let held = edge.parent.at_receiver(account, now, horizon_ms);
-            attribution.get(account).saturating_sub(held)
+            let counted = session.to_parent.at_receiver(account, now, horizon_ms);
+            attribution.get(account).saturating_sub(counted)
         };
         let totals = &mut self.totals;
-        told.settle(now, horizon_ms, pending, |account, tokens| {
+        parent_totals.apply(now, horizon_ms, pending, |account, tokens| {
             totals.add(account, tokens);
         });
     }
--- a/crates/decide/src/exchange/attribution.rs
+++ b/crates/decide/src/exchange/attribution.rs
@@ -1,4 +1,4 @@
-//! Who is handed what this router counts.
+//! Attribution of this router's tokens to their receiver.
 
 use std::collections::HashMap;
 
@@ -7,26 +7,27 @@
 use super::Account;
 use super::counters::Counters;
 
-/// Former parents whose counters are kept, in case one is parent again.
-const KEPT: usize = 16;
+/// Maximum number of former parents whose counters are kept for when one becomes the
+/// parent again.
+const MAX_FORMER_PARENTS: usize = 16;
 
-/// Whom counters are handed to.
+/// Receiver of this router's counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) enum Target {
-    /// All peers together.
+    /// All peers as a group.
     #[default]
     Peers,
-    /// One life of a parent.
+    /// One instance of a parent.
     Parent(Incarnation),
 }
 
-/// This router's counters, each token attributed to one target.
+/// This router's counters, with each token attributed to one target.
 #[derive(Debug, Default)]
 pub(super) struct Attribution {
     target: Target,
     counters: HashMap<Target, Counters>,
-    /// Former parents, the latest last.
-    former: Vec<Target>,
+    /// Former parents, oldest first.
+    former_parents: Vec<Target>,
 }
 
 impl Attribution {
@@ -44,54 +45,53 @@
         counters.map_or(0, |counters| counters.get(account))
     }
 
-    /// The counters of a target.
     pub(super) fn counters(&mut self, target: Target) -> &Counters {
         self.counters.entry(target).or_default()
     }
 
-    /// Changes the target. What the old one has not `confirmed` goes to the new one,
-    /// and is returned.
+    /// Changes the target. Tokens that the old target has not acknowledged are
+    /// attributed to the new one, and returned.
     pub(super) fn switch(
         &mut self,
         target: Target,
-        confirmed: impl Fn(Account) -> u64,
+        acknowledged: impl Fn(Account) -> u64,
     ) -> Vec<(Account, u64)> {
         let old = self.counters.entry(self.target).or_default();
-        let left: Vec<(Account, u64)> = old
+        let moved: Vec<(Account, u64)> = old
             .iter()
             .map(|(account, counter)| {
                 (
                     account,
-                    counter.tokens - confirmed(account).min(counter.tokens),
+                    counter.tokens - acknowledged(account).min(counter.tokens),
                 )
             })
             .filter(|(_, tokens)| *tokens > 0)
             .collect();
-        for (account, tokens) in &left {
-            old.take(*account, *tokens);
+        for (account, tokens) in &moved {
+            old.subtract(*account, *tokens);
         }
-        self.remember(self.target);
+        self.retain_former(self.target);
         self.target = target;
-        self.former.retain(|former| *former != target);
-        for (account, tokens) in &left {
+        self.former_parents.retain(|former| *former != target);
+        for (account, tokens) in &moved {
             self.add(*account, *tokens);
         }
-        left
+        moved
     }
 
-    pub(super) fn pace(&mut self, elapsed_ms: Millis) {
+    pub(super) fn update_rates(&mut self, elapsed_ms: Millis) {
         if let Some(counters) = self.counters.get_mut(&self.target) {
-            counters.pace(elapsed_ms);
+            counters.update_rates(elapsed_ms);
         }
     }
 
-    fn remember(&mut self, target: Target) {
+    fn retain_former(&mut self, target: Target) {
         if target == Target::Peers {
             return;
         }
-        self.former.push(target);
-        if self.former.len() > KEPT {
-            let oldest = self.former.remove(0);
+        self.former_parents.push(target);
+        if self.former_parents.len() > MAX_FORMER_PARENTS {
+            let oldest = self.former_parents.remove(0);
             self.counters.remove(&oldest);
         }
     }
--- a/crates/decide/src/exchange/counters.rs
+++ b/crates/decide/src/exchange/counters.rs
@@ -1,4 +1,4 @@
-//! Cumulative counters and the pace at which they grow.
+//! Cumulative counters and their growth rates.
 
 use std::collections::HashMap;
 
@@ -6,17 +6,17 @@
 
 use super::Account;
 
-/// Share of the latest interval in the mean pace: one in this many.
+/// Divisor for the weight of the latest interval in the moving average of a rate.
 const SMOOTHING: u64 = 4;
 
-/// One cumulative counter.
+/// A cumulative counter.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Counter {
-    /// Tokens.
     pub(super) tokens: u64,
-    /// Mean pace, in tokens a second.
+    /// Exponential moving average of the growth, in tokens per second.
     pub(super) rate: u32,
-    before: u64,
+    /// Tokens at the last rate update.
+    previous: u64,
 }
 
 /// Cumulative counters by account.
@@ -32,26 +32,26 @@
         self.0.entry(account).or_default().tokens += tokens;
     }
 
-    /// Takes tokens back that are attributed elsewhere.
-    pub(super) fn take(&mut self, account: Account, tokens: u64) {
+    /// Subtracts tokens that are now attributed to another target.
+    pub(super) fn subtract(&mut self, account: Account, tokens: u64) {
         let counter = self.0.entry(account).or_default();
         counter.tokens = counter.tokens.saturating_sub(tokens);
-        counter.before = counter.before.min(counter.tokens);
+        counter.previous = counter.previous.min(counter.tokens);
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (Account, &Counter)> {
         self.0.iter().map(|(account, counter)| (*account, counter))
     }
 
-    /// Measures the pace over the time since the last call.
-    pub(super) fn pace(&mut self, elapsed_ms: Millis) {
+    /// Updates the rates with the growth since the last call.
+    pub(super) fn update_rates(&mut self, elapsed_ms: Millis) {
         let elapsed_ms = elapsed_ms.max(1);
         for counter in self.0.values_mut() {
-            let grown = counter.tokens - counter.before;
-            let latest = grown.saturating_mul(1_000) / elapsed_ms;
+            let growth = counter.tokens - counter.previous;
+            let latest = growth.saturating_mul(1_000) / elapsed_ms;
             let mean = (u64::from(counter.rate) * (SMOOTHING - 1) + latest) / SMOOTHING;
             counter.rate = u32::try_from(mean).unwrap_or(u32::MAX);
-            counter.before = counter.tokens;
+            counter.previous = counter.tokens;
         }
     }
 }
--- a/crates/decide/src/exchange/cursor.rs
+++ b/crates/decide/src/exchange/cursor.rs
@@ -4,9 +4,9 @@
 
 use super::Account;
 
-/// What a reader of totals has been told; the default has been told nothing.
+/// Totals that a reader has received; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct Cursor {
     pub(super) version: u64,
-    pub(super) told: HashMap<Account, u64>,
+    pub(super) sent: HashMap<Account, u64>,
 }
--- a/crates/decide/src/exchange/inbound.rs
+++ b/crates/decide/src/exchange/inbound.rs
@@ -1,4 +1,4 @@
-//! Counters as heard from one origin.
+//! Counters received from one origin.
 
 use std::collections::HashMap;
 
@@ -9,170 +9,170 @@
 use super::{Account, Instance};
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct Received {
     tokens: u64,
     rate: u32,
     at: Millis,
     sequence: u64,
-    /// How much of it the totals include.
-    settled: u64,
+    /// Tokens already added to the totals.
+    applied: u64,
 }
 
-/// Counters as heard from one origin's life.
+/// Counters received from one instance of an origin.
 #[derive(Debug)]
 pub(super) struct Inbound {
-    life: Instance,
-    /// Whether counting begins at the values first heard.
-    rebased: bool,
-    /// The last sequence number heard from the origin itself.
+    instance: Instance,
+    /// Whether counters start at the first value received instead of zero.
+    is_rebased: bool,
+    /// Highest sequence number received from the origin itself.
     sequence: u64,
-    heard_at: Millis,
-    /// How old what it counts was by then, in milliseconds.
+    received_at: Millis,
+    /// Age of the counters when received, in milliseconds.
     age_ms: u32,
-    changed_at: Millis,
-    /// Sum of the counters at the last comparison.
-    compared: u64,
-    held: HashMap<Account, Held>,
+    relayed_at: Millis,
+    /// Sum of the counters at the last checkpoint.
+    checkpoint: u64,
+    counters: HashMap<Account, Received>,
 }
 
 impl Inbound {
-    pub(super) fn open(life: Instance, rebased: bool, now: Millis) -> Self {
+    pub(super) fn new(instance: Instance, is_rebased: bool, now: Millis) -> Self {
         Self {
-            life,
-            rebased,
+            instance,
+            is_rebased,
             sequence: 0,
-            heard_at: 0,
+            received_at: 0,
             age_ms: 0,
-            changed_at: now,
-            compared: 0,
-            held: HashMap::new(),
+            relayed_at: now,
+            checkpoint: 0,
+            counters: HashMap::new(),
         }
     }
 
-    pub(super) fn life(&self) -> Instance {
-        self.life
+    pub(super) fn instance(&self) -> Instance {
+        self.instance
     }
 
     pub(super) fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// How old what is known of it is, in milliseconds; `None` if it was not heard for
-    /// a while.
+    /// Age of the counters in milliseconds; `None` if the origin has been silent for
+    /// longer than `fresh_ms`.
     pub(super) fn age(&self, now: Millis, fresh_ms: Millis) -> Option<Millis> {
-        let silent_ms = now.saturating_sub(self.heard_at);
+        let silent_ms = now.saturating_sub(self.received_at);
         let is_fresh = self.sequence > 0 && silent_ms <= fresh_ms;
         is_fresh.then_some(silent_ms + Millis::from(self.age_ms))
     }
 
-    /// When anything was heard of it last.
-    pub(super) fn changed_at(&self) -> Millis {
-        self.changed_at.max(self.heard_at)
+    /// Time of the last update, from the origin or relayed.
+    pub(super) fn updated_at(&self) -> Millis {
+        self.relayed_at.max(self.received_at)
     }
 
-    /// Takes in what the origin itself says.
-    pub(super) fn hear(&mut self, statement: &Statement, now: Millis) {
+    /// Processes a statement of the origin itself.
+    pub(super) fn receive(&mut self, statement: &Statement, now: Millis) {
         let sequence = statement.sequence;
-        let rebase = self.rebased && self.sequence == 0;
+        let rebase = self.is_rebased && self.sequence == 0;
         for (account, flow) in flatten(&statement.tallies) {
-            let held = self.open_account(account, flow.tokens, rebase);
-            held.tokens = held.tokens.max(flow.tokens);
-            if sequence > held.sequence {
-                held.sequence = sequence;
-                held.rate = flow.rate;
-                held.at = now;
+            let counter = self.counter(account, flow.tokens, rebase);
+            counter.tokens = counter.tokens.max(flow.tokens);
+            if sequence > counter.sequence {
+                counter.sequence = sequence;
+                counter.rate = flow.rate;
+                counter.at = now;
             }
         }
         if sequence > self.sequence {
             self.age_ms = statement.age_ms;
         }
         self.sequence = self.sequence.max(sequence);
-        self.heard_at = now;
+        self.received_at = now;
     }
 
-    /// Takes in what another says of the origin.
-    pub(super) fn learn(&mut self, tallies: &[Tally], now: Millis) {
-        let rebase = self.rebased && self.sequence == 0;
+    /// Merges counters of the origin relayed by another router.
+    pub(super) fn receive_relayed(&mut self, tallies: &[Tally], now: Millis) {
+        let rebase = self.is_rebased && self.sequence == 0;
         for (account, flow) in flatten(tallies) {
-            let held = self.open_account(account, flow.tokens, rebase);
-            if flow.tokens > held.tokens {
-                held.tokens = flow.tokens;
-                self.changed_at = now;
+            let counter = self.counter(account, flow.tokens, rebase);
+            if flow.tokens > counter.tokens {
+                counter.tokens = flow.tokens;
+                self.relayed_at = now;
             }
         }
     }
 
-    /// Tells by how much each counter has grown since the last call.
-    pub(super) fn settle(
+    /// Calls `on_growth` for each counter that has grown since the last call.
+    pub(super) fn apply(
         &mut self,
         now: Millis,
         horizon_ms: Millis,
-        mut grown: impl FnMut(Account, u64),
+        mut on_growth: impl FnMut(Account, u64),
     ) {
-        for (account, held) in &mut self.held {
-            let value = predict(held.tokens, held.rate, held.at, now, horizon_ms);
-            if value > held.settled {
-                grown(*account, value - held.settled);
-                held.settled = value;
+        for (account, counter) in &mut self.counters {
+            let value = predict(counter.tokens, counter.rate, counter.at, now, horizon_ms);
+            if value > counter.applied {
+                on_growth(*account, value - counter.applied);
+                counter.applied = value;
             }
         }
     }
 
-    /// The value of a counter now, as predicted.
-    pub(super) fn values(
+    /// Predicted values of the counters at `now`.
+    pub(super) fn predicted(
         &self,
         now: Millis,
         horizon_ms: Millis,
     ) -> impl Iterator<Item = (Account, u64)> {
-        self.held.iter().map(move |(account, held)| {
-            let value = predict(held.tokens, held.rate, held.at, now, horizon_ms);
+        self.counters.iter().map(move |(account, counter)| {
+            let value = predict(counter.tokens, counter.rate, counter.at, now, horizon_ms);
             (*account, value)
         })
     }
 
-    /// Sum of the counters.
     pub(super) fn sum(&self) -> u64 {
-        self.held.values().map(|held| held.tokens).sum()
+        self.counters.values().map(|counter| counter.tokens).sum()
     }
 
-    /// Sum of the counters at the last comparison; this is the next one.
-    pub(super) fn compare(&mut self) {
-        self.compared = self.sum();
+    /// Records the current sum of the counters as the checkpoint.
+    pub(super) fn set_checkpoint(&mut self) {
+        self.checkpoint = self.sum();
     }
 
-    /// What another must have heard by now.
-    pub(super) fn compared(&self) -> u64 {
-        self.compared
+    /// Sum of the counters at the last checkpoint; a peer with a lower sum needs
+    /// repair.
+    pub(super) fn checkpoint(&self) -> u64 {
+        self.checkpoint
     }
 
-    pub(super) fn known(&self, now: Millis, fresh_ms: Millis) -> Known {
-        let fresh = self.sequence > 0 && now.saturating_sub(self.heard_at) <= fresh_ms;
+    pub(super) fn digest(&self, now: Millis, fresh_ms: Millis) -> Known {
+        let is_fresh = self.sequence > 0 && now.saturating_sub(self.received_at) <= fresh_ms;
         Known {
-            origin: self.life.incarnation,
-            sum: if fresh { u64::MAX } else { self.sum() },
+            origin: self.instance.incarnation,
+            sum: if is_fresh { u64::MAX } else { self.sum() },
         }
     }
 
-    /// Some of the counters, each round the next ones.
-    pub(super) fn slice(&self, round: usize, most: usize) -> Vec<(PoolId, Flow)> {
+    /// One page of the counters, in account order. Page numbers wrap around.
+    pub(super) fn page(&self, page: usize, page_size: usize) -> Vec<(PoolId, Flow)> {
         let mut accounts: Vec<(Account, u64)> = self
-            .held
+            .counters
             .iter()
-            .map(|(account, held)| (*account, held.tokens))
+            .map(|(account, counter)| (*account, counter.tokens))
             .collect();
         accounts.sort_unstable();
-        let rounds = accounts.len().div_ceil(most.max(1)).max(1);
-        let skipped = accounts.into_iter().skip(round % rounds * most);
+        let pages = accounts.len().div_ceil(page_size.max(1)).max(1);
+        let skipped = accounts.into_iter().skip(page % pages * page_size);
         skipped
-            .take(most)
+            .take(page_size)
             .map(|(account, tokens)| account.flow(tokens, 0))
             .collect()
     }
 
-    fn open_account(&mut self, account: Account, tokens: u64, rebase: bool) -> &mut Held {
-        self.held.entry(account).or_insert_with(|| Held {
-            settled: if rebase { tokens } else { 0 },
-            ..Held::default()
+    fn counter(&mut self, account: Account, tokens: u64, rebase: bool) -> &mut Received {
+        self.counters.entry(account).or_insert_with(|| Received {
+            applied: if rebase { tokens } else { 0 },
+            ..Received::default()
         })
     }
 }
--- a/crates/decide/src/exchange/instance.rs
+++ b/crates/decide/src/exchange/instance.rs
@@ -1,12 +1,12 @@
-//! Lives of routers.
+//! Instances of routers.
 
 use mulberryyoke_model::{Incarnation, Millis};
 
-/// One life of a router.
+/// One run of a router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its identity.
+    /// Unique identifier of the run.
     pub incarnation: Incarnation,
-    /// When it began.
+    /// Start time.
     pub started_at: Millis,
 }
--- a/crates/decide/src/exchange/ledger.rs
+++ b/crates/decide/src/exchange/ledger.rs
@@ -1,4 +1,4 @@
-//! A router's share in the exchange.
+//! State of one router in the exchange.
 
 use std::collections::HashMap;
 
@@ -7,38 +7,38 @@
 use super::account::group;
 use super::attribution::{Attribution, Target};
 use super::collector::Collector;
-use super::edge::Edge;
-use super::graveyard::Graveyard;
 use super::inbound::Inbound;
+use super::parent_totals::ParentTotals;
 use super::repair;
-use super::told::Told;
+use super::session::Session;
+use super::tombstones::Tombstones;
 use super::totals::Totals;
 use super::{Cursor, Instance, Limits};
 
-/// A router's share in the exchange: what its sidecars and children report, what it
-/// hears from others, and the fleet's totals.
+/// State of one router in the exchange: reports of its sidecars, counters of its
+/// children and other routers, and the totals of the fleet.
 #[derive(Debug)]
 pub struct Ledger {
     pub(super) own: Instance,
     pub(super) limits: Limits,
     pub(super) ticked_at: Millis,
     pub(super) ticks: u64,
-    /// Sequence number of the last statement to anyone.
+    /// Sequence number of the last statement to any receiver.
     pub(super) sequence: u64,
-    /// Lives that began earlier are counted from the values first heard.
-    pub(super) counts_since: Millis,
+    /// Origins that started earlier are counted from the first value received.
+    pub(super) baseline_at: Millis,
     pub(super) collector: Collector,
     pub(super) attribution: Attribution,
     pub(super) children: HashMap<Incarnation, Inbound>,
     pub(super) origins: HashMap<Incarnation, Inbound>,
-    pub(super) told: Option<Told>,
-    pub(super) edges: HashMap<Incarnation, Edge>,
-    pub(super) graveyard: Graveyard,
+    pub(super) parent_totals: Option<ParentTotals>,
+    pub(super) sessions: HashMap<Incarnation, Session>,
+    pub(super) tombstones: Tombstones,
     pub(super) totals: Totals,
 }
 
 impl Ledger {
-    /// Opens the ledger of a router's life with nothing remembered.
+    /// Creates the empty ledger of a router instance.
     #[must_use]
     pub fn new(own: Instance, limits: Limits) -> Self {
         Self {
@@ -47,78 +47,82 @@
             ticked_at: own.started_at,
             ticks: 0,
             sequence: 0,
-            counts_since: own.started_at,
+            baseline_at: own.started_at,
             collector: Collector::default(),
             attribution: Attribution::default(),
             children: HashMap::new(),
             origins: HashMap::new(),
-            told: None,
-            edges: HashMap::new(),
-            graveyard: Graveyard::default(),
+            parent_totals: None,
+            sessions: HashMap::new(),
+            tombstones: Tombstones::default(),
             totals: Totals::default(),
         }
     }
 
-    /// Sets the limits.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Counts a sidecar's report in the totals at once. Returns the sequence number of
-    /// the last report counted.
+    /// Adds a sidecar's report to the totals. Returns the sequence number of the last
+    /// report counted.
     ///
-    /// A sidecar reports to one collector at a time, with sequence numbers that go up
-    /// by one over its life, and all its counters to a new collector or over a new link.
-    /// What it had charged after the last report counted by the one before is lost to
-    /// the totals: the service of one server between two reports.
+    /// A sidecar reports to one collector at a time, with consecutive sequence numbers,
+    /// and sends all its counters to a new collector or over a new link. Tokens charged
+    /// after the last report that the previous collector counted are missing from the
+    /// totals; that is at most one report interval of one server.
     pub fn collect(&mut self, sidecar: Incarnation, report: &Report, now: Millis) -> u64 {
-        let mut grown = Vec::new();
-        let note = |account, tokens| grown.push((account, tokens));
-        let counted = self.collector.collect(sidecar, report, now, note);
-        self.credit(grown);
+        let mut growth = Vec::new();
+        let on_growth = |account, tokens| growth.push((account, tokens));
+        let counted = self.collector.collect(sidecar, report, now, on_growth);
+        self.credit(growth);
         counted
     }
 
-    /// Names the parent, or none for a router that exchanges with peers.
+    /// Sets the parent; `None` for a router that exchanges with peers.
     pub fn set_parent(&mut self, parent: Option<Instance>, now: Millis) {
-        let target = parent.map_or(Target::Peers, |life| Target::Parent(life.incarnation));
-        let held = self.attribution.target();
-        if target == held {
+        let target = parent.map_or(Target::Peers, |instance| {
+            Target::Parent(instance.incarnation)
+        });
+        let old = self.attribution.target();
+        if target == old {
             return;
         }
-        let edges = &self.edges;
-        let confirmed = |account| match held {
+        let sessions = &self.sessions;
+        let acknowledged = |account| match old {
             Target::Peers => {
-                let sent = edges.values().map(|edge| edge.peer.confirmed(account));
-                sent.max().unwrap_or(0)
+                let tokens = sessions
+                    .values()
+                    .map(|session| session.to_peer.acknowledged(account));
+                tokens.max().unwrap_or(0)
             }
-            Target::Parent(life) => edges
-                .get(&life)
-                .map_or(0, |edge| edge.parent.confirmed(account)),
+            Target::Parent(instance) => sessions
+                .get(&instance)
+                .map_or(0, |session| session.to_parent.acknowledged(account)),
         };
-        let left = self.attribution.switch(target, confirmed);
-        self.told = parent.map(|life| Told::open(life, now, left));
+        let moved = self.attribution.switch(target, acknowledged);
+        self.parent_totals = parent.map(|instance| ParentTotals::new(instance, now, moved));
         if parent.is_none() {
-            // What was heard of the peers meanwhile has been told by the parent.
-            self.counts_since = now;
+            // The parent's totals already included what the peers sent meanwhile.
+            self.baseline_at = now;
             let horizon_ms = self.limits.horizon_ms;
             for origin in self.origins.values_mut() {
-                origin.settle(now, horizon_ms, |_, _| ());
+                origin.apply(now, horizon_ms, |_, _| ());
             }
         }
     }
 
-    /// The parent, if there is one.
+    /// The parent, if any.
     #[must_use]
     pub fn parent(&self) -> Option<Incarnation> {
         match self.attribution.target() {
             Target::Peers => None,
-            Target::Parent(life) => Some(life),
+            Target::Parent(instance) => Some(instance),
         }
     }
 
-    /// Makes the next statement for a receiver's life. `relation` is what this router
-    /// is to the receiver.
+    /// Composes the next statement for a receiver. `relation` is what this router is
+    /// to the receiver.
     pub fn next_statement(
         &mut self,
         to: Incarnation,
@@ -127,24 +131,27 @@
     ) -> Statement {
         let age_ms = match relation {
             Relation::Parent => now.saturating_sub(self.as_of(now)),
-            Relation::Peer | Relation::Child => self.age_below(now),
+            Relation::Peer | Relation::Child => self.subtree_age(now),
         };
         self.sequence += 1;
         let sequence = self.sequence;
-        let edge = self.edges.entry(to).or_default();
-        edge.used_at = now;
+        let session = self.sessions.entry(to).or_default();
+        session.used_at = now;
         let (outbound, counters) = match relation {
-            Relation::Peer => (&mut edge.peer, self.attribution.counters(Target::Peers)),
+            Relation::Peer => (
+                &mut session.to_peer,
+                self.attribution.counters(Target::Peers),
+            ),
             Relation::Child => (
-                &mut edge.parent,
+                &mut session.to_parent,
                 self.attribution.counters(Target::Parent(to)),
             ),
-            Relation::Parent => (&mut edge.child, self.totals.counters()),
+            Relation::Parent => (&mut session.to_child, self.totals.counters()),
         };
         let flows = outbound.compose(sequence, counters, now, &self.limits);
         let counted = match relation {
             Relation::Peer => self.origins.get(&to).map_or(0, Inbound::sequence),
-            Relation::Child => self.told_by(to).map_or(0, Told::sequence),
+            Relation::Child => self.totals_from(to).map_or(0, ParentTotals::sequence),
             Relation::Parent => self.children.get(&to).map_or(0, Inbound::sequence),
         };
         let mut statement = Statement {
@@ -158,64 +165,65 @@
             extracts: Vec::new(),
         };
         if relation == Relation::Peer {
-            self.compare(&mut statement, now);
+            self.add_repair(&mut statement, now);
         }
         statement
     }
 
-    /// Takes in a statement of another router.
+    /// Processes a statement of another router.
     pub fn receive(&mut self, from: Instance, statement: &Statement, now: Millis) {
         if statement.to != self.own.incarnation || from.incarnation == self.own.incarnation {
             return;
         }
-        let edge = self.edges.entry(from.incarnation).or_default();
-        edge.used_at = now;
+        let session = self.sessions.entry(from.incarnation).or_default();
+        session.used_at = now;
         match statement.relation {
             Relation::Peer => {
-                edge.peer.acknowledge(statement.counted);
+                session.to_peer.acknowledge(statement.counted);
                 if !statement.known.is_empty() {
-                    edge.known = Some(statement.known.clone());
+                    session.digest = Some(statement.known.clone());
                 }
-                self.hear_peer(from, statement, now);
+                self.receive_from_peer(from, statement, now);
             }
             Relation::Child => {
-                edge.child.acknowledge(statement.counted);
-                self.hear_child(from, statement, now);
+                session.to_child.acknowledge(statement.counted);
+                self.receive_from_child(from, statement, now);
             }
             Relation::Parent => {
-                edge.parent.acknowledge(statement.counted);
-                self.hear_parent(from, statement, now);
+                session.to_parent.acknowledge(statement.counted);
+                self.receive_from_parent(from, statement, now);
             }
         }
     }
 
-    /// Brings the totals up to date; once each exchange.
+    /// Updates the totals and growth rates; called once per exchange interval.
     pub fn tick(&mut self, now: Millis) {
         let elapsed_ms = now.saturating_sub(self.ticked_at);
         self.ticked_at = now;
         self.ticks += 1;
-        self.settle_children(now);
-        self.settle_origins(now);
-        self.settle_told(now);
-        self.attribution.pace(elapsed_ms);
-        self.totals.pace(elapsed_ms);
-        if self.ticks.is_multiple_of(repair::INTERVAL) {
-            self.origins.values_mut().for_each(Inbound::compare);
-            self.forget(now);
+        self.apply_children(now);
+        self.apply_origins(now);
+        self.apply_parent_totals(now);
+        self.attribution.update_rates(elapsed_ms);
+        self.totals.update_rates(elapsed_ms);
+        if self.ticks.is_multiple_of(repair::INTERVAL_TICKS) {
+            self.origins.values_mut().for_each(Inbound::set_checkpoint);
+            self.expire(now);
         }
     }
 
-    /// Totals that changed since the cursor, which is moved on.
+    /// Totals that changed since the cursor. Advances the cursor.
     pub fn totals_since(&self, cursor: &mut Cursor) -> Vec<Usage> {
         self.totals.since(cursor)
     }
 
-    /// Totals to tell a sidecar after its report: those that the report raised, and of
-    /// the others up to the bound on entries, those that grew most since they were told
-    /// (all the first time). What is left out is told short by no more than the least
-    /// growth that is told. A cursor belongs to one link.
+    /// Totals to send to a sidecar after its report: those of the accounts in the
+    /// report, and up to `max_entries` others, largest growth since they were last sent
+    /// first. The first call returns all. A total left out lags by at most the smallest
+    /// growth sent. Use one cursor per link.
     pub fn totals_for_sidecar(&self, sidecar: Incarnation, cursor: &mut Cursor) -> Vec<Usage> {
-        let named = self.collector.latest(sidecar);
-        self.totals.tell(named, self.limits.max_entries, cursor)
+        let reported = self.collector.last_reported(sidecar);
+        self.totals
+            .select(reported, self.limits.max_entries, cursor)
     }
 }
--- a/crates/decide/src/exchange/limits.rs
+++ b/crates/decide/src/exchange/limits.rs
@@ -5,14 +5,15 @@
 /// Limits of the exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most counters in one message; only a first message to a receiver has all.
+    /// Maximum number of counters in a message; the first message to a receiver
+    /// contains all of them.
     pub max_entries: usize,
-    /// When more counters than that have changed: how far, in tokens, one leaves its
-    /// prediction before it is told.
+    /// Prediction error, in tokens, above which a counter takes precedence when more
+    /// than `max_entries` have changed.
     pub max_error: u64,
-    /// How long a prediction holds without being confirmed, in milliseconds.
+    /// How long a prediction is valid without an update, in milliseconds.
     pub horizon_ms: Millis,
-    /// How long a life is remembered that is not heard of, in milliseconds.
+    /// How long the state of a silent instance is kept, in milliseconds.
     pub retention_ms: Millis,
 }
 
--- a/crates/decide/src/exchange/repair.rs
+++ b/crates/decide/src/exchange/repair.rs
@@ -1,8 +1,8 @@
-//! Comparing what two peers know of third parties.
+//! Anti-entropy repair between peers.
 //!
-//! A peer that cannot reach an origin, or that has come to know the fleet after
-//! the origin's end, learns of it from others: now and then each says how far it
-//! knows every origin, and is sent what it lacks.
+//! A router that cannot reach an origin, or that started after the origin stopped,
+//! gets its counters from other peers: peers periodically exchange digests and send
+//! each other the counters that are missing.
 
 use std::collections::HashMap;
 
@@ -11,11 +11,11 @@
 use super::account::group;
 use super::inbound::Inbound;
 
-/// Ticks between two comparisons with a peer.
-pub(super) const INTERVAL: u64 = 10;
+/// Ticks between two digests to the same peer.
+pub(super) const INTERVAL_TICKS: u64 = 10;
 
-/// What the holder of `origins` knows, itself included.
-pub(super) fn known(
+/// Digest of all origins, including this router.
+pub(super) fn digest(
     own: Incarnation,
     origins: &HashMap<Incarnation, Inbound>,
     now: Millis,
@@ -25,27 +25,28 @@
         origin: own,
         sum: u64::MAX,
     };
-    let known = origins.values().map(|origin| origin.known(now, fresh_ms));
+    let known = origins.values().map(|origin| origin.digest(now, fresh_ms));
     known.chain([own]).collect()
 }
 
-/// What a peer lacks of other origins, at most `most` counters of each.
+/// Counters of other origins that are missing from a peer's digest, at most
+/// `page_size` per origin.
 pub(super) fn extracts(
     origins: &HashMap<Incarnation, Inbound>,
     peer: Incarnation,
-    known: &[Known],
-    round: usize,
-    most: usize,
+    digest: &[Known],
+    page: usize,
+    page_size: usize,
 ) -> Vec<Extract> {
-    let known: HashMap<Incarnation, u64> = known.iter().map(|k| (k.origin, k.sum)).collect();
-    let lacking = origins.iter().filter(|(origin, inbound)| {
-        let sum = known.get(*origin).copied().unwrap_or(0);
-        **origin != peer && inbound.compared() > sum
+    let sums: HashMap<Incarnation, u64> = digest.iter().map(|k| (k.origin, k.sum)).collect();
+    let missing = origins.iter().filter(|(origin, inbound)| {
+        let sum = sums.get(*origin).copied().unwrap_or(0);
+        **origin != peer && inbound.checkpoint() > sum
     });
-    let extracts = lacking.map(|(origin, inbound)| Extract {
+    let extracts = missing.map(|(origin, inbound)| Extract {
         origin: *origin,
-        started_at: inbound.life().started_at,
-        tallies: group(inbound.slice(round, most)),
+        started_at: inbound.instance().started_at,
+        tallies: group(inbound.page(page, page_size)),
     });
     extracts.collect()
 }
--- a/crates/decide/src/exchange/totals.rs
+++ b/crates/decide/src/exchange/totals.rs
@@ -1,4 +1,4 @@
-//! The fleet's totals.
+//! Totals of the fleet.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -8,12 +8,12 @@
 use super::counters::Counters;
 use super::{Account, Cursor};
 
-/// The fleet's totals, and which of them changed when.
+/// Totals of the fleet, indexed by the version of their last change.
 #[derive(Debug, Default)]
 pub(super) struct Totals {
     counters: Counters,
     version: u64,
-    changed: BTreeMap<u64, Account>,
+    by_version: BTreeMap<u64, Account>,
     versions: HashMap<Account, u64>,
 }
 
@@ -24,57 +24,62 @@
         }
         self.counters.add(account, tokens);
         self.version += 1;
-        if let Some(earlier) = self.versions.insert(account, self.version) {
-            self.changed.remove(&earlier);
+        if let Some(previous) = self.versions.insert(account, self.version) {
+            self.by_version.remove(&previous);
         }
-        self.changed.insert(self.version, account);
+        self.by_version.insert(self.version, account);
     }
 
     pub(super) fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    pub(super) fn pace(&mut self, elapsed_ms: Millis) {
-        self.counters.pace(elapsed_ms);
+    pub(super) fn update_rates(&mut self, elapsed_ms: Millis) {
+        self.counters.update_rates(elapsed_ms);
     }
 
-    /// All that changed since the cursor.
+    /// Totals that changed since the cursor. Advances the cursor.
     pub(super) fn since(&self, cursor: &mut Cursor) -> Vec<Usage> {
-        let changed = self.changed.range(cursor.version + 1..);
+        let changed = self.by_version.range(cursor.version + 1..);
         let usage = changed.map(|(_, account)| account.usage(self.counters.get(*account)));
         cursor.version = self.version;
         usage.collect()
     }
 
-    /// The totals of `named` accounts, and up to `most` others, those that grew most
-    /// since the reader was told. The first time all.
-    pub(super) fn tell(&self, named: &[Account], most: usize, cursor: &mut Cursor) -> Vec<Usage> {
-        let most = if cursor.told.is_empty() {
+    /// Totals of the accounts in `reported` and of up to `max_others` others, largest
+    /// growth since they were last sent first. The first call returns all.
+    pub(super) fn select(
+        &self,
+        reported: &[Account],
+        max_others: usize,
+        cursor: &mut Cursor,
+    ) -> Vec<Usage> {
+        let max_others = if cursor.sent.is_empty() {
             usize::MAX
         } else {
-            most
+            max_others
         };
-        let others = self.grown(most, cursor);
-        let mut usage = Vec::with_capacity(named.len() + others.len());
-        for account in named.iter().copied().chain(others) {
+        let others = self.most_grown(max_others, cursor);
+        let mut usage = Vec::with_capacity(reported.len() + others.len());
+        for account in reported.iter().copied().chain(others) {
             let tokens = self.counters.get(account);
-            if cursor.told.insert(account, tokens) != Some(tokens) {
+            if cursor.sent.insert(account, tokens) != Some(tokens) {
                 usage.push(account.usage(tokens));
             }
         }
         usage
     }
 
-    fn grown(&self, most: usize, cursor: &Cursor) -> Vec<Account> {
-        let told = |account| cursor.told.get(&account).copied().unwrap_or(0);
+    fn most_grown(&self, max: usize, cursor: &Cursor) -> Vec<Account> {
+        let sent = |account| cursor.sent.get(&account).copied().unwrap_or(0);
         let growth = self
             .counters
             .iter()
-            .map(|(account, counter)| (counter.tokens - told(account), account));
+            .map(|(account, counter)| (counter.tokens - sent(account), account));
         let mut grown: Vec<(u64, Account)> = growth.filter(|(tokens, _)| *tokens > 0).collect();
-        if grown.len() > most {
+        if grown.len() > max {
             grown.sort_unstable_by_key(|(tokens, account)| (Reverse(*tokens), *account));
-            grown.truncate(most);
+            grown.truncate(max);
         }
         grown.into_iter().map(|(_, account)| account).collect()
     }
