--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -1,9 +1,9 @@
-//! Membership of routers: who is there, who exchanges with whom, and who watches
-//! the key-value service.
+//! Membership of routers: which are alive, which exchange usage with each other, and
+//! which watch the key-value service.
 //!
-//! The VM list names the routers, late. A router whose calls have failed for a
-//! while is suspect. Every router plans alone; routers that disagree for a while
-//! exchange too much or too late, and nothing else depends on it.
+//! The VM list names the routers with a delay. A router is suspect when calls to it
+//! have failed for a while. Every router determines its neighbors on its own; while
+//! routers disagree, usage is exchanged redundantly or late, with no other effect.
 
 mod limits;
 mod neighbors;
--- a/crates/decide/src/member/limits.rs
+++ b/crates/decide/src/member/limits.rs
@@ -5,15 +5,15 @@
 /// Limits of membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// How long calls to a router fail before it is suspect, in milliseconds.
+    /// How long calls to a router must fail before it is suspect, in milliseconds.
     pub suspect_ms: Millis,
-    /// Most routers that all exchange with each other.
+    /// Maximum number of routers in a full mesh.
     pub max_full_mesh: usize,
-    /// Most children of a router above that.
+    /// Maximum number of children of a router in each heap of a larger fleet's tree.
     pub fanout: usize,
-    /// Most routers that all watch the key-value service.
+    /// Maximum number of routers that all watch the key-value service.
     pub max_all_watching: usize,
-    /// Routers of each zone that watch above that.
+    /// Routers per zone that watch the key-value service in a larger fleet.
     pub watchers_per_zone: usize,
 }
 
--- a/crates/decide/src/member/neighbors.rs
+++ b/crates/decide/src/member/neighbors.rs
@@ -1,12 +1,13 @@
-//! With whom a router exchanges.
+//! Neighbors of a router in the exchange.
 
-/// With whom a router exchanges.
+/// Neighbors of a router in the exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Neighbors {
     /// Routers to exchange with as peers.
     pub peers: Vec<String>,
-    /// The router to hand counters to, if there is a tree and this is not a root.
+    /// The router to send counters to; `None` in a full mesh and for a root.
     pub parent: Option<String>,
-    /// Suspect routers that would be peer or parent; to be tried now and then.
+    /// Suspect routers that would otherwise be peers or the parent; called
+    /// periodically to detect that they have recovered.
     pub probe: Vec<String>,
 }
--- a/crates/decide/src/member/router.rs
+++ b/crates/decide/src/member/router.rs
@@ -1,8 +1,8 @@
-//! Where a router runs.
+//! Identity and location of a router.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A router and where it runs.
+/// Identity and location of a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Router {
     /// Unique name.
@@ -14,9 +14,9 @@
 }
 
 impl Router {
-    /// Rank in the tree; a parent's is always higher than its child's, whatever either
-    /// of them knows of the others, so that no cycle can arise.
-    pub(super) fn weight(&self) -> (u64, &str) {
+    /// Priority in the tree. A parent always has a higher priority than its children,
+    /// even when routers disagree about the membership, so that no cycle can form.
+    pub(super) fn priority(&self) -> (u64, &str) {
         (xxh3_64(self.name.as_bytes()), &self.name)
     }
 }
--- a/crates/decide/src/member/table.rs
+++ b/crates/decide/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The known routers.
+//! Membership table.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,15 @@
 
 #[derive(Debug)]
 struct Entry {
-    place: Router,
-    listed: bool,
-    heard_at: Option<Millis>,
-    /// Since when every call has failed.
+    router: Router,
+    is_listed: bool,
+    last_contact_at: Option<Millis>,
+    /// Start of the current run of failed calls.
     failing_since: Option<Millis>,
-    /// Whether it has been told that this router is suspect.
-    told: bool,
+    is_suspicion_reported: bool,
 }
 
-/// The known routers, this one excluded.
+/// Known routers, except this one.
 #[derive(Debug)]
 pub struct Table {
     own: Router,
@@ -27,7 +26,7 @@
 }
 
 impl Table {
-    /// Opens a table that knows of no other router.
+    /// Creates a table without other routers.
     #[must_use]
     pub fn new(own: Router, limits: Limits) -> Self {
         Self {
@@ -37,87 +36,87 @@
         }
     }
 
-    /// Takes in the routers of the VM list. One that is no longer listed stays as long
-    /// as it is heard.
-    pub fn set_listed(&mut self, places: Vec<Router>, now: Millis) {
+    /// Replaces the routers known from the VM list. A router that is no longer listed is
+    /// kept while it is in contact.
+    pub fn set_listed(&mut self, routers: Vec<Router>, now: Millis) {
         for entry in self.entries.values_mut() {
-            entry.listed = false;
+            entry.is_listed = false;
         }
-        for place in places {
-            if place.name == self.own.name {
+        for router in routers {
+            if router.name == self.own.name {
                 continue;
             }
-            let entry = self.entries.entry(place.name.clone());
+            let entry = self.entries.entry(router.name.clone());
             let entry = entry.or_insert_with(|| Entry {
-                place: place.clone(),
-                listed: true,
-                heard_at: None,
+                router: router.clone(),
+                is_listed: true,
+                last_contact_at: None,
                 failing_since: None,
-                told: false,
+                is_suspicion_reported: false,
             });
-            entry.place = place;
-            entry.listed = true;
+            entry.router = router;
+            entry.is_listed = true;
         }
         let limits = self.limits;
         self.entries
-            .retain(|_, entry| entry.listed || entry.is_fresh(now, &limits));
+            .retain(|_, entry| entry.is_listed || entry.is_in_contact(now, &limits));
     }
 
-    /// A router called, or answered a call.
+    /// Records that a router made or answered a call.
     pub fn record_contact(&mut self, name: &str, now: Millis) {
         if let Some(entry) = self.entries.get_mut(name) {
-            entry.heard_at = Some(now);
+            entry.last_contact_at = Some(now);
             entry.failing_since = None;
-            entry.told = false;
+            entry.is_suspicion_reported = false;
         }
     }
 
-    /// A call to a router failed. Returns whether that made it suspect.
+    /// Records a failed call to a router. Returns whether the router became suspect.
     pub fn record_failure(&mut self, name: &str, now: Millis) -> bool {
         let Some(entry) = self.entries.get_mut(name) else {
             return false;
         };
         entry.failing_since.get_or_insert(now);
-        let suspect = entry.is_suspect(now, &self.limits);
-        suspect && !std::mem::replace(&mut entry.told, true)
+        let is_suspect = entry.is_suspect(now, &self.limits);
+        is_suspect && !std::mem::replace(&mut entry.is_suspicion_reported, true)
     }
 
-    /// When a router was heard last.
+    /// Time of the last call from or answered by a router.
     #[must_use]
     pub fn last_contact_at(&self, name: &str) -> Option<Millis> {
-        self.entries.get(name)?.heard_at
+        self.entries.get(name)?.last_contact_at
     }
 
-    /// Whether calls to a router have failed for too long.
+    /// Whether a router is suspect or unknown.
     #[must_use]
     pub fn is_suspect(&self, name: &str, now: Millis) -> bool {
         let entry = self.entries.get(name);
         entry.is_none_or(|entry| entry.is_suspect(now, &self.limits))
     }
 
-    /// Every known router that is not suspect, this one included.
+    /// Names of all routers that are not suspect, including this one.
     #[must_use]
     pub fn alive_names(&self, now: Millis) -> Vec<String> {
-        let trusted = self.trusted(now);
-        trusted.iter().map(|place| place.name.clone()).collect()
+        let alive = self.alive(now);
+        alive.iter().map(|router| router.name.clone()).collect()
     }
 
-    /// With whom to exchange.
+    /// Routers to exchange usage with.
     #[must_use]
     pub fn neighbors(&self, now: Millis) -> Neighbors {
-        let trusted = tree::position(&self.own, &self.trusted(now), &self.limits);
-        let wanted = tree::position(&self.own, &self.all(), &self.limits);
-        let wanted = match wanted {
+        let position = tree::position(&self.own, &self.alive(now), &self.limits);
+        let intended = tree::position(&self.own, &self.all(), &self.limits);
+        let intended = match intended {
             Position::Root(peers) => peers,
             Position::Child(parent) => vec![parent],
         };
-        let suspect = wanted
+        let suspect = intended
             .iter()
-            .filter(|place| self.is_suspect(&place.name, now));
-        let probe = suspect.map(|place| place.name.clone()).collect();
-        match trusted {
+            .filter(|router| self.is_suspect(&router.name, now));
+        let probe = suspect.map(|router| router.name.clone()).collect();
+        match position {
             Position::Root(peers) => Neighbors {
-                peers: peers.iter().map(|place| place.name.clone()).collect(),
+                peers: peers.iter().map(|router| router.name.clone()).collect(),
                 parent: None,
                 probe,
             },
@@ -129,31 +128,27 @@
         }
     }
 
-    /// Whether this router is one of those that watch the key-value service: every
-    /// one of a small fleet, else the first few of each zone.
+    /// Whether this router watches the key-value service: all routers of a small fleet
+    /// do, otherwise the first few of each zone.
     #[must_use]
     pub fn is_watcher(&self, now: Millis) -> bool {
-        let trusted = self.trusted(now);
-        trusted.len() <= self.limits.max_all_watching
-            || tree::is_among(
-                &self.own,
-                trusted.into_iter(),
-                self.limits.watchers_per_zone,
-            )
+        let alive = self.alive(now);
+        alive.len() <= self.limits.max_all_watching
+            || tree::is_among_first(&self.own, alive.into_iter(), self.limits.watchers_per_zone)
     }
 
     fn all(&self) -> Vec<&Router> {
-        let others = self.entries.values().map(|entry| &entry.place);
+        let others = self.entries.values().map(|entry| &entry.router);
         others.chain([&self.own]).collect()
     }
 
-    fn trusted(&self, now: Millis) -> Vec<&Router> {
-        let trusted = self
+    fn alive(&self, now: Millis) -> Vec<&Router> {
+        let alive = self
             .entries
             .values()
             .filter(|entry| !entry.is_suspect(now, &self.limits));
-        let trusted = trusted.map(|entry| &entry.place);
-        trusted.chain([&self.own]).collect()
+        let alive = alive.map(|entry| &entry.router);
+        alive.chain([&self.own]).collect()
     }
 }
 
@@ -163,8 +158,8 @@
         since.is_some_and(|since| now.saturating_sub(since) >= limits.suspect_ms)
     }
 
-    fn is_fresh(&self, now: Millis, limits: &Limits) -> bool {
-        let heard = self.heard_at;
-        heard.is_some_and(|heard| now.saturating_sub(heard) < limits.suspect_ms)
+    fn is_in_contact(&self, now: Millis, limits: &Limits) -> bool {
+        let at = self.last_contact_at;
+        at.is_some_and(|at| now.saturating_sub(at) < limits.suspect_ms)
     }
 }
--- a/crates/decide/src/member/tree.rs
+++ b/crates/decide/src/member/tree.rs
@@ -1,82 +1,83 @@
-//! The shallow tree by region and zone.
+//! Exchange topology by region and zone.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use super::{Limits, Router};
 
-/// A router's place in the exchange: its parent, or its peers if it has none.
+/// A router's position in the exchange: its parent, or its peers if it has none.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Position<'a> {
     Root(Vec<&'a Router>),
     Child(&'a Router),
 }
 
-/// Finds the position of one of `places`.
+/// Computes the position of `own`, which is one of `routers`.
 ///
-/// The routers of a zone form a heap by weight; so do the roots of a region's zones,
-/// if there are more zones than the fan-out. What is left are roots.
-pub(super) fn position<'a>(own: &Router, places: &[&'a Router], limits: &Limits) -> Position<'a> {
-    if places.len() <= limits.max_full_mesh {
-        return Position::Root(others(own, places.iter().copied()));
+/// The routers of a zone form a heap ordered by priority. If there are more zones than
+/// the fan-out, the roots of a region's zones form a heap as well. The remaining roots
+/// are peers of each other.
+pub(super) fn position<'a>(own: &Router, routers: &[&'a Router], limits: &Limits) -> Position<'a> {
+    if routers.len() <= limits.max_full_mesh {
+        return Position::Root(others(own, routers.iter().copied()));
     }
-    let in_zone = places.iter().copied().filter(|p| zone(p) == zone(own));
+    let in_zone = routers.iter().copied().filter(|r| zone(r) == zone(own));
     if let Some(parent) = parent(own, in_zone, limits.fanout) {
         return Position::Child(parent);
     }
-    let zones = heaviest(places.iter().copied(), zone);
+    let zones = group_roots(routers.iter().copied(), zone);
     if zones.len() <= limits.fanout {
         return Position::Root(others(own, zones.into_iter()));
     }
-    let in_region = zones.iter().copied().filter(|p| p.region == own.region);
+    let in_region = zones.iter().copied().filter(|r| r.region == own.region);
     if let Some(parent) = parent(own, in_region, limits.fanout) {
         return Position::Child(parent);
     }
-    let regions = heaviest(zones.into_iter(), |place| (place.region.as_str(), ""));
+    let regions = group_roots(zones.into_iter(), |router| (router.region.as_str(), ""));
     Position::Root(others(own, regions.into_iter()))
 }
 
-/// Whether a router is among the heaviest of its zone.
-pub(super) fn is_among<'a>(
+/// Whether `own` is one of the `count` routers with the highest priority in its zone.
+pub(super) fn is_among_first<'a>(
     own: &Router,
-    places: impl Iterator<Item = &'a Router>,
+    routers: impl Iterator<Item = &'a Router>,
     count: usize,
 ) -> bool {
-    let in_zone = places.filter(|p| zone(p) == zone(own));
-    in_zone.filter(|p| p.weight() > own.weight()).count() < count
+    let in_zone = routers.filter(|r| zone(r) == zone(own));
+    in_zone.filter(|r| r.priority() > own.priority()).count() < count
 }
 
-fn zone(place: &Router) -> (&str, &str) {
-    (&place.region, &place.zone)
+fn zone(router: &Router) -> (&str, &str) {
+    (&router.region, &router.zone)
 }
 
-fn others<'a>(own: &Router, places: impl Iterator<Item = &'a Router>) -> Vec<&'a Router> {
-    places.filter(|place| place.name != own.name).collect()
+fn others<'a>(own: &Router, routers: impl Iterator<Item = &'a Router>) -> Vec<&'a Router> {
+    routers.filter(|router| router.name != own.name).collect()
 }
 
-/// The parent in a heap by weight; `None` for the heaviest.
+/// The parent in a heap ordered by priority; `None` for the root.
 fn parent<'a>(
     own: &Router,
-    places: impl Iterator<Item = &'a Router>,
+    routers: impl Iterator<Item = &'a Router>,
     fanout: usize,
 ) -> Option<&'a Router> {
-    let mut heavier: Vec<&Router> = places.filter(|p| p.weight() > own.weight()).collect();
-    heavier.sort_unstable_by_key(|place| Reverse(place.weight()));
-    let index = heavier.len();
+    let mut above: Vec<&Router> = routers.filter(|r| r.priority() > own.priority()).collect();
+    above.sort_unstable_by_key(|router| Reverse(router.priority()));
+    let index = above.len();
     let parent = index.checked_sub(1)? / fanout.max(1);
-    Some(heavier[parent])
+    Some(above[parent])
 }
 
-/// The heaviest of each group.
-fn heaviest<'a>(
-    places: impl Iterator<Item = &'a Router>,
+/// The router with the highest priority in each group.
+fn group_roots<'a>(
+    routers: impl Iterator<Item = &'a Router>,
     group: impl Fn(&'a Router) -> (&'a str, &'a str),
 ) -> Vec<&'a Router> {
     let mut groups: BTreeMap<(&str, &str), &Router> = BTreeMap::new();
-    for place in places {
-        let held = groups.entry(group(place)).or_insert(place);
-        if place.weight() > held.weight() {
-            *held = place;
+    for router in routers {
+        let root = groups.entry(group(router)).or_insert(router);
+        if router.priority() > root.priority() {
+            *root = router;
         }
     }
     groups.into_values().collect()
