--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -1,17 +1,17 @@
-//! Membership of routers: who is there, who exchanges with whom, and who watches
-//! the key-value service.
+//! Membership of routers: which are alive, which exchange usage with each other, and
+//! which watch the key-value service.
 //!
-//! The VM list names the routers, late. A router whose calls have failed for a
-//! while is suspect. Every router plans alone; routers that disagree for a while
-//! exchange too much or too late, and nothing else depends on it.
+//! The VM list names the routers with a delay. A router is suspect when calls to it
+//! have failed for a while. Every router determines its neighbors on its own; while
+//! routers disagree, usage is exchanged redundantly or late, with no other effect.
 
-mod bounds;
-mod place;
-mod plan;
+mod limits;
+mod neighbors;
+mod router;
 mod table;
 mod tree;
 
-pub use bounds::Bounds;
-pub use place::Place;
-pub use plan::Plan;
+pub use limits::Limits;
+pub use neighbors::Neighbors;
+pub use router::Router;
 pub use table::Table;
--- a/crates/decide/src/member/table.rs
+++ b/crates/decide/src/member/table.rs
@@ -1,127 +1,126 @@
-//! The known routers.
+//! Membership table.
 
 use std::collections::BTreeMap;
 
 use mulberryyoke_model::Millis;
 
 use super::tree::{self, Position};
-use super::{Bounds, Place, Plan};
+use super::{Limits, Neighbors, Router};
 
 #[derive(Debug)]
 struct Entry {
-    place: Place,
-    listed: bool,
-    heard_at: Option<Millis>,
-    /// Since when every call has failed.
+    router: Router,
+    is_listed: bool,
+    last_contact_at: Option<Millis>,
+    /// Start of the current run of failed calls.
     failing_since: Option<Millis>,
-    /// Whether it has been told that this router is suspect.
-    told: bool,
+    is_suspicion_reported: bool,
 }
 
-/// The known routers, this one excluded.
+/// Known routers, except this one.
 #[derive(Debug)]
 pub struct Table {
-    own: Place,
-    bounds: Bounds,
+    own: Router,
+    limits: Limits,
     entries: BTreeMap<String, Entry>,
 }
 
 impl Table {
-    /// Opens a table that knows of no other router.
+    /// Creates a table without other routers.
     #[must_use]
-    pub fn open(own: Place, bounds: Bounds) -> Self {
+    pub fn new(own: Router, limits: Limits) -> Self {
         Self {
             own,
-            bounds,
+            limits,
             entries: BTreeMap::new(),
         }
     }
 
-    /// Takes in the routers of the VM list. One that is no longer listed stays as long
-    /// as it is heard.
-    pub fn list(&mut self, places: Vec<Place>, now: Millis) {
+    /// Replaces the routers known from the VM list. A router that is no longer listed is
+    /// kept while it is in contact.
+    pub fn set_listed(&mut self, routers: Vec<Router>, now: Millis) {
         for entry in self.entries.values_mut() {
-            entry.listed = false;
+            entry.is_listed = false;
         }
-        for place in places {
-            if place.name == self.own.name {
+        for router in routers {
+            if router.name == self.own.name {
                 continue;
             }
-            let entry = self.entries.entry(place.name.clone());
+            let entry = self.entries.entry(router.name.clone());
             let entry = entry.or_insert_with(|| Entry {
-                place: place.clone(),
-                listed: true,
-                heard_at: None,
+                router: router.clone(),
+                is_listed: true,
+                last_contact_at: None,
                 failing_since: None,
-                told: false,
+                is_suspicion_reported: false,
             });
-            entry.place = place;
-            entry.listed = true;
+            entry.router = router;
+            entry.is_listed = true;
         }
-        let bounds = self.bounds;
+        let limits = self.limits;
         self.entries
-            .retain(|_, entry| entry.listed || entry.is_fresh(now, &bounds));
+            .retain(|_, entry| entry.is_listed || entry.is_in_contact(now, &limits));
     }
 
-    /// A router called, or answered a call.
-    pub fn hear(&mut self, name: &str, now: Millis) {
+    /// Records that a router made or answered a call.
+    pub fn record_contact(&mut self, name: &str, now: Millis) {
         if let Some(entry) = self.entries.get_mut(name) {
-            entry.heard_at = Some(now);
+            entry.last_contact_at = Some(now);
             entry.failing_since = None;
-            entry.told = false;
+            entry.is_suspicion_reported = false;
         }
     }
 
-    /// A call to a router failed. Returns whether that made it suspect.
-    pub fn fail(&mut self, name: &str, now: Millis) -> bool {
+    /// Records a failed call to a router. Returns whether the router became suspect.
+    pub fn record_failure(&mut self, name: &str, now: Millis) -> bool {
         let Some(entry) = self.entries.get_mut(name) else {
             return false;
         };
         entry.failing_since.get_or_insert(now);
-        let suspect = entry.is_suspect(now, &self.bounds);
-        suspect && !std::mem::replace(&mut entry.told, true)
+        let is_suspect = entry.is_suspect(now, &self.limits);
+        is_suspect && !std::mem::replace(&mut entry.is_suspicion_reported, true)
     }
 
-    /// When a router was heard last.
+    /// Time of the last call from or answered by a router.
     #[must_use]
-    pub fn heard_at(&self, name: &str) -> Option<Millis> {
-        self.entries.get(name)?.heard_at
+    pub fn last_contact_at(&self, name: &str) -> Option<Millis> {
+        self.entries.get(name)?.last_contact_at
     }
 
-    /// Whether calls to a router have failed for too long.
+    /// Whether a router is suspect or unknown.
     #[must_use]
     pub fn is_suspect(&self, name: &str, now: Millis) -> bool {
         let entry = self.entries.get(name);
-        entry.is_none_or(|entry| entry.is_suspect(now, &self.bounds))
+        entry.is_none_or(|entry| entry.is_suspect(now, &self.limits))
     }
 
-    /// Every known router that is not suspect, this one included.
+    /// Names of all routers that are not suspect, including this one.
     #[must_use]
-    pub fn names(&self, now: Millis) -> Vec<String> {
-        let trusted = self.trusted(now);
-        trusted.iter().map(|place| place.name.clone()).collect()
+    pub fn alive_names(&self, now: Millis) -> Vec<String> {
+        let alive = self.alive(now);
+        alive.iter().map(|router| router.name.clone()).collect()
     }
 
-    /// With whom to exchange.
+    /// Routers to exchange usage with.
     #[must_use]
-    pub fn plan(&self, now: Millis) -> Plan {
-        let trusted = tree::position(&self.own, &self.trusted(now), &self.bounds);
-        let wanted = tree::position(&self.own, &self.all(), &self.bounds);
-        let wanted = match wanted {
+    pub fn neighbors(&self, now: Millis) -> Neighbors {
+        let position = tree::position(&self.own, &self.alive(now), &self.limits);
+        let intended = tree::position(&self.own, &self.all(), &self.limits);
+        let intended = match intended {
             Position::Root(peers) => peers,
             Position::Child(parent) => vec![parent],
         };
-        let suspect = wanted
+        let suspect = intended
             .iter()
-            .filter(|place| self.is_suspect(&place.name, now));
-        let probe = suspect.map(|place| place.name.clone()).collect();
-        match trusted {
-            Position::Root(peers) => Plan {
-                peers: peers.iter().map(|place| place.name.clone()).collect(),
+            .filter(|router| self.is_suspect(&router.name, now));
+        let probe = suspect.map(|router| router.name.clone()).collect();
+        match position {
+            Position::Root(peers) => Neighbors {
+                peers: peers.iter().map(|router| router.name.clone()).collect(),
                 parent: None,
                 probe,
             },
-            Position::Child(parent) => Plan {
+            Position::Child(parent) => Neighbors {
                 peers: Vec::new(),
                 parent: Some(parent.name.clone()),
                 probe,
@@ -129,38 +128,38 @@
         }
     }
 
-    /// Whether this router is one of those that watch the key-value service: every
-    /// one of a small fleet, else the first few of each zone.
+    /// Whether this router watches the key-value service: all routers of a small fleet
+    /// do, otherwise the first few of each zone.
     #[must_use]
     pub fn is_watcher(&self, now: Millis) -> bool {
-        let trusted = self.trusted(now);
-        trusted.len() <= self.bounds.watching
-            || tree::is_among(&self.own, trusted.into_iter(), self.bounds.watchers)
+        let alive = self.alive(now);
+        alive.len() <= self.limits.max_all_watching
+            || tree::is_among_first(&self.own, alive.into_iter(), self.limits.watchers_per_zone)
     }
 
-    fn all(&self) -> Vec<&Place> {
-        let others = self.entries.values().map(|entry| &entry.place);
+    fn all(&self) -> Vec<&Router> {
+        let others = self.entries.values().map(|entry| &entry.router);
         others.chain([&self.own]).collect()
     }
 
-    fn trusted(&self, now: Millis) -> Vec<&Place> {
-        let trusted = self
+    fn alive(&self, now: Millis) -> Vec<&Router> {
+        let alive = self
             .entries
             .values()
-            .filter(|entry| !entry.is_suspect(now, &self.bounds));
-        let trusted = trusted.map(|entry| &entry.place);
-        trusted.chain([&self.own]).collect()
+            .filter(|entry| !entry.is_suspect(now, &self.limits));
+        let alive = alive.map(|entry| &entry.router);
+        alive.chain([&self.own]).collect()
     }
 }
 
 impl Entry {
-    fn is_suspect(&self, now: Millis, bounds: &Bounds) -> bool {
+    fn is_suspect(&self, now: Millis, limits: &Limits) -> bool {
         let since = self.failing_since;
-        since.is_some_and(|since| now.saturating_sub(since) >= bounds.suspect_ms)
+        since.is_some_and(|since| now.saturating_sub(since) >= limits.suspect_ms)
     }
 
-    fn is_fresh(&self, now: Millis, bounds: &Bounds) -> bool {
-        let heard = self.heard_at;
-        heard.is_some_and(|heard| now.saturating_sub(heard) < bounds.suspect_ms)
+    fn is_in_contact(&self, now: Millis, limits: &Limits) -> bool {
+        let at = self.last_contact_at;
+        at.is_some_and(|at| now.saturating_sub(at) < limits.suspect_ms)
     }
 }
