--- a/crates/daemon/src/fleet/choice.rs
+++ b/crates/daemon/src/fleet/choice.rs
@@ -1,6 +1,6 @@
 //! Which servers this router stays connected to.
 
-use mulberryyoke_decide::subset::{self, Chooser};
+use mulberryyoke_decide::subset::{self, Selector};
 use mulberryyoke_model::{PoolId, ServerId};
 
 use super::Fleet;
@@ -10,7 +10,7 @@
     #[must_use]
     pub fn subset(&self, pool: PoolId) -> Vec<ServerId> {
         let routers = self.peers.names();
-        subset::choose(&self.chooser(&routers), self.view().servers(pool))
+        subset::select(&self.selector(&routers), self.view().servers(pool))
     }
 
     /// Servers of a pool beyond those held to connect to while work waits, at most
@@ -19,7 +19,7 @@
     pub fn widen(&self, pool: PoolId, held: &[ServerId], most: usize) -> Vec<ServerId> {
         let view = self.view();
         subset::widen(
-            &self.chooser(&[]),
+            &self.selector(&[]),
             view.servers(pool),
             held,
             &self.idle(),
@@ -38,8 +38,8 @@
         self.peers.idle()
     }
 
-    fn chooser<'a>(&'a self, routers: &'a [String]) -> Chooser<'a> {
-        Chooser {
+    fn selector<'a>(&'a self, routers: &'a [String]) -> Selector<'a> {
+        Selector {
             router: &self.member.name,
             zone: &self.member.zone,
             routers,
--- a/crates/daemon/src/operator/execute.rs
+++ b/crates/daemon/src/operator/execute.rs
@@ -8,7 +8,7 @@
 
 use mulberryyoke_command::answer::{Answer, Code, Refusal, Request, Written};
 use mulberryyoke_command::{Command, ConfigAction, Error, Waiting, words};
-use mulberryyoke_decide::settle::{self, Settled};
+use mulberryyoke_decide::cas::{self, Outcome};
 use mulberryyoke_model::{Attempt, Millis, Object};
 
 use super::author::Author;
@@ -139,7 +139,7 @@
 /// The answer to a command that was accepted when it was sent before.
 fn repeated(key: &str, held: &Held, author: &Author) -> Option<Written> {
     let (entry, revision) = held.found()?;
-    let Settled::Written { revision, replaced } = settle::find(author.command, entry, revision)?
+    let Outcome::Written { revision, replaced } = cas::find(author.command, entry, revision)?
     else {
         return None;
     };
--- a/crates/daemon/src/operator/store.rs
+++ b/crates/daemon/src/operator/store.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use mulberryyoke_command::answer::{Code, Conflict, Refusal, Written};
-use mulberryyoke_decide::settle::{self, Settled};
+use mulberryyoke_decide::cas::{self, Outcome};
 use mulberryyoke_model::{Entry, Object, Revision};
 use mulberryyoke_platform::Backoff;
 use mulberryyoke_platform::kv::{Error, Expect, Kv, Pair, Swap};
@@ -124,8 +124,8 @@
     doubt: bool,
 ) -> Result<Written, Refusal> {
     let mut refusal = conflict(key, found, author);
-    match settle::settle(author.command, held.revision, found.found()) {
-        Settled::Written { revision, replaced } => {
+    match cas::resolve(author.command, held.revision, found.found()) {
+        Outcome::Written { revision, replaced } => {
             let object = found.object().cloned();
             let written = written(key, author, revision, object);
             return Ok(Written {
@@ -133,8 +133,8 @@
                 ..written
             });
         }
-        Settled::Unclear if doubt => refusal.code = Code::Unknown,
-        Settled::Lost | Settled::Open | Settled::Unclear => {}
+        Outcome::Unknown if doubt => refusal.code = Code::Unknown,
+        Outcome::Superseded | Outcome::NotApplied | Outcome::Unknown => {}
     }
     Err(refusal)
 }
@@ -187,7 +187,7 @@
 fn serialize(held: &Held, object: Option<Object>, author: &Author) -> Result<Vec<u8>, Refusal> {
     let earlier = held
         .found()
-        .map(|(entry, revision)| settle::chain(entry, revision));
+        .map(|(entry, revision)| cas::history(entry, revision));
     let entry = Entry {
         command: author.command,
         operator: author.operator.clone(),
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -28,7 +28,7 @@
 
 /// Answers a request, or refuses it truthfully.
 pub(crate) async fn answer(core: &Arc<Core>, call: Call) -> Result<Response<Answer>, Refusal> {
-    core.budget.lock().earn();
+    core.budget.lock().deposit();
     let mut dispatch = Dispatch {
         core,
         call,
@@ -172,7 +172,7 @@
 
     /// Spends a retry.
     fn retry(&self, cause: &str) -> Result<(), Refusal> {
-        if !self.core.budget.lock().spend() {
+        if !self.core.budget.lock().try_withdraw() {
             return Err(unreachable(cause));
         }
         metrics::counter!("retries_total").increment(1);
--- a/crates/daemon/tests/operator/faults.rs
+++ b/crates/daemon/tests/operator/faults.rs
@@ -68,7 +68,7 @@
         let port = with_customer().await;
         let (held, revision) = port.kv.entry(KEY).expect("the customer is there");
         let mut other = entry("amal", THEIRS, customer(9));
-        other.earlier = mulberryyoke_decide::settle::chain(&held, revision);
+        other.earlier = mulberryyoke_decide::cas::history(&held, revision);
         port.kv.fail([fault(KEY, other)]);
         let line = "customer set scouts --share 3";
         let refusal = port.change(MINE, line).await.expect_err("it was overtaken");
--- a/crates/daemon/tests/operator/kv.rs
+++ b/crates/daemon/tests/operator/kv.rs
@@ -103,7 +103,7 @@
                 apply(&mut state, key, expected, value);
                 let (held, revision) = &state.pairs[&full(other)];
                 let held: Entry = serde_json::from_slice(held).expect("the entry is readable");
-                entry.earlier = mulberryyoke_decide::settle::chain(&held, *revision);
+                entry.earlier = mulberryyoke_decide::cas::history(&held, *revision);
                 put(&mut state, other, &entry);
                 Err(lost())
             }
--- a/crates/decide/benches/shed.rs
+++ b/crates/decide/benches/shed.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use mulberryyoke_decide::engine::{Candidate, Engine, Load, Prompt};
-use mulberryyoke_decide::share::Standing;
+use mulberryyoke_decide::share::Usage;
 use mulberryyoke_decide::shed::{self, Aim};
 use mulberryyoke_model::ServerId;
 
@@ -43,7 +43,7 @@
 
 fn decisions(criterion: &mut Criterion) {
     let prompt = Prompt::of("m", [(1, 512), (2, 4_870), (3, 6_610)], 380);
-    let standing = Standing {
+    let standing = Usage {
         of_portion: 0.5,
         of_given: 0.5,
     };
--- a/crates/decide/src/aggregate/state.rs
+++ b/crates/decide/src/aggregate/state.rs
@@ -25,8 +25,8 @@
         }
         for (&customer, flow) in &other.flows {
             let sum = self.flows.entry(customer).or_default();
-            sum.asked += flow.asked;
-            sum.given += flow.given;
+            sum.requested += flow.requested;
+            sum.granted += flow.granted;
         }
     }
 
@@ -39,8 +39,8 @@
         }
         for (customer, flow) in &other.flows {
             if let Some(sum) = self.flows.get_mut(customer) {
-                sum.asked = (sum.asked - flow.asked).max(0.0);
-                sum.given = (sum.given - flow.given).max(0.0);
+                sum.requested = (sum.requested - flow.requested).max(0.0);
+                sum.granted = (sum.granted - flow.granted).max(0.0);
             }
         }
     }
@@ -56,8 +56,8 @@
         let times = f64::from(nodes);
         let flows = self.flows.iter().map(|(&customer, flow)| {
             let flow = Flow {
-                asked: flow.asked * times,
-                given: flow.given * times,
+                requested: flow.requested * times,
+                granted: flow.granted * times,
             };
             (customer, flow)
         });
--- a/crates/decide/src/settle.rs
+++ b/crates/decide/src/cas.rs
@@ -7,11 +7,11 @@
 use mulberryyoke_model::{Entry, Revision, Write};
 
 /// Earlier writes that an entry keeps.
-pub const KEPT: usize = 8;
+pub const MAX_HISTORY: usize = 8;
 
 /// What is known of a command's write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum Outcome {
     /// It took effect.
     Written {
         /// Its revision.
@@ -20,23 +20,23 @@
         replaced: Option<Revision>,
     },
     /// It has not taken effect; the same compare-and-swap may be sent again.
-    Open,
+    NotApplied,
     /// Another write took its place; it did not take effect and never will.
-    Lost,
+    Superseded,
     /// The kept writes do not reach back far enough.
-    Unclear,
+    Unknown,
 }
 
 /// Finds a command among the latest write of a key and those before it.
 #[must_use]
-pub fn find(command: u64, found: &Entry, revision: Revision) -> Option<Settled> {
+pub fn find(command: u64, found: &Entry, revision: Revision) -> Option<Outcome> {
     if found.command == command {
         let replaced = None;
-        return Some(Settled::Written { revision, replaced });
+        return Some(Outcome::Written { revision, replaced });
     }
     let mut earlier = found.earlier.iter();
     let write = earlier.find(|write| write.command == command)?;
-    Some(Settled::Written {
+    Some(Outcome::Written {
         revision: write.revision,
         replaced: Some(revision),
     })
@@ -45,38 +45,38 @@
 /// Tells what became of a command's compare-and-swap that expected the key to
 /// be as of `expected` (`None`: absent), from what is there now.
 #[must_use]
-pub fn settle(
+pub fn resolve(
     command: u64,
     expected: Option<Revision>,
     found: Option<(&Entry, Revision)>,
-) -> Settled {
+) -> Outcome {
     let Some((entry, revision)) = found else {
         // Only the record of something removed is deleted, and long after.
         return match expected {
-            None => Settled::Open,
-            Some(_) => Settled::Unclear,
+            None => Outcome::NotApplied,
+            Some(_) => Outcome::Unknown,
         };
     };
     if expected == Some(revision) {
-        return Settled::Open;
+        return Outcome::NotApplied;
     }
     if let Some(written) = find(command, entry, revision) {
         return written;
     }
     let whole = match expected {
         Some(expected) => entry.earlier.iter().any(|write| write.revision == expected),
-        None => entry.earlier.len() < KEPT,
+        None => entry.earlier.len() < MAX_HISTORY,
     };
     if whole {
-        Settled::Lost
+        Outcome::Superseded
     } else {
-        Settled::Unclear
+        Outcome::Unknown
     }
 }
 
 /// The writes before a new one that follows `entry`, newest first.
 #[must_use]
-pub fn chain(entry: &Entry, revision: Revision) -> Vec<Write> {
+pub fn history(entry: &Entry, revision: Revision) -> Vec<Write> {
     let last = Write {
         revision,
         command: entry.command,
@@ -84,6 +84,6 @@
         at: entry.at,
         words: entry.words.clone(),
     };
-    let earlier = entry.earlier.iter().take(KEPT - 1).cloned();
+    let earlier = entry.earlier.iter().take(MAX_HISTORY - 1).cloned();
     std::iter::once(last).chain(earlier).collect()
 }
--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold.rs
@@ -24,7 +24,7 @@
 
 /// What a cold server bears, from all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct Limit {
     /// Requests a second that it is made for while it is cold.
     pub per_s: f64,
     /// Times as many as that which it may get in some second.
@@ -33,11 +33,11 @@
     pub slack: f64,
 }
 
-impl Bound {
+impl Limit {
     /// Whole requests a second that gateways which agree on who may send them give it: what it
     /// is made for, and no more than keeps the bound while two views of the fleet are in use.
     #[must_use]
-    pub fn requests(self) -> u32 {
+    pub fn requests_per_s(self) -> u32 {
         let most = self.per_s * self.overage + self.slack;
         let most = self.per_s.min(most / VIEWS).max(0.0);
         whole_u32(most)
--- a/crates/decide/src/cold/members.rs
+++ b/crates/decide/src/cold/members.rs
@@ -27,7 +27,7 @@
 
 impl Members {
     /// Notes that the fleet was seen.
-    pub fn see(&mut self, now: Millis) {
+    pub fn start(&mut self, now: Millis) {
         self.since.get_or_insert(now);
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Notes that what servers bear may have changed.
-    pub const fn touch(&mut self) {
+    pub const fn invalidate(&mut self) {
         self.changes += 1;
     }
 
--- a/crates/decide/src/cold/window.rs
+++ b/crates/decide/src/cold/window.rs
@@ -17,15 +17,15 @@
 impl Window {
     /// Whether one more request may be sent of `share` a second.
     #[must_use]
-    pub fn has_room(&self, share: u32, now: Millis) -> bool {
+    pub fn has_capacity(&self, share: u32, now: Millis) -> bool {
         let recent = self.sent.iter().rev();
         let recent = recent.take_while(|at| now.saturating_sub(**at) < SPAN_MS);
         recent.count() < share as usize
     }
 
     /// Counts a request; `false` if none may be sent of `share` a second.
-    pub fn take(&mut self, share: u32, now: Millis) -> bool {
-        if !self.has_room(share, now) {
+    pub fn try_acquire(&mut self, share: u32, now: Millis) -> bool {
+        if !self.has_capacity(share, now) {
             return false;
         }
         self.sent.retain(|at| now.saturating_sub(*at) < SPAN_MS);
--- a/crates/decide/src/handoff.rs
+++ b/crates/decide/src/handoff.rs
@@ -26,13 +26,13 @@
 
 /// Whether a node is behind with its work.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Behind {
+pub struct Trigger {
     until: Millis,
 }
 
-impl Behind {
+impl Trigger {
     /// Notes by how much tasks are late on average.
-    pub fn note(&mut self, late_ms: u64, now: Millis) {
+    pub fn record_delay(&mut self, late_ms: u64, now: Millis) {
         if late_ms >= BEHIND_MS {
             self.until = now + HOLD_MS;
         }
@@ -55,7 +55,7 @@
 
 /// Those of `targets` that are asked for one connection, by a number drawn evenly: all get their
 /// part, and the next one is asked where the first cannot be.
-pub fn asked<T: Copy>(targets: &[T], drawn: usize) -> impl Iterator<Item = T> {
+pub fn candidates<T: Copy>(targets: &[T], drawn: usize) -> impl Iterator<Item = T> {
     let count = targets.len();
     (0..count.min(ASKED)).map(move |next| targets[(drawn % count + next) % count])
 }
--- a/crates/decide/src/overload.rs
+++ b/crates/decide/src/overload.rs
@@ -41,7 +41,7 @@
 impl Overload {
     /// Notes by how much a task was late; `true` if the node is overloaded or has caught up
     /// from now on.
-    pub fn note(&mut self, ms: u64, now: Millis) -> bool {
+    pub fn record_delay(&mut self, ms: u64, now: Millis) -> bool {
         self.late_ms = (self.late_ms * (WEIGHT - 1) + ms) / WEIGHT;
         let was_strained = self.is_strained;
         let bound_ms = if was_strained { EASED_MS } else { STRAINED_MS };
@@ -54,13 +54,13 @@
 
     /// By how much tasks are late on average, in milliseconds.
     #[must_use]
-    pub const fn late_ms(&self) -> u64 {
+    pub const fn mean_delay_ms(&self) -> u64 {
         self.late_ms
     }
 
     /// Whether it has more to do than its processor can.
     #[must_use]
-    pub const fn is_strained(&self) -> bool {
+    pub const fn is_overloaded(&self) -> bool {
         self.is_strained
     }
 
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -20,9 +20,9 @@
 use mulberryyoke_model::{Digest, Millis, ServerId};
 
 use self::lives::Lives;
-pub use self::record::CONVICTED;
+pub use self::record::CONVICTION_THRESHOLD;
 use self::record::Record;
-pub use self::suspect::{End, Suspect};
+pub use self::suspect::{Crash, Suspect};
 pub use self::verdict::Verdict;
 use crate::aggregate::rank;
 use crate::rank::weight;
@@ -93,7 +93,7 @@
     }
 
     /// Notes that a request broke off at a life of a server.
-    pub fn broke(&mut self, server: ServerId, digest: Digest, now: Millis) {
+    pub fn record_failure(&mut self, server: ServerId, digest: Digest, now: Millis) {
         let broken = self.broken.entry(server).or_default();
         let is_known = broken.iter().any(|(known, _)| *known == digest);
         if !is_known && broken.len() < BROKEN {
@@ -104,7 +104,7 @@
     /// Notes that a life of a server is known to have ended, which it did when the first of those
     /// broke off there that did so shortly before. Returned are the requests that have more than
     /// one such end now.
-    pub fn ended(&mut self, server: ServerId, now: Millis) -> Vec<(Digest, Verdict)> {
+    pub fn record_crash(&mut self, server: ServerId, now: Millis) -> Vec<(Digest, Verdict)> {
         let broken = self.broken.remove(&server).unwrap_or_default();
         let recent = broken
             .into_iter()
@@ -120,16 +120,16 @@
         let digests = recent.into_iter().map(|(digest, _)| digest);
         let verdicts = digests.map(|digest| (digest, self.verdict(digest, now)));
         verdicts
-            .filter(|(_, verdict)| verdict.ended() > 1)
+            .filter(|(_, verdict)| verdict.crashes() > 1)
             .collect()
     }
 
     /// Notes that a run of a request ended well; the ends that it had been held for, if any.
-    pub fn survived(&mut self, digest: Digest, now: Millis) -> u32 {
+    pub fn record_success(&mut self, digest: Digest, now: Millis) -> u32 {
         let Some(record) = self.records.get_mut(&digest) else {
             return 0;
         };
-        let held_for = record.verdict(&self.lives, now).ended();
+        let held_for = record.verdict(&self.lives, now).crashes();
         if held_for > 0 {
             record.survive(now, now);
         }
@@ -151,33 +151,33 @@
 
     /// What is known of a request, for another gateway.
     #[must_use]
-    pub fn suspect(&self, digest: Digest, now: Millis) -> Suspect {
+    pub fn snapshot(&self, digest: Digest, now: Millis) -> Suspect {
         let record = self.records.get(&digest);
         record.map_or_else(|| Suspect::new(digest), |record| record.tell(digest, now))
     }
 
     /// Takes in what another gateway knows of a request; `true` if that changed something.
-    pub fn hear(&mut self, suspect: &Suspect, now: Millis) -> bool {
+    pub fn merge(&mut self, suspect: &Suspect, now: Millis) -> bool {
         if suspect.is_empty() {
             return false;
         }
-        for end in &suspect.ends {
+        for end in &suspect.crashes {
             self.lives.end(end.server, now.saturating_sub(end.age_ms));
         }
         let record = self.record(suspect.digest);
-        record.hear(suspect, now)
+        record.merge(suspect, now)
     }
 
     /// What others are to be told: what changed lately, with the most evidence first.
     #[must_use]
-    pub fn told(&self, now: Millis) -> Vec<Suspect> {
+    pub fn updates(&self, now: Millis) -> Vec<Suspect> {
         let changed = self
             .records
             .iter()
             .filter(|(_, record)| now.saturating_sub(record.changed_at()) < TELL_MS);
         let mut changed: Vec<(&Digest, &Record)> = changed.collect();
         changed.sort_by_key(|(digest, record)| {
-            let ended = record.verdict(&self.lives, now).ended();
+            let ended = record.verdict(&self.lives, now).crashes();
             (u32::MAX - ended, **digest)
         });
         changed.truncate(TOLD);
--- a/crates/decide/src/quarantine/record.rs
+++ b/crates/decide/src/quarantine/record.rs
@@ -4,12 +4,12 @@
 use smallvec::SmallVec;
 
 use super::lives::Lives;
-use super::{End, Suspect, Verdict};
+use super::{Crash, Suspect, Verdict};
 
 /// Lives of servers under whose ends a request is convicted. Two are met by requests that only
 /// stood beside one that ends servers and went on elsewhere with it; a third, run apart from
 /// other suspects, is not.
-pub const CONVICTED: u32 = 3;
+pub const CONVICTION_THRESHOLD: u32 = 3;
 
 /// Ends that are remembered of one request; later ones are its last ones again and again.
 const ENDS: usize = 8;
@@ -29,7 +29,7 @@
 pub(super) struct Record {
     /// Lives that ended under it, oldest first, and when. Those before the last run that ended
     /// well stay, so that what is heard late of them counts for nothing.
-    ends: SmallVec<[(ServerId, Millis); 4]>,
+    crashes: SmallVec<[(ServerId, Millis); 4]>,
     survived_at: Option<Millis>,
     changed_at: Millis,
     /// Since and until when one copy has the servers for itself.
@@ -39,16 +39,16 @@
 impl Record {
     /// Notes the end of a life at an instant; `false` if it was known.
     pub(super) fn end(&mut self, server: ServerId, at: Millis, now: Millis) -> bool {
-        if self.ends.iter().any(|(known, _)| *known == server) {
+        if self.crashes.iter().any(|(known, _)| *known == server) {
             return false;
         }
-        if self.ends.len() == ENDS {
-            self.ends.remove(0);
+        if self.crashes.len() == ENDS {
+            self.crashes.remove(0);
         }
-        self.ends.push((server, at));
+        self.crashes.push((server, at));
         // An end before the trial is that of another copy.
         self.trial = self.trial.filter(|(since, _)| at < *since);
-        self.ends.sort_by_key(|(_, at)| *at);
+        self.crashes.sort_by_key(|(_, at)| *at);
         self.changed_at = now;
         true
     }
@@ -77,39 +77,42 @@
     /// that did not run it.
     pub(super) fn verdict(&self, lives: &Lives, now: Millis) -> Verdict {
         let since = self.survived_at.unwrap_or(0);
-        let is_own = |server| self.ends.iter().any(|(own, _)| *own == server);
-        let ends = self.ends.iter().filter(|(_, at)| *at > since);
+        let is_own = |server| self.crashes.iter().any(|(own, _)| *own == server);
+        let ends = self.crashes.iter().filter(|(_, at)| *at > since);
         let mut ends = ends.filter(|(_, at)| !lives.is_kill(*at, is_own));
         let ended = u32::try_from(ends.clone().count()).unwrap_or(u32::MAX);
         let Some((_, last)) = ends.next_back() else {
             return Verdict::Clear;
         };
         let until = last.saturating_add(sentence_ms(ended));
-        if ended >= CONVICTED && now < until {
-            return Verdict::Convicted { ended, until };
+        if ended >= CONVICTION_THRESHOLD && now < until {
+            return Verdict::Convicted {
+                crashes: ended,
+                until,
+            };
         }
-        Verdict::Suspect { ended }
+        Verdict::Suspect { crashes: ended }
     }
 
     pub(super) fn tell(&self, digest: Digest, now: Millis) -> Suspect {
-        let ends = self.ends.iter().map(|&(server, at)| End {
+        let ends = self.crashes.iter().map(|&(server, at)| Crash {
             server,
             age_ms: now.saturating_sub(at),
         });
         Suspect {
             digest,
-            ends: ends.collect(),
-            survived_ms: self.survived_at.map(|at| now.saturating_sub(at)),
+            crashes: ends.collect(),
+            success_age_ms: self.survived_at.map(|at| now.saturating_sub(at)),
         }
     }
 
     /// Takes in what another gateway knows; `true` if that changed something.
-    pub(super) fn hear(&mut self, suspect: &Suspect, now: Millis) -> bool {
+    pub(super) fn merge(&mut self, suspect: &Suspect, now: Millis) -> bool {
         let mut is_changed = false;
-        for end in &suspect.ends {
+        for end in &suspect.crashes {
             is_changed |= self.end(end.server, now.saturating_sub(end.age_ms), now);
         }
-        if let Some(age_ms) = suspect.survived_ms {
+        if let Some(age_ms) = suspect.success_age_ms {
             is_changed |= self.hear_survived(now.saturating_sub(age_ms), now);
         }
         is_changed
@@ -119,7 +122,7 @@
     /// messages take time, one instant looks a little later each time that it is told.
     fn hear_survived(&mut self, at: Millis, now: Millis) -> bool {
         let known = self.survived_at.unwrap_or(0);
-        let mut ends = self.ends.iter();
+        let mut ends = self.crashes.iter();
         let clears = ends.any(|(_, end)| *end > known && *end <= at);
         if clears {
             return self.survive(at, now);
@@ -130,7 +133,7 @@
 
     /// What it would cost to forget it: the more ends, and the later they were learnt, the more.
     pub(super) fn weight(&self) -> (usize, Millis) {
-        (self.ends.len(), self.changed_at)
+        (self.crashes.len(), self.changed_at)
     }
 
     pub(super) const fn changed_at(&self) -> Millis {
@@ -139,7 +142,7 @@
 
     /// Whether it is too old to matter.
     pub(super) fn is_over(&self, now: Millis) -> bool {
-        let last = self.ends.last().map_or(0, |(_, at)| *at);
+        let last = self.crashes.last().map_or(0, |(_, at)| *at);
         let last = last.max(self.survived_at.unwrap_or(0));
         now.saturating_sub(last) >= REMEMBERED_MS
     }
@@ -147,6 +150,8 @@
 
 /// Time for which a request reaches no server after so many ends, in milliseconds.
 fn sentence_ms(ended: u32) -> u64 {
-    let doubled = ended.saturating_sub(CONVICTED).min(u64::BITS - 1);
+    let doubled = ended
+        .saturating_sub(CONVICTION_THRESHOLD)
+        .min(u64::BITS - 1);
     SENTENCE_MS.saturating_mul(1 << doubled).min(LONGEST_MS)
 }
--- a/crates/decide/src/quarantine/suspect.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -10,14 +10,14 @@
     /// The request.
     pub digest: Digest,
     /// Lives of servers that ended under it.
-    pub ends: Vec<End>,
+    pub crashes: Vec<Crash>,
     /// Time since a run of it last ended well, in milliseconds.
-    pub survived_ms: Option<u64>,
+    pub success_age_ms: Option<u64>,
 }
 
 /// A life of a server that ended under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct Crash {
     /// The life.
     pub server: ServerId,
     /// Time since its end, in milliseconds.
@@ -30,12 +30,12 @@
     pub const fn new(digest: Digest) -> Self {
         Self {
             digest,
-            ends: Vec::new(),
-            survived_ms: None,
+            crashes: Vec::new(),
+            success_age_ms: None,
         }
     }
 
     pub(super) const fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.survived_ms.is_none()
+        self.crashes.is_empty() && self.success_age_ms.is_none()
     }
 }
--- a/crates/decide/src/quarantine/verdict.rs
+++ b/crates/decide/src/quarantine/verdict.rs
@@ -9,31 +9,31 @@
     Clear,
     /// Servers ended under it: one copy at a time may run.
     Suspect {
-        /// Lives of servers that ended under it since a run of it last ended well.
-        ended: u32,
+        /// Lives of servers that ended under it since a run of it last crashes well.
+        crashes: u32,
     },
     /// It ends servers: it reaches none.
     Convicted {
         /// As for suspects.
-        ended: u32,
+        crashes: u32,
         /// When one copy may be tried again.
         until: Millis,
     },
 }
 
 impl Verdict {
-    /// Lives of servers that ended under it since a run of it last ended well.
+    /// Lives of servers that ended under it since a run of it last crashes well.
     #[must_use]
-    pub const fn ended(self) -> u32 {
+    pub const fn crashes(self) -> u32 {
         match self {
             Self::Clear => 0,
-            Self::Suspect { ended } | Self::Convicted { ended, .. } => ended,
+            Self::Suspect { crashes } | Self::Convicted { crashes, .. } => crashes,
         }
     }
 
     /// Its name in logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Clear => "clear",
             Self::Suspect { .. } => "suspect",
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -30,18 +30,18 @@
     }
 
     /// Bounds what may be saved up, in hundredths of a retry.
-    pub fn set_full(&mut self, hundredths: u64) {
+    pub fn set_capacity(&mut self, hundredths: u64) {
         self.full = hundredths;
         self.hundredths = self.hundredths.min(hundredths);
     }
 
     /// Counts a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.hundredths = (self.hundredths + self.percent).min(self.full);
     }
 
     /// Spends a retry; `false` when none is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let Some(rest) = self.hundredths.checked_sub(WHOLE) else {
             return false;
         };
@@ -51,7 +51,7 @@
 
     /// Whole retries that could be spent now.
     #[must_use]
-    pub const fn left(&self) -> u64 {
+    pub const fn available(&self) -> u64 {
         self.hundredths / WHOLE
     }
 }
--- a/crates/decide/src/sample.rs
+++ b/crates/decide/src/sample.rs
@@ -13,7 +13,7 @@
 /// Whether a node uses a server, of `count` servers of which it uses about `most`. `node` is its
 /// rank ([`crate::aggregate::rank`]).
 #[must_use]
-pub fn is_used(node: u64, server: ServerId, count: usize, most: usize) -> bool {
+pub fn is_sampled(node: u64, server: ServerId, count: usize, most: usize) -> bool {
     let drawn = u128::from(weight(node, u64::from(server.0)));
     (drawn * count as u128) >> u64::BITS < most as u128
 }
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/share.rs
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Flow {
     /// Tokens of its requests.
-    pub asked: f64,
+    pub requested: f64,
     /// Tokens of those that were sent to servers.
-    pub given: f64,
+    pub granted: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -46,11 +46,11 @@
 
 impl Account {
     fn asked(&self) -> f64 {
-        self.own.asked + self.others.asked
+        self.own.requested + self.others.requested
     }
 
     fn given(&self) -> f64 {
-        self.own.given + self.others.given
+        self.own.granted + self.others.granted
     }
 }
 
@@ -68,7 +68,7 @@
 
 /// What a customer was given, beside what it may have.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct Usage {
     /// As a part of its portion of the capacity; 0 when there is enough for all.
     pub of_portion: f64,
     /// As a part of its portion of what is given in all.
@@ -77,31 +77,31 @@
 
 impl Shares {
     /// Notes what a request asks.
-    pub fn ask(&mut self, customer: CustomerId, tokens: u32) {
-        self.accounts.entry(customer).or_default().own.asked += f64::from(tokens);
+    pub fn record_request(&mut self, customer: CustomerId, tokens: u32) {
+        self.accounts.entry(customer).or_default().own.requested += f64::from(tokens);
     }
 
     /// Notes that a request was sent to a server.
-    pub fn give(&mut self, customer: CustomerId, tokens: u32) {
-        self.accounts.entry(customer).or_default().own.given += f64::from(tokens);
+    pub fn record_grant(&mut self, customer: CustomerId, tokens: u32) {
+        self.accounts.entry(customer).or_default().own.granted += f64::from(tokens);
     }
 
     /// Notes that a request was not run that was sent to a server just now.
-    pub fn take_back(&mut self, customer: CustomerId, tokens: u32) {
+    pub fn refund(&mut self, customer: CustomerId, tokens: u32) {
         if let Some(account) = self.accounts.get_mut(&customer) {
-            account.own.given = (account.own.given - f64::from(tokens)).max(0.0);
+            account.own.granted = (account.own.granted - f64::from(tokens)).max(0.0);
         }
     }
 
     /// What customers asked of and were given by this router.
-    pub fn own(&self) -> impl Iterator<Item = (CustomerId, Flow)> {
+    pub fn local(&self) -> impl Iterator<Item = (CustomerId, Flow)> {
         self.accounts
             .iter()
             .map(|(&customer, account)| (customer, account.own))
     }
 
     /// Takes in what customers asked of and were given by all other routers.
-    pub fn set_others(&mut self, others: &HashMap<CustomerId, Flow>) {
+    pub fn set_remote(&mut self, others: &HashMap<CustomerId, Flow>) {
         for account in self.accounts.values_mut() {
             account.others = Flow::default();
         }
@@ -113,14 +113,14 @@
     /// Lets old flow count less and finds the level at which `capacity` tokens a
     /// second are shared out, or as many as are given where prompts wait for long at the
     /// servers, on average `wait_ms` milliseconds.
-    pub fn settle(&mut self, capacity: f64, wait_ms: f64, now: Millis) {
+    pub fn rebalance(&mut self, capacity: f64, wait_ms: f64, now: Millis) {
         #[expect(clippy::cast_precision_loss, reason = "some seconds in milliseconds")]
         let elapsed = now.saturating_sub(self.at) as f64;
         self.at = now;
         let left = (-elapsed / HALF_MS).exp2();
         for account in self.accounts.values_mut() {
-            account.own.asked *= left;
-            account.own.given *= left;
+            account.own.requested *= left;
+            account.own.granted *= left;
         }
         self.accounts.retain(|_, account| account.asked() >= LEAST);
         let asked = self.accounts.values().map(Account::asked);
@@ -136,16 +136,16 @@
         };
         for account in self.accounts.values_mut() {
             let most = MOST_GIVEN * level / account.given().max(LEAST);
-            account.own.given *= most.min(1.0);
+            account.own.granted *= most.min(1.0);
         }
     }
 
     /// What a customer was given, beside what it may have.
     #[must_use]
-    pub fn standing(&self, customer: CustomerId) -> Standing {
+    pub fn usage(&self, customer: CustomerId) -> Usage {
         let given = self.accounts.get(&customer).map_or(0.0, Account::given);
         let part = |level: Option<f64>| level.map_or(0.0, |level| given / level.max(LEAST));
-        Standing {
+        Usage {
             of_portion: part(self.level),
             of_given: part(self.given_level),
         }
--- a/crates/decide/src/shed.rs
+++ b/crates/decide/src/shed.rs
@@ -15,7 +15,7 @@
 pub use self::held::Held;
 use self::leeway::Leeway;
 use crate::engine::{Candidate, Choice, Prompt, choose, choose_soon};
-use crate::share::Standing;
+use crate::share::Usage;
 
 /// Part of its portion up to which a customer's prompt is sent where its shared parts are
 /// read again, rather than refused. Large prompts of small customers were refused at the one
@@ -32,7 +32,7 @@
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
     aim: Aim,
-    standing: Option<Standing>,
+    standing: Option<Usage>,
     now: Millis,
 ) -> Option<Result<Choice, Held>> {
     let choice = choose(prompt, candidates.clone(), aim.pause_ms, now)?;
--- a/crates/decide/src/shed/leeway.rs
+++ b/crates/decide/src/shed/leeway.rs
@@ -2,7 +2,7 @@
 
 use super::Aim;
 use crate::engine::Choice;
-use crate::share::Standing;
+use crate::share::Usage;
 
 /// Part of a stream's objective that the first event may be expected to take, for
 /// a customer that has less than its portion: what is expected is off by a tenth.
@@ -37,7 +37,7 @@
 
 impl Leeway {
     /// That of a customer while prompts wait so long at the servers on average.
-    pub(super) fn of(standing: Standing, mean_wait_ms: f64) -> Self {
+    pub(super) fn of(standing: Usage, mean_wait_ms: f64) -> Self {
         if standing.of_portion < BEHIND {
             return Self(BEHIND_PART / PORTION_PART);
         }
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -22,7 +22,7 @@
 
 /// Who chooses, and how many.
 #[derive(Clone, Copy, Debug)]
-pub struct Chooser<'a> {
+pub struct Selector<'a> {
     /// Name of the router.
     pub router: &'a str,
     /// Its availability zone.
@@ -37,22 +37,22 @@
 /// Chooses among the servers of a pool those to stay connected to; servers that do
 /// not take new work are left out.
 #[must_use]
-pub fn choose(chooser: &Chooser<'_>, servers: &[Arc<Server>]) -> Vec<ServerId> {
+pub fn select(selector: &Selector<'_>, servers: &[Arc<Server>]) -> Vec<ServerId> {
     let active = servers.iter().filter(|s| s.state == State::Active);
     let mut ranked: Vec<(&Server, u64)> = active
-        .map(|server| (server.as_ref(), weight(chooser.router, server)))
+        .map(|server| (server.as_ref(), weight(selector.router, server)))
         .collect();
-    if ranked.len() <= chooser.size {
+    if ranked.len() <= selector.size {
         return ids(&ranked);
     }
     ranked.sort_unstable_by_key(|(server, weight)| (Reverse(*weight), &server.name));
-    let is_held = |server: &Server| is_holder(chooser, server);
+    let is_held = |server: &Server| is_holder(selector, server);
     let (held, free): (Vec<_>, Vec<_>) = ranked.into_iter().partition(|(s, _)| is_held(s));
     let (local, remote): (Vec<_>, Vec<_>) =
-        free.into_iter().partition(|(s, _)| s.zone == chooser.zone);
-    let left = chooser.size.saturating_sub(held.len());
-    let held_remote = held.iter().filter(|(s, _)| s.zone != chooser.zone).count();
-    let quota = (chooser.size / REMOTE).saturating_sub(held_remote);
+        free.into_iter().partition(|(s, _)| s.zone == selector.zone);
+    let left = selector.size.saturating_sub(held.len());
+    let held_remote = held.iter().filter(|(s, _)| s.zone != selector.zone).count();
+    let quota = (selector.size / REMOTE).saturating_sub(held_remote);
     let from_remote = quota.min(left).min(remote.len());
     let from_local = (left - from_remote).min(local.len());
     let from_remote = left - from_local;
@@ -66,7 +66,7 @@
 /// while work waits here. Routers choose differently.
 #[must_use]
 pub fn widen(
-    chooser: &Chooser<'_>,
+    selector: &Selector<'_>,
     servers: &[Arc<Server>],
     held: &[ServerId],
     idle: &[ServerId],
@@ -77,10 +77,10 @@
         server.state == State::Active && idle.contains(&id) && !held.contains(&id)
     });
     let mut ranked: Vec<(&Server, u64)> = useful
-        .map(|server| (server.as_ref(), weight(chooser.router, server)))
+        .map(|server| (server.as_ref(), weight(selector.router, server)))
         .collect();
     ranked.sort_unstable_by_key(|(server, weight)| {
-        (server.zone != chooser.zone, Reverse(*weight), &server.name)
+        (server.zone != selector.zone, Reverse(*weight), &server.name)
     });
     ranked.truncate(most);
     ids(&ranked)
@@ -91,10 +91,10 @@
     ids.collect()
 }
 
-/// Whether the chooser is among the first routers of a server.
-fn is_holder(chooser: &Chooser<'_>, server: &Server) -> bool {
-    let own = weight(chooser.router, server);
-    let others = chooser.routers.iter().filter(|r| *r != chooser.router);
+/// Whether the selector is among the first routers of a server.
+fn is_holder(selector: &Selector<'_>, server: &Server) -> bool {
+    let own = weight(selector.router, server);
+    let others = selector.routers.iter().filter(|r| *r != selector.router);
     let ahead = others.filter(|router| weight(router, server) > own);
     ahead.take(HOLDERS).count() < HOLDERS
 }
--- a/crates/decide/tests/aggregate.rs
+++ b/crates/decide/tests/aggregate.rs
@@ -163,7 +163,7 @@
         .filter(|(_, load)| **load != Load::default());
     let flows = state.flows.iter().map(|(&customer, flow)| {
         #[expect(clippy::cast_possible_truncation, reason = "small numbers of tokens")]
-        let flow = (flow.asked.round() as i64, flow.given.round() as i64);
+        let flow = (flow.requested.round() as i64, flow.granted.round() as i64);
         (customer, flow)
     });
     let flows = flows.filter(|(_, flow)| *flow != (0, 0));
@@ -186,8 +186,8 @@
             .insert(ServerId(rng.random_range(0..SERVERS)), load);
         let asked = f64::from(rng.random_range(0..200_000_u32));
         let flow = Flow {
-            asked,
-            given: (asked / 2.0).floor(),
+            requested: asked,
+            granted: (asked / 2.0).floor(),
         };
         let customer = CustomerId(rng.random_range(0..CUSTOMERS));
         state.flows.insert(customer, flow);
@@ -349,8 +349,8 @@
     };
     own.loads.insert(ServerId(3), load);
     let flow = Flow {
-        asked: 500.0,
-        given: 100.0,
+        requested: 500.0,
+        granted: 100.0,
     };
     own.flows.insert(CustomerId(1), flow);
     let estimate = own.estimate(10, &pools);
@@ -368,7 +368,7 @@
         eq(Load::default()),
         "another pool"
     );
-    expect_that!(estimate.flows[&CustomerId(1)].asked, eq(5_000.0));
+    expect_that!(estimate.flows[&CustomerId(1)].requested, eq(5_000.0));
 }
 
 #[gtest]
--- a/crates/decide/tests/settle.rs
+++ b/crates/decide/tests/cas.rs
@@ -1,19 +1,19 @@
 //! What a later reading tells of a write whose answer was lost.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::settle::{KEPT, Settled, chain, find, settle};
+use mulberryyoke_decide::cas::{MAX_HISTORY, Outcome, find, history, resolve};
 use mulberryyoke_model::{Entry, Revision};
 
 const MINE: u64 = 7;
 
 /// Expected revision, commands with their revisions, what is told.
-type Row<'a> = (Option<Revision>, &'a [(u64, Revision)], Settled);
+type Row<'a> = (Option<Revision>, &'a [(u64, Revision)], Outcome);
 
 /// The entry left by writes of these commands at these revisions, oldest first.
 fn after(writes: &[(u64, Revision)]) -> (Entry, Revision) {
     let mut held: Option<(Entry, Revision)> = None;
     for (command, revision) in writes {
-        let earlier = held.as_ref().map(|(entry, at)| chain(entry, *at));
+        let earlier = held.as_ref().map(|(entry, at)| history(entry, *at));
         let entry = Entry {
             command: *command,
             earlier: earlier.unwrap_or_default(),
@@ -24,8 +24,8 @@
     held.expect("there is a write")
 }
 
-const fn written(revision: Revision, replaced: Option<Revision>) -> Settled {
-    Settled::Written { revision, replaced }
+const fn written(revision: Revision, replaced: Option<Revision>) -> Outcome {
+    Outcome::Written { revision, replaced }
 }
 
 #[gtest]
@@ -34,24 +34,24 @@
         (None, &[(MINE, 5)], written(5, None)),
         (Some(4), &[(1, 4), (MINE, 5)], written(5, None)),
         (Some(4), &[(1, 4), (MINE, 5), (2, 9)], written(5, Some(9))),
-        (Some(4), &[(1, 4)], Settled::Open),
-        (Some(4), &[(1, 4), (2, 9)], Settled::Lost),
-        (None, &[(2, 9), (3, 10)], Settled::Lost),
+        (Some(4), &[(1, 4)], Outcome::NotApplied),
+        (Some(4), &[(1, 4), (2, 9)], Outcome::Superseded),
+        (None, &[(2, 9), (3, 10)], Outcome::Superseded),
         // Older contents: what was expected was never there.
-        (Some(4), &[(1, 3)], Settled::Unclear),
+        (Some(4), &[(1, 3)], Outcome::Unknown),
     ];
     for (expected, writes, settled) in table {
         let (entry, revision) = after(writes);
-        let found = settle(MINE, expected, Some((&entry, revision)));
+        let found = resolve(MINE, expected, Some((&entry, revision)));
         expect_that!(found, eq(settled), "{expected:?} {writes:?}");
     }
-    expect_that!(settle(MINE, None, None), eq(Settled::Open));
-    expect_that!(settle(MINE, Some(4), None), eq(Settled::Unclear));
+    expect_that!(resolve(MINE, None, None), eq(Outcome::NotApplied));
+    expect_that!(resolve(MINE, Some(4), None), eq(Outcome::Unknown));
 }
 
 #[gtest]
 fn settles_only_as_far_back_as_writes_are_kept() {
-    let kept = u64::try_from(KEPT).expect("a small number");
+    let kept = u64::try_from(MAX_HISTORY).expect("a small number");
     for later in 0..kept + 3 {
         let mut writes = vec![(1, 4), (MINE, 5)];
         writes.extend((0..later).map(|n| (100 + n, 6 + n)));
@@ -59,9 +59,9 @@
         let replaced = (later > 0).then_some(revision);
         let known = (later <= kept).then_some(written(5, replaced));
         expect_that!(find(MINE, &entry, revision), eq(known), "after {later}");
-        let settled = known.unwrap_or(Settled::Unclear);
-        let found = settle(MINE, Some(4), Some((&entry, revision)));
+        let settled = known.unwrap_or(Outcome::Unknown);
+        let found = resolve(MINE, Some(4), Some((&entry, revision)));
         expect_that!(found, eq(settled), "after {later}");
-        expect_that!(entry.earlier.len(), le(KEPT));
+        expect_that!(entry.earlier.len(), le(MAX_HISTORY));
     }
 }
--- a/crates/decide/tests/cold/fleet.rs
+++ b/crates/decide/tests/cold/fleet.rs
@@ -97,7 +97,7 @@
         for (index, gateway) in self.gateways.iter_mut().enumerate() {
             gateway.touched = COLD.0;
             let is_new = trouble == Trouble::AllStart;
-            gateway.members.see(if is_new { COLD.0 } else { 0 });
+            gateway.members.start(if is_new { COLD.0 } else { 0 });
             for (other, name) in names.iter().enumerate() {
                 if other == index {
                     continue;
--- a/crates/decide/tests/cold/main.rs
+++ b/crates/decide/tests/cold/main.rs
@@ -5,14 +5,14 @@
 
 use googletest::prelude::*;
 use mulberryyoke_decide::aggregate::rank;
-use mulberryyoke_decide::cold::{Bound, Members, Window, share};
+use mulberryyoke_decide::cold::{Limit, Members, Window, share};
 use mulberryyoke_model::ServerId;
 
 use crate::fleet::{Fleet, Trouble};
 use crate::way::Way;
 
 /// What a server of the tests bears while it is cold: 24.5 requests in any second.
-pub(crate) const BOUND: Bound = Bound {
+pub(crate) const BOUND: Limit = Limit {
     per_s: 13.0,
     overage: 1.5,
     slack: 5.0,
@@ -43,12 +43,12 @@
         (100.0, 1.0, 0.0, 50),
     ];
     for (per_s, overage, slack, requests) in table {
-        let bound = Bound {
+        let bound = Limit {
             per_s,
             overage,
             slack,
         };
-        expect_that!(bound.requests(), eq(requests), "{bound:?}");
+        expect_that!(bound.requests_per_s(), eq(requests), "{bound:?}");
     }
 }
 
@@ -82,24 +82,24 @@
 #[gtest]
 fn a_window_counts_any_second_and_some_more() {
     let mut window = Window::default();
-    expect_that!(window.take(2, 100), eq(true));
-    expect_that!(window.take(2, 600), eq(true));
+    expect_that!(window.try_acquire(2, 100), eq(true));
+    expect_that!(window.try_acquire(2, 600), eq(true));
     expect_that!(
-        window.take(2, 1_150),
+        window.try_acquire(2, 1_150),
         eq(false),
         "a second and what is late"
     );
-    expect_that!(window.take(2, 1_200), eq(true));
-    expect_that!(window.take(2, 1_300), eq(false));
-    expect_that!(window.take(3, 1_300), eq(true));
-    expect_that!(window.take(0, 9_000), eq(false));
+    expect_that!(window.try_acquire(2, 1_200), eq(true));
+    expect_that!(window.try_acquire(2, 1_300), eq(false));
+    expect_that!(window.try_acquire(3, 1_300), eq(true));
+    expect_that!(window.try_acquire(0, 9_000), eq(false));
 }
 
 #[gtest]
 fn one_that_has_just_started_knows_too_little_and_those_that_lapse_still_count() {
     let mut members = Members::default();
     expect_that!(members.ranks(10_000), none());
-    members.see(10_000);
+    members.start(10_000);
     members.join("a");
     members.join("b");
     expect_that!(members.ranks(12_900), none());
@@ -133,7 +133,7 @@
 /// keeps those of several from coming together.
 #[gtest]
 fn divided_among_all_it_is_exceeded_or_kept_by_luck() {
-    let shared = BOUND.requests() as usize;
+    let shared = BOUND.requests_per_s() as usize;
     for gateways in SIZES {
         let played = |way| Fleet::new(gateways, 7).play(way, Trouble::None);
         expect_that!(played(Way::Holders).busiest, le(shared));
--- a/crates/decide/tests/cold/way.rs
+++ b/crates/decide/tests/cold/way.rs
@@ -61,14 +61,14 @@
         if way == Way::Holders {
             let share = share(
                 server,
-                BOUND.requests(),
+                BOUND.requests_per_s(),
                 rank(&self.name),
                 ranks.into_iter(),
             );
-            return self.window.take(share, now);
+            return self.window.try_acquire(share, now);
         }
         let gateways = ranks.len() as u64 + 1;
-        let interval = 1_000 * gateways / u64::from(BOUND.requests());
+        let interval = 1_000 * gateways / u64::from(BOUND.requests_per_s());
         let first = if way == Way::DividedAtOnce {
             cold_ms
         } else {
--- a/crates/decide/tests/handoff/main.rs
+++ b/crates/decide/tests/handoff/main.rs
@@ -12,7 +12,7 @@
 mod zone;
 
 use googletest::prelude::*;
-use mulberryyoke_decide::handoff::{Behind, asked, targets};
+use mulberryyoke_decide::handoff::{Trigger, candidates, targets};
 
 use crate::zone::{Caller, Way, Zone};
 
@@ -50,26 +50,26 @@
 #[gtest]
 fn each_larger_node_gets_its_part_and_another_is_asked_where_one_cannot() {
     let targets = [1, 3, 5];
-    let first = (0..99).filter_map(|drawn| asked(&targets, drawn).next());
+    let first = (0..99).filter_map(|drawn| candidates(&targets, drawn).next());
     let mut parts = [0; 6];
     first.for_each(|target| parts[target] += 1);
     expect_that!(parts, eq([0, 33, 0, 33, 0, 33]));
     for drawn in 0..9 {
-        let two: Vec<usize> = asked(&targets, drawn).collect();
+        let two: Vec<usize> = candidates(&targets, drawn).collect();
         expect_that!(two.len(), eq(2));
         expect_that!(two[0], not(eq(two[1])));
     }
-    expect_that!(asked(&[7], 3).collect::<Vec<usize>>(), eq(&[7]));
-    expect_that!(asked(&[0_u8; 0], 3).count(), eq(0));
+    expect_that!(candidates(&[7], 3).collect::<Vec<usize>>(), eq(&[7]));
+    expect_that!(candidates(&[0_u8; 0], 3).count(), eq(0));
 }
 
 #[gtest]
 fn a_node_hands_on_as_long_as_it_is_behind_and_seconds_beyond() {
-    let mut behind = Behind::default();
-    behind.note(9, 1_000);
+    let mut behind = Trigger::default();
+    behind.record_delay(9, 1_000);
     expect_that!(behind.until(), eq(0));
-    behind.note(10, 2_000);
-    behind.note(0, 2_050);
+    behind.record_delay(10, 2_000);
+    behind.record_delay(0, 2_050);
     expect_that!(behind.until(), eq(5_000));
 }
 
--- a/crates/decide/tests/handoff/node.rs
+++ b/crates/decide/tests/handoff/node.rs
@@ -1,6 +1,6 @@
 //! A node that works off what it is given at the speed of its part of a processor.
 
-use mulberryyoke_decide::handoff::Behind;
+use mulberryyoke_decide::handoff::Trigger;
 use mulberryyoke_decide::overload::Overload;
 use mulberryyoke_model::Millis;
 
@@ -20,7 +20,7 @@
     /// Time of a processor that its work takes which it has not yet done, in milliseconds.
     work_ms: f64,
     pub(crate) overload: Overload,
-    pub(crate) behind: Behind,
+    pub(crate) behind: Trigger,
     /// Answers to the balancer's last two questions.
     pub(crate) answers: [bool; 2],
 }
@@ -31,7 +31,7 @@
             thousandths,
             work_ms: 0.0,
             overload: Overload::default(),
-            behind: Behind::default(),
+            behind: Trigger::default(),
             answers: [true; 2],
         }
     }
@@ -55,8 +55,8 @@
         let done = f64::from(self.thousandths) / 1_000.0 * STEP_MS as f64;
         self.work_ms = (self.work_ms - done).max(0.0);
         let late_ms = self.late_ms() as u64;
-        self.overload.note(late_ms, now);
-        self.behind.note(self.overload.late_ms(), now);
+        self.overload.record_delay(late_ms, now);
+        self.behind.record_delay(self.overload.mean_delay_ms(), now);
     }
 
     /// Answers the balancer's question.
--- a/crates/decide/tests/handoff/zone.rs
+++ b/crates/decide/tests/handoff/zone.rs
@@ -1,6 +1,6 @@
 //! A zone of nodes behind a balancer that goes by a hash of the caller.
 
-use mulberryyoke_decide::handoff::{asked, targets};
+use mulberryyoke_decide::handoff::{candidates, targets};
 use mulberryyoke_model::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -92,9 +92,9 @@
         let sizes = (0..).zip(sizes);
         let larger = targets(self.nodes[index].thousandths, sizes);
         let drawn = usize::try_from(played.asked).expect("some thousand requests");
-        let is_listening = |node: &Node| !node.overload.is_strained();
+        let is_listening = |node: &Node| !node.overload.is_overloaded();
         let is_behind = way == Way::HandOn && now < self.nodes[index].behind.until();
-        let target = asked(&larger, drawn)
+        let target = candidates(&larger, drawn)
             .filter_map(|target| usize::try_from(target).ok())
             .find(|target| is_behind && is_listening(&self.nodes[*target]));
         let late_ms = match target {
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -13,7 +13,7 @@
 /// Measures the same lateness from one moment to another.
 fn run(overload: &mut Overload, from: Millis, to: Millis, late_ms: u64) {
     for step in from / STEP..to / STEP {
-        overload.note(late_ms, step * STEP);
+        overload.record_delay(late_ms, step * STEP);
     }
 }
 
@@ -23,11 +23,11 @@
     run(&mut overload, 0, 1_000, 5);
     expect_that!(overload.until(), eq(0));
     run(&mut overload, 1_000, 3_000, LATE);
-    expect_that!(overload.is_strained(), eq(true));
+    expect_that!(overload.is_overloaded(), eq(true));
     expect_that!(overload.since(), eq(1_000));
     expect_that!(overload.until(), eq(Millis::MAX));
     run(&mut overload, 3_000, 5_000, 0);
-    expect_that!(overload.is_strained(), eq(false));
+    expect_that!(overload.is_overloaded(), eq(false));
     expect_that!(overload.until(), eq(6_000));
 }
 
@@ -66,7 +66,7 @@
         } else {
             late_ms / 2
         };
-        changes += u32::from(overload.note(late_ms, now));
+        changes += u32::from(overload.record_delay(late_ms, now));
     }
     // 157 when it took callers as soon as it had caught up.
     expect_that!(changes, le(10));
@@ -75,7 +75,7 @@
 #[gtest]
 fn a_moment_of_lateness_changes_nothing() {
     let mut overload = Overload::default();
-    expect_that!(overload.note(200, 50), eq(false));
+    expect_that!(overload.record_delay(200, 50), eq(false));
     run(&mut overload, 100, 2_000, 10);
     expect_that!(overload.until(), eq(0));
 }
--- a/crates/decide/tests/place.rs
+++ b/crates/decide/tests/place.rs
@@ -116,9 +116,9 @@
     for (percent, firsts, allowed) in rows {
         let mut budget = Budget::new(percent);
         for _ in 0..firsts {
-            budget.earn();
+            budget.deposit();
         }
-        let spent = (0..1_000).filter(|_| budget.spend()).count();
+        let spent = (0..1_000).filter(|_| budget.try_withdraw()).count();
         expect_that!(
             spent,
             eq(allowed),
@@ -132,13 +132,13 @@
     let mut budget = Budget::new(10);
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.earn();
-        if budget.spend() {
+        budget.deposit();
+        if budget.try_withdraw() {
             retries += 1;
         }
     }
     // Ten at first, and one for each ten first attempts; the very first adds
     // nothing to the full budget.
     expect_that!(retries, eq(10 + 99));
-    expect_that!(budget.left(), eq(0));
+    expect_that!(budget.available(), eq(0));
 }
--- a/crates/decide/tests/rest.rs
+++ b/crates/decide/tests/pushback.rs
@@ -1,14 +1,14 @@
 //! Servers that ask for rest, and what comes back after it.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::rest::{MOST_MS, Rest, TRIAL_MS, retry_ms};
+use mulberryyoke_decide::pushback::{MAX_DELAY_MS, PROBE_INTERVAL_MS, Pushback, retry_after_ms};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-fn asked(rests: &[(u64, u64)]) -> Rest {
-    let mut rest = Rest::default();
+fn asked(rests: &[(u64, u64)]) -> Pushback {
+    let mut rest = Pushback::default();
     for (now, rest_ms) in rests {
-        rest.ask(*rest_ms, *now);
+        rest.extend(*rest_ms, *now);
     }
     rest
 }
@@ -22,15 +22,15 @@
         (&[(100, 3_000)], 3_100),
         (&[(100, 3_000), (600, 500)], 3_100),
         (&[(100, 3_000), (600, 4_000)], 4_600),
-        (&[(100, u64::MAX)], 100 + MOST_MS),
+        (&[(100, u64::MAX)], 100 + MAX_DELAY_MS),
     ];
     for (rests, until) in table {
         let rest = asked(rests);
         if let Some(before) = until.checked_sub(1) {
-            expect_that!(rest.is_resting(before), eq(true), "{rests:?}");
+            expect_that!(rest.is_active(before), eq(true), "{rests:?}");
             expect_that!(rest.wait_ms(before), eq(1), "{rests:?}");
         }
-        expect_that!(rest.is_resting(until), eq(false), "{rests:?}");
+        expect_that!(rest.is_active(until), eq(false), "{rests:?}");
         expect_that!(rest.wait_ms(until), eq(0), "{rests:?}");
     }
 }
@@ -38,15 +38,26 @@
 #[gtest]
 fn after_it_one_request_at_a_time_is_tried_until_one_is_answered() {
     let mut rest = asked(&[(0, 1_000)]);
-    expect_that!(rest.answer(500), eq(false), "it was asked before the rest");
+    expect_that!(
+        rest.record_response(500),
+        eq(false),
+        "it was asked before the rest"
+    );
     expect_that!(rest.wait_ms(500), eq(500));
-    rest.send(1_000);
-    expect_that!(rest.wait_ms(1_001), eq(TRIAL_MS - 1));
-    rest.send(1_000 + TRIAL_MS);
-    expect_that!(rest.wait_ms(1_001 + TRIAL_MS), eq(TRIAL_MS - 1));
-    expect_that!(rest.answer(1_002 + TRIAL_MS), eq(true));
-    expect_that!(rest.wait_ms(1_002 + TRIAL_MS), eq(0));
-    expect_that!(rest.answer(1_003 + TRIAL_MS), eq(false), "it takes them");
+    rest.record_send(1_000);
+    expect_that!(rest.wait_ms(1_001), eq(PROBE_INTERVAL_MS - 1));
+    rest.record_send(1_000 + PROBE_INTERVAL_MS);
+    expect_that!(
+        rest.wait_ms(1_001 + PROBE_INTERVAL_MS),
+        eq(PROBE_INTERVAL_MS - 1)
+    );
+    expect_that!(rest.record_response(1_002 + PROBE_INTERVAL_MS), eq(true));
+    expect_that!(rest.wait_ms(1_002 + PROBE_INTERVAL_MS), eq(0));
+    expect_that!(
+        rest.record_response(1_003 + PROBE_INTERVAL_MS),
+        eq(false),
+        "it takes them"
+    );
 }
 
 /// Requests a second, before, in and after the rest.
@@ -89,7 +100,7 @@
 #[gtest]
 fn those_refused_in_a_rest_do_not_come_back_together() {
     let mut rng = StdRng::seed_from_u64(1);
-    let spread = replay(|wait_ms| u64::from(retry_ms(wait_ms, rng.random())));
+    let spread = replay(|wait_ms| u64::from(retry_after_ms(wait_ms, rng.random())));
     let half = replay(|wait_ms| wait_ms + rng.random_range(0..wait_ms / 2 + 500));
     let together = replay(|wait_ms| wait_ms);
     // At most four times what comes in a tenth of a second otherwise.
@@ -103,7 +114,7 @@
 #[gtest]
 fn nobody_is_asked_back_before_the_first_rest_is_over() {
     for drawn in [0.0, 0.5, 1.0] {
-        expect_that!(retry_ms(700, drawn), ge(700));
+        expect_that!(retry_after_ms(700, drawn), ge(700));
     }
-    expect_that!(retry_ms(u64::MAX, 1.0), eq(u32::MAX));
+    expect_that!(retry_after_ms(u64::MAX, 1.0), eq(u32::MAX));
 }
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -3,7 +3,9 @@
 use std::collections::HashSet;
 
 use googletest::prelude::*;
-use mulberryyoke_decide::quarantine::{CONVICTED, Quarantine, Suspect, Verdict, arbiter};
+use mulberryyoke_decide::quarantine::{
+    CONVICTION_THRESHOLD, Quarantine, Suspect, Verdict, arbiter,
+};
 use mulberryyoke_model::{Digest, ServerId};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -17,9 +19,9 @@
 /// Has a server end with these requests; the time goes on by 100 ms.
 fn end(quarantine: &mut Quarantine, server: u32, requests: &[Digest], now: &mut u64) {
     for digest in requests {
-        quarantine.broke(ServerId(server), *digest, *now);
+        quarantine.record_failure(ServerId(server), *digest, *now);
     }
-    quarantine.ended(ServerId(server), *now);
+    quarantine.record_crash(ServerId(server), *now);
     *now += 100;
 }
 
@@ -27,19 +29,22 @@
 fn a_third_end_convicts_and_a_broken_answer_alone_is_no_evidence() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
     for server in 0..9 {
-        quarantine.broke(ServerId(100 + server), BAD, now);
+        quarantine.record_failure(ServerId(100 + server), BAD, now);
     }
     expect_that!(quarantine.verdict(BAD, now), eq(Verdict::Clear));
-    for ended in 1..CONVICTED {
+    for ended in 1..CONVICTION_THRESHOLD {
         end(&mut quarantine, ended, &[BAD], &mut now);
-        expect_that!(quarantine.verdict(BAD, now), eq(Verdict::Suspect { ended }));
+        expect_that!(
+            quarantine.verdict(BAD, now),
+            eq(Verdict::Suspect { crashes: ended })
+        );
     }
-    end(&mut quarantine, CONVICTED, &[BAD], &mut now);
+    end(&mut quarantine, CONVICTION_THRESHOLD, &[BAD], &mut now);
     let verdict = quarantine.verdict(BAD, now);
     let is_convicted = matches!(
         verdict,
         Verdict::Convicted {
-            ended: CONVICTED,
+            crashes: CONVICTION_THRESHOLD,
             ..
         }
     );
@@ -52,17 +57,17 @@
     let (mut one, mut other, mut now) = (Quarantine::default(), Quarantine::default(), 1_000);
     end(&mut one, 1, &[BAD], &mut now);
     end(&mut one, 2, &[BAD], &mut now);
-    let early = one.suspect(BAD, now);
-    other.hear(&early, now);
-    expect_that!(other.verdict(BAD, now).ended(), eq(2));
+    let early = one.snapshot(BAD, now);
+    other.merge(&early, now);
+    expect_that!(other.verdict(BAD, now).crashes(), eq(2));
     now += 500;
-    expect_that!(one.survived(BAD, now), eq(2));
-    other.hear(&one.suspect(BAD, now), now);
-    other.hear(&early, now + 49);
+    expect_that!(one.record_success(BAD, now), eq(2));
+    other.merge(&one.snapshot(BAD, now), now);
+    other.merge(&early, now + 49);
     now += 50;
     expect_that!(other.verdict(BAD, now), eq(Verdict::Clear));
     end(&mut other, 3, &[BAD], &mut now);
-    expect_that!(other.verdict(BAD, now).ended(), eq(1));
+    expect_that!(other.verdict(BAD, now).crashes(), eq(1));
 }
 
 #[gtest]
@@ -70,7 +75,7 @@
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
     for server in 0..200 {
         end(&mut quarantine, server, &[BAD], &mut now);
-        quarantine.survived(BAD, now);
+        quarantine.record_success(BAD, now);
         expect_that!(quarantine.verdict(BAD, now), eq(Verdict::Clear));
     }
 }
@@ -82,8 +87,8 @@
         let at = now;
         for server in 0..4 {
             let request = Digest(u128::from(server) + 1);
-            quarantine.broke(ServerId(10 * kill + server), request, now);
-            quarantine.ended(ServerId(10 * kill + server), now);
+            quarantine.record_failure(ServerId(10 * kill + server), request, now);
+            quarantine.record_crash(ServerId(10 * kill + server), now);
             now += 5;
         }
         now = at + 3_000;
@@ -103,12 +108,12 @@
     // That another copy had ended a server before is learnt late, and frees nothing.
     let mut other = Quarantine::default();
     end(&mut other, 2, &[BAD], &mut (now - 50));
-    quarantine.hear(&other.suspect(BAD, now), now);
+    quarantine.merge(&other.snapshot(BAD, now), now);
     expect_that!(quarantine.admit(BAD, now), eq(false));
     // The copy that runs ends one itself.
     end(&mut quarantine, 3, &[BAD], &mut now);
-    expect_that!(quarantine.verdict(BAD, now).ended(), eq(3));
-    quarantine.survived(BAD, now);
+    expect_that!(quarantine.verdict(BAD, now).crashes(), eq(3));
+    quarantine.record_success(BAD, now);
     expect_that!(quarantine.admit(BAD, now), eq(true));
     expect_that!(quarantine.admit(BAD, now), eq(true));
 }
@@ -126,13 +131,13 @@
 #[gtest]
 fn a_conviction_ends_with_one_copy_and_the_next_lasts_twice_as_long() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
-    for server in 0..CONVICTED {
+    for server in 0..CONVICTION_THRESHOLD {
         end(&mut quarantine, server, &[BAD], &mut now);
     }
     now += SENTENCE_MS;
     expect_that!(quarantine.admit(BAD, now), eq(true));
     expect_that!(quarantine.admit(BAD, now), eq(false));
-    end(&mut quarantine, CONVICTED, &[BAD], &mut now);
+    end(&mut quarantine, CONVICTION_THRESHOLD, &[BAD], &mut now);
     now += 2 * SENTENCE_MS - 1_000;
     expect_that!(quarantine.admit(BAD, now), eq(false));
     expect_that!(quarantine.admit(BAD, now + 1_000), eq(true));
@@ -147,22 +152,22 @@
     }
     let told: Vec<Suspect> = sources
         .iter()
-        .map(|source| source.suspect(BAD, now))
+        .map(|source| source.snapshot(BAD, now))
         .collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 1, 0]] {
         let mut hearer = Quarantine::default();
         for index in order.into_iter().chain([2, 0]) {
-            hearer.hear(&told[index], now);
+            hearer.merge(&told[index], now);
         }
-        expect_that!(hearer.verdict(BAD, now).ended(), eq(3), "{order:?}");
-        expect_that!(hearer.told(now), len(eq(1)));
+        expect_that!(hearer.verdict(BAD, now).crashes(), eq(3), "{order:?}");
+        expect_that!(hearer.updates(now), len(eq(1)));
     }
 }
 
 #[gtest]
 fn what_is_known_and_told_stays_bounded_under_a_flood_of_different_requests() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
-    for server in 0..CONVICTED {
+    for server in 0..CONVICTION_THRESHOLD {
         end(&mut quarantine, server, &[BAD], &mut now);
     }
     for server in 0..100 {
@@ -171,8 +176,8 @@
         end(&mut quarantine, 10 + server, &requests, &mut now);
     }
     expect_that!(quarantine.len(), le(4_096));
-    expect_that!(quarantine.told(now), len(le(64)));
-    expect_that!(quarantine.verdict(BAD, now).ended(), eq(3));
+    expect_that!(quarantine.updates(now), len(le(64)));
+    expect_that!(quarantine.verdict(BAD, now).crashes(), eq(3));
     quarantine.expire(now + 600_000);
     expect_that!(quarantine.is_empty(), eq(true));
 }
@@ -224,7 +229,7 @@
         now += 25;
         for server in &mut servers {
             for run in server.extract_if(.., |run| run.until <= now) {
-                quarantine.survived(run.digest, now);
+                quarantine.record_success(run.digest, now);
             }
             while server.len() < 40 {
                 next += 1;
@@ -238,7 +243,7 @@
         if step % 10 != 0 || !quarantine.admit(BAD, now) {
             continue;
         }
-        let is_apart = quarantine.verdict(BAD, now).ended() >= 2;
+        let is_apart = quarantine.verdict(BAD, now).crashes() >= 2;
         let index = choose(&servers, is_apart, &mut rng);
         let beside: Vec<Digest> = servers[index].drain(..).map(|run| run.digest).collect();
         ends += 1;
@@ -246,7 +251,7 @@
         end(&mut quarantine, ends, &broken, &mut now);
         for digest in beside {
             if quarantine.admit(digest, now) {
-                let is_apart = quarantine.verdict(digest, now).ended() >= 2;
+                let is_apart = quarantine.verdict(digest, now).crashes() >= 2;
                 let index = choose(&servers, is_apart, &mut rng);
                 let until = now + rng.random_range(1_000..5_000);
                 servers[index].push(Run {
@@ -268,7 +273,7 @@
 fn few_are_convicted_that_only_stood_beside_a_request_that_ends_servers() {
     let replays: Vec<(u32, usize)> = (0..100).map(replay).collect();
     let most = replays.iter().map(|(ends, _)| *ends).max();
-    expect_that!(most, some(le(CONVICTED)));
+    expect_that!(most, some(le(CONVICTION_THRESHOLD)));
     let innocent: usize = replays.iter().map(|(_, convicted)| convicted).sum();
     expect_that!(innocent, le(3), "convicted in 100 replays");
 }
--- a/crates/decide/tests/replay/gateway.rs
+++ b/crates/decide/tests/replay/gateway.rs
@@ -75,8 +75,8 @@
     /// Sends a request to one of the servers that are not gone, or says why not.
     pub(crate) fn place(&mut self, job: &Job, gone: &[bool], now: Millis) -> Result<Sent, Held> {
         let customer = CustomerId(job.customer);
-        self.shares.ask(customer, job.prompt.cost());
-        let standing = self.shares.standing(customer);
+        self.shares.record_request(customer, job.prompt.cost());
+        let standing = self.shares.usage(customer);
         let engines = self.engines.iter().enumerate();
         let open = engines.filter(|(index, _)| !gone[*index]);
         let candidates = open.map(|(index, engine)| Candidate {
@@ -90,7 +90,7 @@
         };
         let placed = shed::place(&job.prompt, candidates, aim, Some(standing), now);
         let choice = placed.expect("a server is there")?;
-        self.shares.give(customer, job.prompt.cost());
+        self.shares.record_grant(customer, job.prompt.cost());
         let server = choice.server.0 as usize;
         let ahead = self.engines[server].backlog();
         let had_slot = self.engines[server].beyond() == 0;
--- a/crates/decide/tests/replay/world.rs
+++ b/crates/decide/tests/replay/world.rs
@@ -227,7 +227,7 @@
         }
         for gateway in &mut self.gateways {
             let wait_ms = gateway.mean_wait_ms();
-            gateway.shares.settle(CAPACITY, wait_ms, now);
+            gateway.shares.rebalance(CAPACITY, wait_ms, now);
         }
         if now_ms >= 6_000.0 {
             self.change_servers();
@@ -238,18 +238,18 @@
         let own: Vec<HashMap<_, Flow>> = self
             .gateways
             .iter()
-            .map(|gateway| gateway.shares.own().collect())
+            .map(|gateway| gateway.shares.local().collect())
             .collect();
         for (index, gateway) in self.gateways.iter_mut().enumerate() {
             let mut others: HashMap<_, Flow> = HashMap::new();
             for (_, flows) in own.iter().enumerate().filter(|(other, _)| *other != index) {
                 for (&customer, flow) in flows {
                     let sum = others.entry(customer).or_default();
-                    sum.asked += flow.asked;
-                    sum.given += flow.given;
+                    sum.requested += flow.requested;
+                    sum.granted += flow.granted;
                 }
             }
-            gateway.shares.set_others(&others);
+            gateway.shares.set_remote(&others);
         }
     }
 
--- a/crates/decide/tests/sample.rs
+++ b/crates/decide/tests/sample.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use mulberryyoke_decide::aggregate::rank;
-use mulberryyoke_decide::sample::is_used;
+use mulberryyoke_decide::sample::is_sampled;
 use mulberryyoke_model::ServerId;
 
 /// Servers that a node uses.
@@ -11,7 +11,7 @@
 /// The servers that a node uses of so many.
 fn used(node: &str, servers: u32) -> Vec<u32> {
     let count = usize::try_from(servers).expect("a few thousand");
-    let used = (0..servers).filter(|id| is_used(rank(node), ServerId(*id), count, MOST));
+    let used = (0..servers).filter(|id| is_sampled(rank(node), ServerId(*id), count, MOST));
     used.collect()
 }
 
--- a/crates/decide/tests/share.rs
+++ b/crates/decide/tests/share.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use googletest::prelude::*;
-use mulberryyoke_decide::share::{Flow, Shares, Standing};
+use mulberryyoke_decide::share::{Flow, Shares, Usage};
 use mulberryyoke_model::CustomerId;
 
 const LARGE: CustomerId = CustomerId(1);
@@ -13,10 +13,10 @@
 fn run(shares: &mut Shares, from_s: u64, to_s: u64, flows: &[(CustomerId, u32, u32)]) {
     for step in from_s * 50..to_s * 50 {
         for &(customer, asked, given) in flows {
-            shares.ask(customer, asked / 50);
-            shares.give(customer, given / 50);
+            shares.record_request(customer, asked / 50);
+            shares.record_grant(customer, given / 50);
         }
-        shares.settle(10_000.0, 0.0, step * 20);
+        shares.rebalance(10_000.0, 0.0, step * 20);
     }
 }
 
@@ -29,7 +29,7 @@
         8,
         &[(LARGE, 8_000, 8_000), (SMALL, 1_000, 1_000)],
     );
-    expect_that!(shares.standing(LARGE), eq(Standing::default()));
+    expect_that!(shares.usage(LARGE), eq(Usage::default()));
 }
 
 #[gtest]
@@ -41,7 +41,7 @@
         8,
         &[(LARGE, 40_000, 9_000), (SMALL, 1_000, 500)],
     );
-    let (large, small) = (shares.standing(LARGE), shares.standing(SMALL));
+    let (large, small) = (shares.usage(LARGE), shares.usage(SMALL));
     expect_that!(large.of_portion, near(1.0, 0.05));
     expect_that!(small.of_portion, lt(0.1));
 }
@@ -56,7 +56,7 @@
         8,
         &[(LARGE, 60_000, 24_000), (other, 60_000, 6_000)],
     );
-    let (large, other) = (shares.standing(LARGE), shares.standing(other));
+    let (large, other) = (shares.usage(LARGE), shares.usage(other));
     expect_that!(large.of_given, gt(1.2));
     expect_that!(other.of_given, lt(0.5));
 }
@@ -69,33 +69,33 @@
     let mut flows = others.clone();
     flows.push((LARGE, 9_900, 0));
     run(&mut shares, 6, 11, &flows);
-    expect_that!(shares.standing(LARGE).of_portion, lt(0.8));
+    expect_that!(shares.usage(LARGE).of_portion, lt(0.8));
 }
 
 #[gtest]
 fn what_other_routers_gave_counts_and_goes_with_them() {
     let mut shares = Shares::default();
-    shares.ask(LARGE, 50_000);
+    shares.record_request(LARGE, 50_000);
     let flow = Flow {
-        asked: 50_000.0,
-        given: 40_000.0,
+        requested: 50_000.0,
+        granted: 40_000.0,
     };
-    shares.set_others(&HashMap::from([(LARGE, flow), (SMALL, flow)]));
-    shares.settle(10_000.0, 0.0, 0);
-    expect_that!(shares.standing(LARGE).of_portion, gt(1.0));
-    shares.set_others(&HashMap::new());
-    shares.settle(10_000.0, 0.0, 0);
-    expect_that!(shares.standing(LARGE).of_portion, eq(0.0));
+    shares.set_remote(&HashMap::from([(LARGE, flow), (SMALL, flow)]));
+    shares.rebalance(10_000.0, 0.0, 0);
+    expect_that!(shares.usage(LARGE).of_portion, gt(1.0));
+    shares.set_remote(&HashMap::new());
+    shares.rebalance(10_000.0, 0.0, 0);
+    expect_that!(shares.usage(LARGE).of_portion, eq(0.0));
 }
 
 #[gtest]
 fn customers_that_ask_nothing_are_forgotten() {
     let mut shares = Shares::default();
-    shares.ask(SMALL, 1_000);
-    shares.settle(10_000.0, 0.0, 0);
-    expect_that!(shares.own().count(), eq(1));
-    shares.settle(10_000.0, 0.0, 60_000);
-    expect_that!(shares.own().count(), eq(0));
+    shares.record_request(SMALL, 1_000);
+    shares.rebalance(10_000.0, 0.0, 0);
+    expect_that!(shares.local().count(), eq(1));
+    shares.rebalance(10_000.0, 0.0, 60_000);
+    expect_that!(shares.local().count(), eq(0));
 }
 
 #[gtest]
@@ -104,13 +104,13 @@
     let (hot, newly_hot) = (CustomerId(1), CustomerId(2));
     let mut shares = Shares::default();
     for step in 0..400 {
-        shares.ask(hot, 4_000);
-        shares.ask(newly_hot, 4_000);
-        shares.give(hot, 2_000);
-        shares.give(newly_hot, 400);
-        shares.settle(10_000.0, 300.0, step * 20);
+        shares.record_request(hot, 4_000);
+        shares.record_request(newly_hot, 4_000);
+        shares.record_grant(hot, 2_000);
+        shares.record_grant(newly_hot, 400);
+        shares.rebalance(10_000.0, 300.0, step * 20);
     }
-    let (hot, newly_hot) = (shares.standing(hot), shares.standing(newly_hot));
+    let (hot, newly_hot) = (shares.usage(hot), shares.usage(newly_hot));
     expect_that!(hot.of_given, ge(1.6));
     expect_that!(newly_hot.of_given, le(0.4));
     expect_that!(hot.of_given / newly_hot.of_given, near(5.0, 0.2));
--- a/crates/decide/tests/shed.rs
+++ b/crates/decide/tests/shed.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use mulberryyoke_decide::engine::{Candidate, Choice, Engine, Load, Prompt};
 use mulberryyoke_decide::plain;
-use mulberryyoke_decide::share::Standing;
+use mulberryyoke_decide::share::Usage;
 use mulberryyoke_decide::shed::{self, Aim, Held};
 use mulberryyoke_model::ServerId;
 
@@ -38,7 +38,7 @@
 fn place(
     engines: &[Engine],
     own: u32,
-    standing: Option<Standing>,
+    standing: Option<Usage>,
 ) -> std::result::Result<Choice, Held> {
     let prompt = prompt(own);
     let candidates = engines.iter().enumerate().map(|(index, engine)| Candidate {
@@ -50,8 +50,8 @@
 }
 
 /// The standing of a customer that was given this part of its portion.
-const fn standing(of_portion: f64) -> Standing {
-    Standing {
+const fn standing(of_portion: f64) -> Usage {
+    Usage {
         of_portion,
         of_given: of_portion,
     }
--- a/crates/decide/tests/subset.rs
+++ b/crates/decide/tests/subset.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use mulberryyoke_decide::subset::{Chooser, choose, widen};
+use mulberryyoke_decide::subset::{Selector, select, widen};
 use mulberryyoke_model::{Server, ServerId, State};
 
 const SIZE: usize = 20;
@@ -32,8 +32,8 @@
     (0..count).map(|index| format!("r{index}")).collect()
 }
 
-fn chooser<'a>(router: &'a str, routers: &'a [String]) -> Chooser<'a> {
-    Chooser {
+fn selector<'a>(router: &'a str, routers: &'a [String]) -> Selector<'a> {
+    Selector {
         router,
         zone: "z0",
         routers,
@@ -51,7 +51,7 @@
 fn a_small_pool_is_held_whole() {
     let routers = routers(4);
     let servers = servers(SIZE);
-    let chosen = choose(&chooser("r1", &routers), &servers);
+    let chosen = select(&selector("r1", &routers), &servers);
     expect_that!(chosen.len(), eq(SIZE));
 }
 
@@ -60,7 +60,7 @@
     let routers = routers(200);
     let servers = servers(300);
     for router in &routers {
-        let chosen = choose(&chooser(router, &routers), &servers);
+        let chosen = select(&selector(router, &routers), &servers);
         let zones = chosen.iter().map(|id| zone_of(*id, &servers));
         let local = zones.filter(|zone| zone == "z0").count();
         expect_that!(chosen.len(), eq(SIZE));
@@ -75,7 +75,7 @@
     let mut holders: BTreeMap<ServerId, usize> = BTreeMap::new();
     let mut most = 0;
     for router in &routers {
-        let chosen = choose(&chooser(router, &routers), &servers);
+        let chosen = select(&selector(router, &routers), &servers);
         most = most.max(chosen.len());
         for id in chosen {
             *holders.entry(id).or_default() += 1;
@@ -94,11 +94,13 @@
     let after = &before[..99];
     let mut moved = 0;
     for router in after {
-        let old: BTreeSet<_> = choose(&chooser(router, &before), &servers)
+        let old: BTreeSet<_> = select(&selector(router, &before), &servers)
             .into_iter()
             .collect();
         let fewer = &servers[1..];
-        let new: BTreeSet<_> = choose(&chooser(router, after), fewer).into_iter().collect();
+        let new: BTreeSet<_> = select(&selector(router, after), fewer)
+            .into_iter()
+            .collect();
         moved += new.difference(&old).count();
     }
     // One of 100 routers and one of 300 servers have gone, of 99 times 20 links.
@@ -109,13 +111,13 @@
 fn idle_servers_widen_the_subset() {
     let routers = routers(40);
     let servers = servers(200);
-    let chooser = chooser("r1", &routers);
-    let held = choose(&chooser, &servers);
+    let selector = selector("r1", &routers);
+    let held = select(&selector, &servers);
     let idle: Vec<ServerId> = servers.iter().map(|s| ServerId::of(&s.name)).collect();
-    let more = widen(&chooser, &servers, &held, &idle, 5);
+    let more = widen(&selector, &servers, &held, &idle, 5);
     expect_that!(more.len(), eq(5));
     expect_true!(more.iter().all(|id| !held.contains(id)));
     expect_true!(more.iter().all(|id| zone_of(*id, &servers) == "z0"));
-    expect_that!(widen(&chooser, &servers, &idle, &idle, 5), is_empty());
-    expect_that!(widen(&chooser, &servers, &held, &[], 5), is_empty());
+    expect_that!(widen(&selector, &servers, &idle, &idle, 5), is_empty());
+    expect_that!(widen(&selector, &servers, &held, &[], 5), is_empty());
 }
--- a/crates/gateway/src/backend/cold.rs
+++ b/crates/gateway/src/backend/cold.rs
@@ -46,14 +46,14 @@
             return true;
         }
         let share = self.share.load(Ordering::Relaxed);
-        is_in_touch && self.sent.lock().has_room(share, now_ms)
+        is_in_touch && self.sent.lock().has_capacity(share, now_ms)
     }
 
     /// Counts a request that is sent now.
     pub(crate) fn count(&self, now_ms: u64) {
         if self.is_cold(now_ms) {
             let share = self.share.load(Ordering::Relaxed);
-            self.sent.lock().take(share, now_ms);
+            self.sent.lock().try_acquire(share, now_ms);
         }
     }
 }
--- a/crates/gateway/src/backend/life.rs
+++ b/crates/gateway/src/backend/life.rs
@@ -2,15 +2,15 @@
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use mulberryyoke_decide::leaving::Word;
-use mulberryyoke_decide::rest::Rest;
+use mulberryyoke_decide::leaving::Announcement;
+use mulberryyoke_decide::pushback::Pushback;
 use parking_lot::Mutex;
 
 /// What one life of a server said of itself. It holds whatever the key-value service says of
 /// this life, and nothing of it holds for the next.
 #[derive(Debug, Default)]
 pub(crate) struct Life {
-    word: Mutex<Word>,
+    word: Mutex<Announcement>,
     /// Whether it said here that it leaves.
     is_leaving: AtomicBool,
     /// Until when others are better asked by what peers say, in milliseconds of the boot clock.
@@ -19,7 +19,7 @@
     seen_ms: AtomicU64,
     /// Whether it asked for rest and has answered no request since: others are not looked at.
     has_asked: AtomicBool,
-    rest: Mutex<Rest>,
+    rest: Mutex<Pushback>,
 }
 
 impl Life {
@@ -27,7 +27,7 @@
     pub(crate) fn leave(&self, now_ms: u64) -> bool {
         self.see(now_ms);
         self.is_leaving.store(true, Ordering::Relaxed);
-        self.word.lock().say(now_ms)
+        self.word.lock().record_direct(now_ms)
     }
 
     /// Whether it said here that it leaves.
@@ -38,8 +38,8 @@
     /// Notes that it said so to another gateway some time ago; `true` if that is new here.
     pub(crate) fn hear(&self, age_ms: u64, now_ms: u64) -> bool {
         let mut word = self.word.lock();
-        let is_new = word.hear(age_ms, now_ms);
-        let until_ms = word.until().unwrap_or(0);
+        let is_new = word.record_relayed(age_ms, now_ms);
+        let until_ms = word.avoid_until().unwrap_or(0);
         self.avoided_until_ms.store(until_ms, Ordering::Relaxed);
         drop(word);
         self.see(now_ms.saturating_sub(age_ms));
@@ -59,7 +59,7 @@
     /// Notes that it asks for so much rest from now on.
     pub(crate) fn ask(&self, rest_ms: u64, now_ms: u64) {
         self.see(now_ms);
-        self.rest.lock().ask(rest_ms, now_ms);
+        self.rest.lock().extend(rest_ms, now_ms);
         self.has_asked.store(true, Ordering::Relaxed);
     }
 
@@ -69,7 +69,7 @@
             return false;
         }
         let mut rest = self.rest.lock();
-        let is_back = rest.answer(now_ms);
+        let is_back = rest.record_response(now_ms);
         if is_back {
             self.has_asked.store(false, Ordering::Relaxed);
         }
@@ -79,13 +79,13 @@
     /// Notes that a request is about to be sent.
     pub(crate) fn send(&self, now_ms: u64) {
         if self.has_asked.load(Ordering::Relaxed) {
-            self.rest.lock().send(now_ms);
+            self.rest.lock().record_send(now_ms);
         }
     }
 
     /// Whether it wants no requests now.
     pub(crate) fn is_resting(&self, now_ms: u64) -> bool {
-        self.has_asked.load(Ordering::Relaxed) && self.rest.lock().is_resting(now_ms)
+        self.has_asked.load(Ordering::Relaxed) && self.rest.lock().is_active(now_ms)
     }
 
     /// Time until a request may be sent, in milliseconds; 0 if one may be sent now.
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -5,8 +5,8 @@
 
 use mulberryyoke_decide::engine::{Candidate, Engine, narrow};
 use mulberryyoke_decide::plain;
-use mulberryyoke_decide::rest::retry_ms;
-use mulberryyoke_decide::share::Standing;
+use mulberryyoke_decide::pushback::retry_after_ms;
+use mulberryyoke_decide::share::Usage;
 use mulberryyoke_decide::shed::{self, Aim, Held};
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{CustomerId, PoolId, ServerId, whole_u32};
@@ -83,7 +83,10 @@
     let open = servers.iter().filter(|backend| backend.is_open());
     let waits = open.map(|backend| backend.life.wait_ms(now_ms));
     let first_ms = waits.min().filter(|wait_ms| *wait_ms > 0)?;
-    Some(Refusal::Resting(retry_ms(first_ms, rand::rng().random())))
+    Some(Refusal::Resting(retry_after_ms(
+        first_ms,
+        rand::rng().random(),
+    )))
 }
 
 /// Leaves out servers that are not preferred, if any are.
@@ -108,7 +111,7 @@
     core: &Core,
     call: &Call,
     open: &[&Arc<Backend>],
-    standing: Option<Standing>,
+    standing: Option<Usage>,
     now: Instant,
 ) -> Result<Running, Refusal> {
     let prompt = call.prompt.as_ref().ok_or(Refusal::NoServer)?;
@@ -149,7 +152,7 @@
     let is_new = choice.uncached > own;
     if standing.is_some() {
         charge(call, |customer, tokens| {
-            core.shares.lock().give(customer, tokens);
+            core.shares.lock().record_grant(customer, tokens);
         });
     }
     core.exchange.note(choice.server, prompt, is_new);
@@ -163,7 +166,7 @@
 /// Takes back what a customer was charged for a request that its server has not run.
 pub(crate) fn take_back(core: &Core, call: &Call) {
     charge(call, |customer, tokens| {
-        core.shares.lock().take_back(customer, tokens);
+        core.shares.lock().refund(customer, tokens);
     });
 }
 
@@ -175,19 +178,19 @@
 }
 
 /// What the customer was given, beside what it may have; a new request counts as asked.
-fn standing(core: &Core, call: &Call, is_new: bool) -> Standing {
+fn standing(core: &Core, call: &Call, is_new: bool) -> Usage {
     let (Some(customer), Some(prompt)) = (&call.customer, &call.prompt) else {
-        return Standing::default();
+        return Usage::default();
     };
     let mut shares = core.shares.lock();
     if is_new {
-        shares.ask(customer.id, prompt.cost());
+        shares.record_request(customer.id, prompt.cost());
     }
-    shares.standing(customer.id)
+    shares.usage(customer.id)
 }
 
 /// The refusal of a prompt that no server can take in time; `server` is the best one's name.
-fn refuse(core: &Core, call: &Call, held: &Held, standing: Standing, server: &str) -> Refusal {
+fn refuse(core: &Core, call: &Call, held: &Held, standing: Usage, server: &str) -> Refusal {
     let choice = &held.choice;
     log!(core.logger, Event::HeldBack,
         "request" => &call.id,
--- a/crates/gateway/src/budgets.rs
+++ b/crates/gateway/src/budgets.rs
@@ -32,7 +32,7 @@
         let (percent, full) = (self.percent, self.full);
         self.by_pool.entry(pool).or_insert_with(|| {
             let mut budget = Budget::new(percent);
-            budget.set_full(full);
+            budget.set_capacity(full);
             budget
         })
     }
@@ -51,7 +51,7 @@
         }
         if inner.full != full {
             for budget in inner.by_pool.values_mut() {
-                budget.set_full(full);
+                budget.set_capacity(full);
             }
         }
         inner.percent = percent;
@@ -60,11 +60,11 @@
 
     /// Counts a first attempt.
     pub(crate) fn earn(&self, pool: PoolId) {
-        self.inner.lock().of(pool).earn();
+        self.inner.lock().of(pool).deposit();
     }
 
     /// Spends a retry; `false` when none is left.
     pub(crate) fn spend(&self, pool: PoolId) -> bool {
-        self.inner.lock().of(pool).spend()
+        self.inner.lock().of(pool).try_withdraw()
     }
 }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -104,9 +104,9 @@
         resume_after: Option<u64>,
     ) -> Result<(Outcome, ServerId), Refusal> {
         let verdict = quarantine::admit(core, call, self.is_admitted).await?;
-        self.is_suspect = verdict.ended() > 0;
+        self.is_suspect = verdict.crashes() > 0;
         self.is_admitted = self.is_suspect;
-        let is_apart = verdict.ended() >= APART;
+        let is_apart = verdict.crashes() >= APART;
         let running = balance::place(core, call, &self.tried, self.ran > 0, is_apart)?;
         let server = running.backend.server.id;
         self.tried.push(server);
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -12,7 +12,7 @@
 
 use mulberryyoke_decide::aggregate::{Place, interval_ms};
 use mulberryyoke_decide::engine::Prompt;
-use mulberryyoke_decide::handoff::asked;
+use mulberryyoke_decide::handoff::candidates;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Digest, Incarnation, ServerId};
 use mulberryyoke_wire::beat::{Beat, Read};
@@ -60,7 +60,7 @@
     /// Where the larger gateways of the zone take connections that are asked for one, in their
     /// order.
     pub(crate) fn larger(&self) -> Vec<SocketAddr> {
-        asked(&self.inner.lock().larger, rand::random_range(0..usize::MAX)).collect()
+        candidates(&self.inner.lock().larger, rand::random_range(0..usize::MAX)).collect()
     }
 
     /// Whether this gateway is one of the few that ask the key-value service, and
--- a/crates/gateway/src/exchange/inner.rs
+++ b/crates/gateway/src/exchange/inner.rs
@@ -220,7 +220,7 @@
             let load = others.loads.get(&backend.server.id);
             backend.engine.lock().others = load.copied().unwrap_or_default();
         }
-        core.shares.lock().set_others(&others.flows);
+        core.shares.lock().set_remote(&others.flows);
     }
 }
 
@@ -232,6 +232,6 @@
         (load != Load::default()).then_some((backend.server.id, load))
     });
     let loads = loads.collect();
-    let flows = core.shares.lock().own().collect();
+    let flows = core.shares.lock().local().collect();
     State { loads, flows }
 }
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -55,7 +55,7 @@
     let models = core.roster.models();
     core.shares
         .lock()
-        .settle(capacity * models.taking, models.wait_ms, clock::now_ms());
+        .rebalance(capacity * models.taking, models.wait_ms, clock::now_ms());
     let settings = core.settings.load();
     let nodes = core.exchange.gateways();
     core.budgets
--- a/crates/gateway/src/follow/contents.rs
+++ b/crates/gateway/src/follow/contents.rs
@@ -93,7 +93,7 @@
             }
         }
         self.lose(&gone, &absent, is_restored);
-        self.shares.members.see(clock::now_ms());
+        self.shares.members.start(clock::now_ms());
     }
 
     /// Notes that servers and keys are no longer there: for good, or, if a copy lacks them from
@@ -194,7 +194,7 @@
     /// well has cleared names no lives.
     fn convict(&self, digest: Digest, value: &[u8], revision: Revision) {
         match quarantine::read(digest, value) {
-            Some(suspect) if suspect.ends.is_empty() => quarantine::release(&self.core, digest),
+            Some(suspect) if suspect.crashes.is_empty() => quarantine::release(&self.core, digest),
             Some(suspect) => quarantine::hear(&self.core, &[suspect]),
             None => {
                 let error = Unreadable {
@@ -222,7 +222,7 @@
             Ok(plan) => {
                 let version = plan.version();
                 if self.core.view.apply(plan) {
-                    self.shares.members.touch();
+                    self.shares.members.invalidate();
                     log!(self.core.logger, Event::ConfigApplied,
                         "revision" => revision, "version" => version, "view_age_ms" => self.core.view.age_ms());
                 }
--- a/crates/gateway/src/follow/shares.rs
+++ b/crates/gateway/src/follow/shares.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use mulberryyoke_decide::aggregate::rank;
-use mulberryyoke_decide::cold::{Bound, Members, share};
+use mulberryyoke_decide::cold::{Limit, Members, share};
 
 use crate::backend::Backend;
 use crate::clock;
@@ -58,11 +58,11 @@
             return u32::MAX;
         };
         let settings = self.core.settings.load();
-        let bound = Bound {
+        let limit = Limit {
             per_s: cold.per_s,
             overage: settings.cold_overage,
             slack: settings.cold_slack,
         };
-        bound.requests()
+        limit.requests_per_s()
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -68,7 +68,7 @@
 
     /// What is known of a request, for another gateway.
     fn suspect(&self, digest: Digest) -> Suspect {
-        self.records.lock().suspect(digest, clock::now_ms())
+        self.records.lock().snapshot(digest, clock::now_ms())
     }
 
     /// What other gateways are to be told.
@@ -76,7 +76,7 @@
         if self.is_empty() {
             return Vec::new();
         }
-        self.records.lock().told(clock::now_ms())
+        self.records.lock().updates(clock::now_ms())
     }
 
     /// Forgets what is too old to matter.
@@ -96,13 +96,13 @@
 /// Takes in what another gateway knows.
 pub(crate) fn hear(core: &Core, suspects: &[Suspect]) {
     for suspect in suspects {
-        for end in &suspect.ends {
-            learn(core, end.server);
+        for crash in &suspect.crashes {
+            learn(core, crash.server);
         }
         let now = clock::now_ms();
         let (before, after) = core.quarantine.change(|records| {
             let before = records.verdict(suspect.digest, now);
-            records.hear(suspect, now);
+            records.merge(suspect, now);
             (before, records.verdict(suspect.digest, now))
         });
         note(core, suspect.digest, before, after);
@@ -128,12 +128,14 @@
 /// Notes that a life of a server has ended, and what that says of requests that broke off there.
 fn ended(core: &Arc<Core>, server: ServerId, name: &str) {
     let now = clock::now_ms();
-    let suspects = core.quarantine.change(|records| records.ended(server, now));
+    let suspects = core
+        .quarantine
+        .change(|records| records.record_crash(server, now));
     for (digest, verdict) in suspects {
         log!(core.logger, Event::Suspected,
             "digest" => digest.to_string(),
             "server" => name,
-            "ended" => verdict.ended());
+            "ended" => verdict.crashes());
         if matches!(verdict, Verdict::Convicted { .. }) {
             note(core, digest, Verdict::Clear, verdict);
             conviction::write(core, digest);
@@ -150,12 +152,12 @@
     let now = clock::now_ms();
     let held_for = core
         .quarantine
-        .change(|records| records.survived(digest, now));
+        .change(|records| records.record_success(digest, now));
     if held_for == 0 {
         return;
     }
     cleared(core, digest, held_for, "ended well");
-    if held_for >= mulberryyoke_decide::quarantine::CONVICTED {
+    if held_for >= mulberryyoke_decide::quarantine::CONVICTION_THRESHOLD {
         conviction::write(core, digest);
     }
 }
@@ -165,7 +167,7 @@
     let now = clock::now_ms();
     let held_for = core
         .quarantine
-        .change(|records| records.survived(digest, now));
+        .change(|records| records.record_success(digest, now));
     if held_for > 0 {
         cleared(core, digest, held_for, "released");
     }
@@ -182,7 +184,7 @@
 
 /// Logs a conviction that is new here.
 fn note(core: &Core, digest: Digest, before: Verdict, after: Verdict) {
-    let Verdict::Convicted { ended, until } = after else {
+    let Verdict::Convicted { crashes, until } = after else {
         return;
     };
     if matches!(before, Verdict::Convicted { .. }) {
@@ -191,6 +193,6 @@
     metrics::counter!("quarantine_convictions_total").increment(1);
     log!(core.logger, Event::Convicted,
         "digest" => digest.to_string(),
-        "ended" => ended,
+        "ended" => crashes,
         "for_ms" => until.saturating_sub(clock::now_ms()));
 }
--- a/crates/gateway/src/quarantine/admit.rs
+++ b/crates/gateway/src/quarantine/admit.rs
@@ -45,11 +45,11 @@
         Verdict::Clear => true,
         Verdict::Convicted { .. } => false,
         Verdict::Suspect { .. } if is_admitted => true,
-        Verdict::Suspect { ended } => match core.exchange.arbiter(digest) {
+        Verdict::Suspect { crashes } => match core.exchange.arbiter(digest) {
             None => allow(core, digest),
             Some(arbiter) => {
                 let asked = ask(core, arbiter, digest).await;
-                asked.unwrap_or(ended <= UNASKED)
+                asked.unwrap_or(crashes <= UNASKED)
             }
         },
     };
@@ -59,9 +59,9 @@
     log!(core.logger, Event::Withheld,
         "request" => &call.id,
         "digest" => digest.to_string(),
-        "verdict" => verdict.word(),
-        "ended" => verdict.ended());
-    metrics::counter!("quarantine_withheld_total", "verdict" => verdict.word()).increment(1);
+        "verdict" => verdict.as_str(),
+        "ended" => verdict.crashes());
+    metrics::counter!("quarantine_withheld_total", "verdict" => verdict.as_str()).increment(1);
     Err(Refusal::Quarantined)
 }
 
@@ -120,7 +120,7 @@
     hear(core, &[suspect]);
     let may = allow(core, digest);
     let after = core.quarantine.verdict(digest);
-    let is_new = matches!(after, Verdict::Convicted { .. }) && before.ended() < after.ended();
+    let is_new = matches!(after, Verdict::Convicted { .. }) && before.crashes() < after.crashes();
     if is_new {
         conviction::write(core, digest);
     }
--- a/crates/gateway/src/quarantine/conviction.rs
+++ b/crates/gateway/src/quarantine/conviction.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use mulberryyoke_decide::quarantine::{End, Suspect, Verdict};
+use mulberryyoke_decide::quarantine::{Crash, Suspect, Verdict};
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Digest, ServerId};
 use mulberryyoke_platform::kv::Error;
@@ -41,16 +41,16 @@
 pub(crate) fn read(digest: Digest, value: &[u8]) -> Option<Suspect> {
     let text = std::str::from_utf8(value).ok()?;
     let lives = text.split_whitespace().map(|life| life.parse().ok());
-    let ends = lives.map(|life| {
-        Some(End {
+    let crashes = lives.map(|life| {
+        Some(Crash {
             server: ServerId(life?),
             age_ms: 0,
         })
     });
     Some(Suspect {
         digest,
-        ends: ends.collect::<Option<_>>()?,
-        survived_ms: None,
+        crashes: crashes.collect::<Option<_>>()?,
+        success_age_ms: None,
     })
 }
 
@@ -118,8 +118,11 @@
         return String::new();
     }
     let suspect = core.quarantine.suspect(digest);
-    let survived_ms = suspect.survived_ms.unwrap_or(u64::MAX);
-    let ends = suspect.ends.iter().filter(|end| end.age_ms < survived_ms);
-    let lives: Vec<String> = ends.map(|end| end.server.0.to_string()).collect();
+    let success_age_ms = suspect.success_age_ms.unwrap_or(u64::MAX);
+    let crashes = suspect
+        .crashes
+        .iter()
+        .filter(|crash| crash.age_ms < success_age_ms);
+    let lives: Vec<String> = crashes.map(|crash| crash.server.0.to_string()).collect();
     lives.join(" ")
 }
--- a/crates/gateway/src/quarantine/witness.rs
+++ b/crates/gateway/src/quarantine/witness.rs
@@ -36,7 +36,7 @@
     let life = seen.life(backend.server.id, !has_ended);
     drop(seen);
     core.quarantine
-        .change(|records| records.broke(life, digest, clock::now_ms()));
+        .change(|records| records.record_failure(life, digest, clock::now_ms()));
     if has_ended {
         ended(core, life, &backend.server.name);
     }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -10,7 +10,7 @@
 use arc_swap::ArcSwap;
 use mulberryyoke_decide::aggregate::rank;
 use mulberryyoke_decide::engine::Pace;
-use mulberryyoke_decide::sample::is_used;
+use mulberryyoke_decide::sample::is_sampled;
 use mulberryyoke_model::{PoolId, ServerId};
 use parking_lot::Mutex;
 
@@ -220,7 +220,7 @@
         }
         for of_pool in table.pools.values_mut() {
             let count = of_pool.len();
-            of_pool.retain(|backend| is_used(self.node, backend.server.id, count, USED));
+            of_pool.retain(|backend| is_sampled(self.node, backend.server.id, count, USED));
             of_pool.sort_by(|a, b| a.server.name.cmp(&b.server.name));
         }
         self.table.store(Arc::new(table));
--- a/crates/gateway/src/strain.rs
+++ b/crates/gateway/src/strain.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use mulberryyoke_decide::handoff::Behind;
+use mulberryyoke_decide::handoff::Trigger;
 use mulberryyoke_decide::overload::Overload;
 use mulberryyoke_event::{Event, log};
 use tokio::sync::watch;
@@ -61,14 +61,14 @@
     fn set(&self, overload: &Overload) {
         self.since_ms.store(overload.since(), Ordering::Relaxed);
         self.until_ms.store(overload.until(), Ordering::Relaxed);
-        self.is_strained.send_replace(overload.is_strained());
+        self.is_strained.send_replace(overload.is_overloaded());
     }
 }
 
 /// Measures until the gateway ends.
 pub(crate) async fn measure(core: Arc<Core>) {
     let mut overload = Overload::default();
-    let mut behind = Behind::default();
+    let mut behind = Trigger::default();
     loop {
         let due = Instant::now() + PERIOD;
         tokio::select! {
@@ -76,14 +76,14 @@
             () = sleep(PERIOD) => {}
         }
         let late_ms = clock::between_ms(due, Instant::now());
-        let is_changed = overload.note(late_ms, clock::now_ms());
-        behind.note(overload.late_ms(), clock::now_ms());
+        let is_changed = overload.record_delay(late_ms, clock::now_ms());
+        behind.record_delay(overload.mean_delay_ms(), clock::now_ms());
         let until = behind.until();
         core.strain.behind_until_ms.store(until, Ordering::Relaxed);
         if is_changed {
             core.strain.set(&overload);
             log!(core.logger, Event::Strained,
-                "strained" => overload.is_strained(), "late_ms" => late_ms);
+                "strained" => overload.is_overloaded(), "late_ms" => late_ms);
         }
     }
 }
--- a/crates/wire/src/beat.rs
+++ b/crates/wire/src/beat.rs
@@ -200,15 +200,15 @@
     fn new(id: CustomerId, flow: Flow) -> Self {
         Self {
             id,
-            asked: whole_u32(flow.asked),
-            given: whole_u32(flow.given),
+            asked: whole_u32(flow.requested),
+            given: whole_u32(flow.granted),
         }
     }
 
     fn flow(&self) -> (CustomerId, Flow) {
         let flow = Flow {
-            asked: f64::from(self.asked),
-            given: f64::from(self.given),
+            requested: f64::from(self.asked),
+            granted: f64::from(self.given),
         };
         (self.id, flow)
     }
--- a/crates/wire/tests/beat.rs
+++ b/crates/wire/tests/beat.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use mulberryyoke_decide::aggregate::{Member, State, Sum};
 use mulberryyoke_decide::engine::{Load, Part};
-use mulberryyoke_decide::quarantine::{End, Suspect};
+use mulberryyoke_decide::quarantine::{Crash, Suspect};
 use mulberryyoke_decide::share::Flow;
 use mulberryyoke_model::{CustomerId, Digest, Incarnation, ServerId};
 use mulberryyoke_wire::beat::{Assembler, Beat, Leaving, MAX_BYTES, Read, Scope, Unreadable};
@@ -19,8 +19,8 @@
         running: 16,
     };
     let flow = Flow {
-        asked: 3_000_000.0,
-        given: 1_000_000.0,
+        requested: 3_000_000.0,
+        granted: 1_000_000.0,
     };
     let loads = (0..servers).map(|id| (ServerId(u32::MAX - id), load));
     let flows = (0..customers).map(|id| (CustomerId(u32::MAX - id), flow));
@@ -155,14 +155,14 @@
 
 /// Requests under suspicion, as many as a message tells.
 fn suspects(count: u32) -> Vec<Suspect> {
-    let end = |server| End {
+    let crash = |server| Crash {
         server: ServerId(u32::MAX - server),
         age_ms: 1_500,
     };
     let suspects = (0..count).map(|index| Suspect {
         digest: Digest(u128::MAX - u128::from(index)),
-        ends: (0..3).map(end).collect(),
-        survived_ms: Some(40),
+        crashes: (0..3).map(crash).collect(),
+        success_age_ms: Some(40),
     });
     suspects.collect()
 }
