--- a/crates/decide/src/account/charge.rs
+++ b/crates/decide/src/account/charge.rs
@@ -1,11 +1,11 @@
-//! What one running request has been charged.
+//! Charge of a running request.
 
-/// How far the charge of a running request is ahead of its stream, in tokens.
+/// Maximum lead of a request's charge over its streamed tokens.
 pub const CHARGE_LEAD: u64 = 128;
 
-/// Charge of one running request: what has streamed and up to [`CHARGE_LEAD`] tokens of
-/// what is still expected, so that a customer's charges rise about as its requests
-/// run, and a request that was just started counts at once. Settled at the end.
+/// Charge of one running request: its streamed tokens plus up to [`CHARGE_LEAD`]
+/// of its estimated remaining tokens. A request is therefore charged from its
+/// start, and its charge then follows the stream. Settled at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
     estimate: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Charge {
-    /// The charge of a request that starts now, with an estimated cost in tokens.
+    /// Creates the charge of a starting request from its estimated cost in tokens.
     #[must_use]
     pub const fn new(estimate: u64) -> Self {
         Self {
@@ -25,24 +25,24 @@
     /// Tokens charged so far.
     #[must_use]
     pub fn charged(&self) -> u64 {
-        let ahead = self.estimate.min(self.metered + CHARGE_LEAD);
-        self.metered.max(ahead)
+        let with_lead = self.estimate.min(self.metered + CHARGE_LEAD);
+        self.metered.max(with_lead)
     }
 
-    /// Tokens that streamed so far.
+    /// Tokens streamed so far.
     #[must_use]
     pub const fn metered(&self) -> u64 {
         self.metered
     }
 
-    /// Counts streamed tokens. Returns what has to be charged on top.
+    /// Adds streamed tokens. Returns the increase of the charge.
     pub fn meter(&mut self, tokens: u64) -> u64 {
-        let before = self.charged();
+        let previous = self.charged();
         self.metered += tokens;
-        self.charged() - before
+        self.charged() - previous
     }
 
-    /// Settles at the end. Returns what was charged too much.
+    /// Returns the tokens charged above the streamed ones, to be refunded at the end.
     #[must_use]
     pub fn settle(&self) -> u64 {
         self.charged() - self.metered
--- a/crates/decide/src/account/demand.rs
+++ b/crates/decide/src/account/demand.rs
@@ -1,21 +1,22 @@
-//! What waits for one customer at one link.
+//! Demand of one customer at one link.
 
 use mulberryyoke_model::{Interest, Millis};
 
 use crate::admission::LinkKey;
 
-/// Requests of one customer that wait at one link's router, less those that a
-/// slot was reserved for since it declared them.
+/// Requests of one customer that wait at one link's router, excluding those that
+/// got a reserved slot since the router declared them.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// The link.
+    /// The link whose router holds the requests.
     pub link: LinkKey,
+    /// Number of waiting requests by class.
     waiting: [u16; 3],
-    /// When the oldest of the best class began to wait.
+    /// When the oldest request of the best class began to wait.
     pub(crate) since: Millis,
-    /// Mean estimated cost of one, in tokens.
+    /// Mean estimated cost of a request, in tokens.
     pub(crate) cost: u32,
-    /// Whether the link shows no sign of life.
+    /// Whether the link is unresponsive.
     pub(crate) suspended: bool,
 }
 
@@ -40,7 +41,7 @@
         self.waiting = [0; 3];
     }
 
-    /// Counts one request of the best class less; a slot is reserved for it.
+    /// Removes a request of the best class, for which a slot is reserved.
     pub(crate) fn reserve_one(&mut self) {
         let class = self.best_class();
         if let Some(waiting) = self.waiting.get_mut(class) {
@@ -48,14 +49,14 @@
         }
     }
 
-    /// Counts a request again whose router never learnt of its slot.
+    /// Restores a request whose router was never told of its reserved slot.
     pub(crate) fn release_one(&mut self, class: usize) {
         if let Some(waiting) = self.waiting.get_mut(class) {
             *waiting = waiting.saturating_add(1);
         }
     }
 
-    /// Requests that wait for a slot.
+    /// Number of requests waiting for a slot; 0 while suspended.
     #[must_use]
     pub fn runnable(&self) -> u32 {
         if self.suspended {
@@ -64,7 +65,7 @@
         self.waiting.iter().copied().map(u32::from).sum()
     }
 
-    /// Rank of the best class that has a waiting request.
+    /// Index of the best class that has a waiting request.
     #[must_use]
     pub fn best_class(&self) -> usize {
         let best = self.waiting.iter().position(|waiting| *waiting > 0);
--- a/crates/decide/src/account/fleet.rs
+++ b/crates/decide/src/account/fleet.rs
@@ -1,88 +1,91 @@
-//! Service counted by the fleet.
+//! Fleet-wide service counts.
 
 use mulberryyoke_model::CustomerId;
 
-use super::{AccountKey, Ledger, MAX_DEBT, SCALE};
+use super::{AccountKey, Ledger, MAX_DEBT, UNITS_PER_TOKEN};
 
 impl Ledger {
-    /// Takes over fleet-wide counts from the collector. With `settling` set they
-    /// only set where later ones count from.
+    /// Applies fleet-wide totals from the collector. While `settling`, they only
+    /// become the baseline for later ones.
     pub(crate) fn apply_fleet_totals(
         &mut self,
-        fleet: impl Iterator<Item = (CustomerId, u64)>,
+        totals: impl Iterator<Item = (CustomerId, u64)>,
         settling: bool,
     ) {
-        let mut told = Vec::new();
-        for (customer, tokens) in fleet {
+        let mut updated = Vec::new();
+        for (customer, tokens) in totals {
             let key = self.get_or_open(customer);
-            self.update(key, |account| account.tell(tokens, settling));
-            told.push(key);
+            self.update(key, |account| {
+                account.apply_collector_total(tokens, settling);
+            });
+            updated.push(key);
         }
-        for key in told {
-            self.forgive(key);
+        for key in updated {
+            self.cap_debt(key);
         }
     }
 
-    /// Notes that uncounted service goes into a report, with `all` every account
-    /// that ever had service. Returns the accounts.
+    /// Marks unacknowledged service as reported, and with `all` every account that
+    /// was ever charged. Returns the accounts to report.
     pub(crate) fn mark_reported(&mut self, all: bool) -> Vec<AccountKey> {
         self.has_charged = false;
         let accounts = self.accounts.iter_mut();
-        let told =
-            accounts.filter(|(_, account)| account.uncounted() > 0 || all && account.charged > 0);
-        let reported = told.map(|(key, account)| {
+        let due = accounts
+            .filter(|(_, account)| account.unacknowledged() > 0 || all && account.charged > 0);
+        let reported = due.map(|(key, account)| {
             account.reported = account.charged;
             key
         });
         reported.collect()
     }
 
-    /// The reported service of an account is counted. Returns it, in tokens. While
-    /// the collector settles, the peers are taken to have given as much; else that
-    /// is assumed until [`Self::catch_up`].
-    pub(crate) fn count_reported(&mut self, key: AccountKey, settling: bool) -> Option<u64> {
+    /// Marks an account's reported service as acknowledged and returns it, in
+    /// tokens. Peers are assumed to have served the same amount: permanently while
+    /// the collector settles, else until [`Self::catch_up`].
+    pub(crate) fn acknowledge_reported(&mut self, key: AccountKey, settling: bool) -> Option<u64> {
         if !self.accounts.contains_key(key) {
             return None;
         }
-        let reach = u64::from(self.reach);
+        let pool_size = u64::from(self.pool_size);
         Some(self.update(key, |account| {
-            let tokens = account.reported - account.counted;
-            account.counted = account.reported;
+            let tokens = account.reported - account.acknowledged;
+            account.acknowledged = account.reported;
             if settling {
-                account.fleet += tokens.saturating_mul(reach);
+                account.fleet_service += tokens.saturating_mul(pool_size);
             } else {
-                account.recent += tokens;
+                account.awaiting_peers += tokens;
             }
             tokens
         }))
     }
 
-    /// Peers' service of the same time is in the fleet-wide counts by now.
+    /// Ends the assumption about the peers' service: the fleet-wide totals include
+    /// it by now.
     pub(crate) fn catch_up(&mut self, key: AccountKey, tokens: u64) {
         if self.accounts.contains_key(key) {
-            self.update(key, |account| account.recent -= tokens);
+            self.update(key, |account| account.awaiting_peers -= tokens);
         }
     }
 
-    /// Another collector counts from elsewhere.
+    /// Resets the baselines, since a new collector has different totals.
     pub(crate) fn change_collector(&mut self) {
         self.has_charged = true;
         for account in self.accounts.values_mut() {
-            account.told = None;
-            account.reported = account.counted;
+            account.collector_total = None;
+            account.reported = account.acknowledged;
         }
     }
 
-    /// Bounds how far a fleet-wide count learnt late sets a customer behind.
-    fn forgive(&mut self, key: AccountKey) {
+    /// Limits the debt caused by late fleet-wide totals to [`MAX_DEBT`].
+    fn cap_debt(&mut self, key: AccountKey) {
         let Some(least) = self.order.first(0) else {
             return;
         };
-        if self.accounts[key].rank.is_none() {
+        if self.accounts[key].sort_key.is_none() {
             return;
         }
         let debt = self.accounts[key].virtual_service(1) - self.accounts[least].virtual_service(1);
-        let excess = debt - MAX_DEBT * SCALE;
+        let excess = debt - MAX_DEBT * UNITS_PER_TOKEN;
         if excess > 0 {
             self.update(key, |account| account.shift(-excess));
         }
--- a/crates/decide/src/account/ledger.rs
+++ b/crates/decide/src/account/ledger.rs
@@ -1,4 +1,4 @@
-//! All accounts of a sidecar.
+//! Accounts of all customers of a sidecar.
 
 use std::collections::HashMap;
 
@@ -6,15 +6,15 @@
 use slotmap::{SlotMap, new_key_type};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::order::{Order, Rank};
-use super::{Account, MAX_DEBT, SCALE, URGENT_LEAD, VirtualService};
+use super::order::{Order, SortKey};
+use super::{Account, MAX_DEBT, UNITS_PER_TOKEN, URGENT_LEAD, VirtualService};
 
 new_key_type! {
     /// Key of an [`Account`].
     pub struct AccountKey;
 }
 
-/// Accounts by customer, and the order of those with runnable requests.
+/// Accounts by customer, and the service order of those with runnable requests.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     seed: u64,
@@ -22,15 +22,17 @@
     by_customer: HashMap<CustomerId, AccountKey>,
     shares: HashMap<CustomerId, u32>,
     pub(super) order: Order,
-    pub(super) reach: u32,
-    /// Whether anything was charged since the last report.
+    pub(super) pool_size: u32,
+    /// Whether any charge has been made since the last report.
     pub(super) has_charged: bool,
-    /// Virtual service of the customer served last; newcomers start no lower.
-    last: VirtualService,
+    /// Highest virtual service at which a customer was served. Lower bound for newly
+    /// backlogged customers while no other is backlogged.
+    last_served: VirtualService,
 }
 
 impl Ledger {
-    /// An empty ledger. The seed orders customers that are served alike.
+    /// Creates an empty ledger. The seed determines the order of customers with
+    /// equal virtual service.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -39,46 +41,46 @@
             by_customer: HashMap::new(),
             shares: HashMap::new(),
             order: Order::default(),
-            reach: 1,
+            pool_size: 1,
             has_charged: false,
-            last: 0,
+            last_served: 0,
         }
     }
 
-    /// The account of a customer, opened when new.
+    /// Returns the account of a customer, opening one if needed.
     pub fn get_or_open(&mut self, customer: CustomerId) -> AccountKey {
         if let Some(key) = self.by_customer.get(&customer) {
             return *key;
         }
         let share = self.shares.get(&customer).copied().unwrap_or(1);
-        let account = Account::open(customer, share, tie(self.seed, customer));
+        let account = Account::new(customer, share, tie_breaker(self.seed, customer));
         let key = self.accounts.insert(account);
         self.by_customer.insert(customer, key);
         key
     }
 
-    /// The account of a customer, if there is one.
+    /// Returns the account of a customer, if there is one.
     #[must_use]
     pub fn find(&self, customer: CustomerId) -> Option<AccountKey> {
         self.by_customer.get(&customer).copied()
     }
 
-    /// An account.
+    /// Returns an account.
     ///
     /// # Panics
     ///
-    /// When the account is closed.
+    /// If the account is closed.
     #[must_use]
     pub fn account(&self, key: AccountKey) -> &Account {
         &self.accounts[key]
     }
 
-    /// Every account.
+    /// Iterates over all accounts.
     pub fn accounts(&self) -> impl Iterator<Item = (AccountKey, &Account)> {
         self.accounts.iter()
     }
 
-    /// Customers with runnable requests.
+    /// Number of customers with runnable requests.
     #[must_use]
     pub fn backlogged(&self) -> usize {
         self.order.len()
@@ -88,13 +90,13 @@
         !self.order.is_empty()
     }
 
-    /// Virtual service of a customer now.
+    /// Current virtual service of a customer.
     #[must_use]
     pub fn virtual_service(&self, key: AccountKey) -> VirtualService {
-        self.accounts[key].virtual_service(self.reach)
+        self.accounts[key].virtual_service(self.pool_size)
     }
 
-    /// Changes an account and puts it at its place in the order.
+    /// Changes an account and updates its position in the service order.
     pub(crate) fn update<T>(
         &mut self,
         key: AccountKey,
@@ -102,68 +104,70 @@
     ) -> T {
         let account = &mut self.accounts[key];
         let result = change(account);
-        let old = account.rank;
+        let old = account.sort_key;
         let runnable = account.runnable() > 0;
-        let new = runnable.then(|| Rank {
-            virtual_service: account.virtual_service(self.reach),
-            tie: account.tie,
+        let new = runnable.then(|| SortKey {
+            virtual_service: account.virtual_service(self.pool_size),
+            tie_breaker: account.tie_breaker,
             urgent: account.is_urgent(),
         });
-        account.rank = new;
+        account.sort_key = new;
         self.order.replace(key, old, new);
         result
     }
 
-    /// The least virtual service of the customers backlogged, or, with none, that
-    /// of the customer served last.
+    /// Lowest virtual service of all backlogged customers, or the highest at which a
+    /// customer was served if there are none.
     pub(crate) fn floor(&self) -> VirtualService {
-        self.order.floor().unwrap_or(self.last)
+        self.order.floor().unwrap_or(self.last_served)
     }
 
-    /// Lifts a customer that was not backlogged to a floor, so that no idle time is
-    /// banked. What it is ahead of it by more than the largest debt is forgiven.
+    /// Raises the virtual service of a customer that was not backlogged to `floor`,
+    /// so that idle customers accumulate no claim, and limits its debt to
+    /// [`MAX_DEBT`].
     pub(crate) fn lift_to(&mut self, key: AccountKey, floor: VirtualService) {
         let account = &mut self.accounts[key];
-        if account.rank.is_some() {
+        if account.sort_key.is_some() {
             return;
         }
-        let ahead = account.virtual_service(self.reach) - floor;
+        let ahead = account.virtual_service(self.pool_size) - floor;
         if ahead < 0 {
             account.shift(-ahead);
         }
         let debt = account.virtual_service(1) - floor;
-        if debt > MAX_DEBT * SCALE {
-            account.shift(MAX_DEBT * SCALE - debt);
+        if debt > MAX_DEBT * UNITS_PER_TOKEN {
+            account.shift(MAX_DEBT * UNITS_PER_TOKEN - debt);
         }
     }
 
-    /// Notes that a customer is served next.
+    /// Records that a customer is served next.
     pub(crate) fn mark_served(&mut self, key: AccountKey) {
-        self.last = self.last.max(self.virtual_service(key));
+        self.last_served = self.last_served.max(self.virtual_service(key));
     }
 
-    /// Counts the expected cost of a request that has a slot reserved.
+    /// Adds the expected cost of a request that got a reserved slot.
     pub(crate) fn reserve(&mut self, key: AccountKey, tokens: u64) {
         self.update(key, |account| account.reserved += tokens);
     }
 
-    /// Takes back what [`Self::reserve`] counted.
+    /// Reverts [`Self::reserve`].
     pub(crate) fn unreserve(&mut self, key: AccountKey, tokens: u64) {
         self.update(key, |account| account.reserved -= tokens);
     }
 
-    /// Whether a report has something to tell or to ask for.
+    /// Whether there are charges to report or backlogged customers, whose order needs
+    /// the fleet-wide totals of the reply.
     pub(crate) fn needs_report(&self) -> bool {
         self.has_charged || self.is_backlogged()
     }
 
-    /// Charges tokens beyond the estimate.
+    /// Charges further tokens of a running request.
     pub(crate) fn charge(&mut self, key: AccountKey, tokens: u64) {
         self.has_charged = true;
         self.update(key, |account| account.charge(tokens));
     }
 
-    /// Charges the start of a request.
+    /// Charges a starting request.
     pub(crate) fn start(&mut self, key: AccountKey, tokens: u64) {
         self.lift_to(key, self.floor());
         self.mark_served(key);
@@ -174,13 +178,13 @@
         });
     }
 
-    /// The customer to serve next.
+    /// Returns the customer to serve next.
     #[must_use]
     pub fn next_customer(&self) -> Option<AccountKey> {
-        self.order.first(URGENT_LEAD * SCALE)
+        self.order.first(URGENT_LEAD * UNITS_PER_TOKEN)
     }
 
-    /// Takes over the shares of configured customers.
+    /// Sets the shares of the configured customers; all others get 1.
     pub fn set_shares(&mut self, shares: HashMap<CustomerId, u32>) {
         self.shares = shares;
         let keys: Vec<AccountKey> = self.accounts.keys().collect();
@@ -194,34 +198,37 @@
         let share = self.shares.get(&customer).copied().unwrap_or(1).max(1);
         let before = self.virtual_service(key);
         self.update(key, |account| account.share = share);
-        let moved = before - self.virtual_service(key);
-        self.update(key, |account| account.shift(moved));
+        let difference = before - self.virtual_service(key);
+        self.update(key, |account| account.shift(difference));
     }
 
-    /// Sets the number of servers that serve the pool.
-    pub fn set_pool_size(&mut self, reach: u32) {
-        if self.reach == reach.max(1) {
+    /// Sets the number of servers in the pool.
+    pub fn set_pool_size(&mut self, pool_size: u32) {
+        if self.pool_size == pool_size.max(1) {
             return;
         }
-        self.reach = reach.max(1);
+        self.pool_size = pool_size.max(1);
         let keys: Vec<AccountKey> = self.order.keys().collect();
         for key in keys {
             self.update(key, |_| ());
         }
     }
 
-    /// Asserts that the customer served next is behind the least served one by no
-    /// more than the lead of urgent work.
+    /// Asserts that the next customer leads the least served one by no more than
+    /// [`URGENT_LEAD`].
     pub(crate) fn check_invariants(&self) {
         let (Some(first), Some(floor)) = (self.next_customer(), self.order.floor()) else {
             return;
         };
         let ahead = self.virtual_service(first) - floor;
-        assert!(ahead <= URGENT_LEAD * SCALE, "urgent work leads too far");
+        assert!(
+            ahead <= URGENT_LEAD * UNITS_PER_TOKEN,
+            "the lead of urgent requests exceeds its limit"
+        );
     }
 
-    /// Closes accounts of customers that are no longer configured and have
-    /// neither requests nor uncounted service.
+    /// Closes the accounts of customers that are no longer configured and have
+    /// neither requests nor unacknowledged charges.
     pub(crate) fn prune(&mut self) {
         let shares = &self.shares;
         let idle = |account: &Account| account.is_idle() && !shares.contains_key(&account.customer);
@@ -236,10 +243,10 @@
     }
 }
 
-/// The low half of a hash of both.
-fn tie(seed: u64, customer: CustomerId) -> u32 {
+/// Lower half of a hash of the seed and the customer.
+fn tie_breaker(seed: u64, customer: CustomerId) -> u32 {
     let hash = xxh3_64_with_seed(&customer.0.to_le_bytes(), seed);
-    #[expect(clippy::cast_possible_truncation, reason = "the low half is meant")]
+    #[expect(clippy::cast_possible_truncation, reason = "only the low half is used")]
     let low = hash as u32;
     low
 }
--- a/crates/decide/src/account/order.rs
+++ b/crates/decide/src/account/order.rs
@@ -1,51 +1,53 @@
-//! The order of customers that have runnable requests.
+//! Service order of the customers that have runnable requests.
 
 use std::collections::BTreeSet;
 
 use super::{AccountKey, VirtualService};
 
-/// Place of a customer in the order.
+/// Position of a customer in the service order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Rank {
+pub(crate) struct SortKey {
     pub(crate) virtual_service: VirtualService,
-    /// Orders customers served alike: differently in each life of a sidecar, so
-    /// that none is ahead after every restart.
-    pub(crate) tie: u32,
+    /// Orders customers with equal virtual service. Differs after each restart of
+    /// the sidecar, so that no customer is always first.
+    pub(crate) tie_breaker: u32,
     pub(crate) urgent: bool,
 }
 
-type Place = (VirtualService, u32, AccountKey);
+type Entry = (VirtualService, u32, AccountKey);
 
 /// Customers that have runnable requests, by virtual service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Order {
-    urgent: BTreeSet<Place>,
-    other: BTreeSet<Place>,
+    urgent: BTreeSet<Entry>,
+    other: BTreeSet<Entry>,
 }
 
 impl Order {
-    pub(crate) fn replace(&mut self, key: AccountKey, old: Option<Rank>, new: Option<Rank>) {
+    pub(crate) fn replace(&mut self, key: AccountKey, old: Option<SortKey>, new: Option<SortKey>) {
         if old == new {
             return;
         }
         if let Some(old) = old {
-            self.set(old).remove(&(old.virtual_service, old.tie, key));
+            self.set_of(old)
+                .remove(&(old.virtual_service, old.tie_breaker, key));
         }
         if let Some(new) = new {
-            self.set(new).insert((new.virtual_service, new.tie, key));
+            self.set_of(new)
+                .insert((new.virtual_service, new.tie_breaker, key));
         }
     }
 
-    fn set(&mut self, rank: Rank) -> &mut BTreeSet<Place> {
-        if rank.urgent {
+    fn set_of(&mut self, sort_key: SortKey) -> &mut BTreeSet<Entry> {
+        if sort_key.urgent {
             &mut self.urgent
         } else {
             &mut self.other
         }
     }
 
-    /// The customer to serve next: the least served, one with urgent work
-    /// counting as served less by `lead`.
+    /// Returns the customer to serve next: the least served one, where `lead` is
+    /// subtracted from the service of customers with urgent requests.
     pub(crate) fn first(&self, lead: VirtualService) -> Option<AccountKey> {
         let urgent = self.urgent.first();
         let other = self.other.first();
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Least virtual service of all.
+    /// Lowest virtual service of all customers.
     pub(crate) fn floor(&self) -> Option<VirtualService> {
         let urgent = self.urgent.first().map(|(service, _, _)| *service);
         let other = self.other.first().map(|(service, _, _)| *service);
--- a/crates/decide/src/account/report.rs
+++ b/crates/decide/src/account/report.rs
@@ -1,4 +1,4 @@
-//! Reports of service to the collector.
+//! Usage reports to the collector.
 
 use std::collections::VecDeque;
 
@@ -6,66 +6,68 @@
 
 use super::{AccountKey, Ledger};
 
-/// Least time between two reports, in milliseconds.
+/// Minimum time between two reports, in milliseconds.
 pub const REPORT_INTERVAL: Millis = 1_000;
 
-/// How long the counts of a new collector only set where later ones count from,
-/// in milliseconds: a router that has just started still learns the past.
+/// How long the totals of a new collector only serve as a baseline, in
+/// milliseconds. A router that has just started still collects earlier usage.
 pub const SETTLING: Millis = 3_000;
 
-/// Longest lag that is made up for, in milliseconds.
+/// Maximum lag that is compensated for, in milliseconds.
 pub const MAX_LAG: Millis = 60_000;
 
-/// Counted service that peers' equal service has not caught up with.
+/// Acknowledged service for which the peers' concurrent service has not been
+/// received yet.
 #[derive(Clone, Debug)]
-struct Recent {
+struct AwaitingPeers {
     until: Millis,
     accounts: Vec<(AccountKey, u64)>,
 }
 
-/// Sends what was charged, one report at a time, until it is counted.
+/// Reports charges to the collector, one report at a time, until each one is
+/// acknowledged.
 #[derive(Clone, Debug)]
 pub struct Reporter {
     pool: PoolId,
     sequence: u64,
-    /// Accounts in the report on its way.
-    sent: Vec<AccountKey>,
-    /// When the next report is due.
+    /// Accounts in the report in flight.
+    in_flight: Vec<AccountKey>,
     next_at: Millis,
-    /// Whether the collector has to be told every account.
-    fresh: bool,
-    /// Until when the present collector settles.
+    /// Whether the next report covers every account ever charged.
+    full: bool,
+    /// When the current collector's totals become usable.
     settled_at: Millis,
-    /// How late peers' service comes in the fleet-wide counts, in milliseconds.
+    /// Delay of the peers' service in the fleet-wide totals, in milliseconds.
     lag: Millis,
-    recent: VecDeque<Recent>,
+    awaiting_peers: VecDeque<AwaitingPeers>,
 }
 
 impl Reporter {
-    /// A reporter of service in a pool.
+    /// Creates a reporter for a pool.
     #[must_use]
     pub fn new(pool: PoolId) -> Self {
         Self {
             pool,
             sequence: 0,
-            sent: Vec::new(),
+            in_flight: Vec::new(),
             next_at: 0,
-            fresh: true,
+            full: true,
             settled_at: 0,
             lag: 0,
-            recent: VecDeque::new(),
+            awaiting_peers: VecDeque::new(),
         }
     }
 
-    /// Another router, or another link to the same one, is the collector.
+    /// Starts over with a new collector: another router, or another link to the
+    /// same one.
     pub(crate) fn change_collector(&mut self, now: Millis) {
-        self.sent.clear();
+        self.in_flight.clear();
         self.next_at = 0;
-        self.fresh = true;
+        self.full = true;
         self.settled_at = now + SETTLING;
     }
 
-    /// Sets how late peers' service comes in the fleet-wide counts.
+    /// Sets the delay of the peers' service in the fleet-wide totals.
     pub(crate) fn set_lag(&mut self, lag: Millis) {
         self.lag = lag.min(MAX_LAG);
     }
@@ -76,50 +78,55 @@
         self.next_at
     }
 
-    /// Whether the collector settles.
+    /// Whether the collector's totals only serve as a baseline so far.
     pub(crate) fn is_settling(&self, now: Millis) -> bool {
         now < self.settled_at
     }
 
-    /// The collector has counted a report.
+    /// Handles the acknowledgement of a report by the collector.
     pub(crate) fn acknowledge(&mut self, ledger: &mut Ledger, sequence: u64, now: Millis) {
         if sequence != self.sequence {
             return;
         }
         let settling = self.is_settling(now);
-        let sent = std::mem::take(&mut self.sent);
-        let counted = sent.into_iter().filter_map(|key| {
-            let tokens = ledger.count_reported(key, settling)?;
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let acknowledged = in_flight.into_iter().filter_map(|key| {
+            let tokens = ledger.acknowledge_reported(key, settling)?;
             Some((key, tokens))
         });
-        let accounts = counted.collect();
+        let accounts = acknowledged.collect();
         if settling {
             return;
         }
         let until = now + self.lag;
-        self.recent.push_back(Recent { until, accounts });
+        self.awaiting_peers
+            .push_back(AwaitingPeers { until, accounts });
     }
 
-    /// Lets go of counted service that peers' has caught up with.
+    /// Drops acknowledged service whose counterpart at the peers is in the totals by
+    /// now.
     pub(crate) fn catch_up(&mut self, ledger: &mut Ledger, now: Millis) {
-        while let Some(recent) = self.recent.pop_front_if(|recent| recent.until <= now) {
-            for (key, tokens) in recent.accounts {
+        while let Some(expired) = self
+            .awaiting_peers
+            .pop_front_if(|awaiting| awaiting.until <= now)
+        {
+            for (key, tokens) in expired.accounts {
                 ledger.catch_up(key, tokens);
             }
         }
     }
 
-    /// The report that is due, if any. While requests wait there is one even with
-    /// nothing to tell, since its answer brings the fleet-wide counts.
+    /// Returns the next report if it is due. While requests wait, an empty report is
+    /// sent too, since the reply carries the fleet-wide totals.
     pub(crate) fn next_report(&mut self, ledger: &mut Ledger, now: Millis) -> Option<Report> {
         if now < self.next_at || !ledger.needs_report() {
             return None;
         }
         self.next_at = now + REPORT_INTERVAL;
         self.sequence += 1;
-        let fresh = std::mem::take(&mut self.fresh);
-        self.sent = ledger.mark_reported(fresh);
-        let usage = self.sent.iter().map(|key| {
+        let full = std::mem::take(&mut self.full);
+        self.in_flight = ledger.mark_reported(full);
+        let usage = self.in_flight.iter().map(|key| {
             let account = ledger.account(*key);
             Usage {
                 pool: self.pool,
