--- a/crates/decide/benches/queue.rs
+++ b/crates/decide/benches/queue.rs
@@ -1,4 +1,4 @@
-//! Cost of the router's decisions by number of customers that wait.
+//! Cost of the router's scheduling decisions by number of backlogged customers.
 
 use std::hint::black_box;
 
@@ -9,67 +9,69 @@
 use mulberryyoke_decide::queue::{Entry, Queue};
 use mulberryyoke_model::{Class, CustomerId, ServerId};
 
-/// Customers of today, those backlogged at the aim, and all at the aim.
+/// Numbers of backlogged customers: a small deployment, the expected backlog at the
+/// design size, and all customers at the design size.
 const CUSTOMERS: [u32; 3] = [16, 620, 6_200];
 
-/// Requests of each that wait.
-const EACH: u32 = 4;
+/// Waiting requests per customer.
+const PER_CUSTOMER: u32 = 4;
 
-/// Servers of a pool that a router is connected to.
+/// Servers that the router is connected to.
 const SERVERS: u32 = 20;
 
 const HERE: ServerId = ServerId(1);
 
-fn waiting(number: u32, customers: u32) -> Entry<u32> {
+fn entry(number: u32, customers: u32) -> Entry<u32> {
     let customer = CustomerId(number % customers);
     let class = Class::ALL[number as usize % 3];
     let deadline = 1_000_000 + u64::from(number.wrapping_mul(7_919) % 100_000);
-    let mut waiting = Entry::new(customer, class, deadline, u64::from(number), number);
-    waiting.cost = 430;
-    waiting
+    let mut entry = Entry::new(customer, class, deadline, u64::from(number), number);
+    entry.cost = 430;
+    entry
 }
 
 fn filled(customers: u32) -> Queue<u32> {
     let mut queue = Queue::default();
-    for number in 0..customers * EACH {
-        queue.push(waiting(number, customers));
+    for number in 0..customers * PER_CUSTOMER {
+        queue.push(entry(number, customers));
     }
     queue
 }
 
-/// A request comes and another goes: both limits, both ends of the queue.
-fn turn(criterion: &mut Criterion) {
+/// Queues one request and removes another, including the limiter.
+fn push_and_pop(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue turn");
     for customers in CUSTOMERS {
         let mut queue = filled(customers);
         let mut limiter = Limiter::new(u32::MAX, u32::MAX);
-        for number in 0..customers * EACH {
+        for number in 0..customers * PER_CUSTOMER {
             limiter.readmit(CustomerId(number % customers), 1);
         }
-        let mut number = customers * EACH;
+        let mut number = customers * PER_CUSTOMER;
         group.bench_function(BenchmarkId::from_parameter(customers), |bencher| {
             bencher.iter(|| {
                 number = number.wrapping_add(1);
-                let new = waiting(number, customers);
+                let new = entry(number, customers);
                 let customer = new.customer;
                 black_box(limiter.admit(customer, 1, None));
                 queue.push(new);
-                let taken = queue.pop(customer, HERE, |number| number % 5 == 0);
+                let popped = queue.pop(customer, HERE, |number| number % 5 == 0);
                 limiter.remove(customer, true, u64::from(number));
-                taken
+                popped
             });
         });
     }
     group.finish();
 }
 
-/// What one sidecar is told after one customer's requests have changed.
+/// Computes the declaration to one sidecar after one customer's requests have
+/// changed.
 fn declare(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("declaration to one sidecar");
-    let open: Vec<ServerId> = (0..SERVERS).map(ServerId).collect();
+    let eligible: Vec<ServerId> = (0..SERVERS).map(ServerId).collect();
     for customers in CUSTOMERS {
         let queue = filled(customers);
-        let mut told = DeclaredDemand::default();
+        let mut declared = DeclaredDemand::default();
         let mut number = 0;
         group.bench_function(BenchmarkId::from_parameter(customers), |bencher| {
             bencher.iter(|| {
@@ -81,19 +83,19 @@
                     &interest,
                     salt,
                     HERE,
-                    &open,
+                    &eligible,
                     queue.subqueues(),
                     1,
                 ));
-                told.update(vec![interest])
+                declared.update(vec![interest])
             });
         });
     }
     group.finish();
 }
 
-/// The choice of a server for a request that can start at once.
-fn place(criterion: &mut Criterion) {
+/// Chooses a server for a request that can start immediately.
+fn choose_server(criterion: &mut Criterion) {
     let candidates: Vec<Candidate> = (0..SERVERS)
         .map(|server| Candidate {
             server: ServerId(server),
@@ -109,5 +111,5 @@
     });
 }
 
-criterion_group!(benches, turn, declare, place);
+criterion_group!(benches, push_and_pop, declare, choose_server);
 criterion_main!(benches);
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,12 +1,12 @@
-//! Requests that wait at a router, by customer.
+//! Queue of the requests that wait at a router.
 //!
-//! Within a customer the order is class, then deadline, then arrival. A
-//! deferrable request ranks as urgent once its deadline is [`PROMOTION_LEAD_MS`] away.
-//! Which customer goes first is not decided here but by the sidecars.
+//! The requests of one customer are ordered by class, deadline and arrival. A
+//! deferrable request is promoted to urgent [`PROMOTION_LEAD_MS`] before its
+//! deadline. The order among customers is up to the sidecars.
 
 mod change_log;
 mod entry;
-mod line;
+mod subqueue;
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -16,170 +16,174 @@
 
 pub use change_log::ChangeLog;
 pub use entry::Entry;
-use line::Line;
+use subqueue::Subqueue;
 
-/// How long before its deadline a deferrable request ranks as urgent, in milliseconds.
+/// How long before its deadline a deferrable request becomes urgent, in milliseconds.
 pub const PROMOTION_LEAD_MS: Millis = 30_000;
 
-/// How far apart the deadlines of requests may be that change places for a warm
-/// prefix, in milliseconds.
+/// Maximum difference of the deadlines of two requests that are reordered for a
+/// prefix cache hit, in milliseconds.
 pub const REORDER_WINDOW_MS: Millis = 250;
 
-/// How many requests of a line are weighed for a warm prefix.
-const WEIGHED: usize = 8;
+/// Number of requests of a subqueue that are considered for a prefix cache hit.
+const REORDER_CANDIDATES: usize = 8;
 
 new_key_type! {
     /// Key of a waiting request.
     pub struct EntryKey;
 }
 
-/// Where a request may run: at one server only, or at any of the pool.
-type Bound = Option<ServerId>;
+/// The only server that may run a request, or `None` for any server in the pool.
+type PinnedServer = Option<ServerId>;
 
-/// Requests of one pool that wait at one router; `T` is what the owner keeps
-/// with each.
+/// Requests of one pool that wait at one router, each with a payload `T`.
 #[derive(Debug)]
 pub struct Queue<T> {
-    arena: SlotMap<EntryKey, Entry<T>>,
-    lines: HashMap<(CustomerId, Bound), Line>,
-    rises: BTreeSet<(Millis, EntryKey)>,
+    entries: SlotMap<EntryKey, Entry<T>>,
+    subqueues: HashMap<(CustomerId, PinnedServer), Subqueue>,
+    /// Deferrable requests by the time of their promotion.
+    promotions: BTreeSet<(Millis, EntryKey)>,
     arrivals: u64,
 }
 
 impl<T> Default for Queue<T> {
     fn default() -> Self {
         Self {
-            arena: SlotMap::with_key(),
-            lines: HashMap::new(),
-            rises: BTreeSet::new(),
+            entries: SlotMap::with_key(),
+            subqueues: HashMap::new(),
+            promotions: BTreeSet::new(),
             arrivals: 0,
         }
     }
 }
 
 impl<T> Queue<T> {
-    /// Waiting requests.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.arena.len()
+        self.entries.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.arena.is_empty()
+        self.entries.is_empty()
     }
 
     /// Adds a request.
-    pub fn push(&mut self, mut waiting: Entry<T>) -> EntryKey {
-        waiting.arrival = self.arrivals;
-        waiting.effective_class = waiting.class;
+    pub fn push(&mut self, mut entry: Entry<T>) -> EntryKey {
+        entry.arrival = self.arrivals;
+        entry.effective_class = entry.class;
         self.arrivals += 1;
-        let deadline = waiting.deadline;
-        let deferrable = waiting.class == Class::Deferrable;
-        let key = self.arena.insert(waiting);
+        let deadline = entry.deadline;
+        let deferrable = entry.class == Class::Deferrable;
+        let key = self.entries.insert(entry);
         if deferrable {
-            self.rises
+            self.promotions
                 .insert((deadline.saturating_sub(PROMOTION_LEAD_MS), key));
         }
-        let waiting = &self.arena[key];
-        let line = self.lines.entry((waiting.customer, waiting.pinned_server));
-        line.or_insert_with(|| Line::new(waiting.arrival))
-            .insert(key, waiting);
+        let entry = &self.entries[key];
+        let subqueue = self.subqueues.entry((entry.customer, entry.pinned_server));
+        subqueue
+            .or_insert_with(|| Subqueue::new(entry.arrival))
+            .insert(key, entry);
         key
     }
 
-    /// Takes a request out, wherever it stands.
+    /// Removes a request from any position.
     ///
     /// # Panics
     ///
-    /// When it stands in no line: each request stands in one.
+    /// If the request is missing from its subqueue, which is a bug.
     pub fn remove(&mut self, key: EntryKey) -> Option<Entry<T>> {
-        let waiting = self.arena.remove(key)?;
-        self.rises
-            .remove(&(waiting.deadline.saturating_sub(PROMOTION_LEAD_MS), key));
-        let place = (waiting.customer, waiting.pinned_server);
-        let line = self.lines.get_mut(&place);
-        let line = line.expect("a waiting request stands in a line");
-        line.remove(key, &waiting);
-        if line.is_empty() {
-            self.lines.remove(&place);
+        let entry = self.entries.remove(key)?;
+        self.promotions
+            .remove(&(entry.deadline.saturating_sub(PROMOTION_LEAD_MS), key));
+        let id = (entry.customer, entry.pinned_server);
+        let subqueue = self.subqueues.get_mut(&id);
+        let subqueue = subqueue.expect("every waiting request is in a subqueue");
+        subqueue.remove(key, &entry);
+        if subqueue.is_empty() {
+            self.subqueues.remove(&id);
         }
-        Some(waiting)
+        Some(entry)
     }
 
-    /// Takes the customer's next request that `server` may run. `warm` tells
-    /// whether the server is the preferred one of a request; it decides only
-    /// among the first few of equal rank whose deadlines are [`REORDER_WINDOW_MS`] apart.
+    /// Removes the customer's next request that `server` may run. Requests for
+    /// which `is_cached` holds, that is, whose prompt prefix the server is likely
+    /// to have cached, come first among the first few of the same effective class
+    /// whose deadlines are within [`REORDER_WINDOW_MS`].
     pub fn pop(
         &mut self,
         customer: CustomerId,
         server: ServerId,
-        warm: impl Fn(&T) -> bool,
+        is_cached: impl Fn(&T) -> bool,
     ) -> Option<Entry<T>> {
-        let key = self.head(customer, server, warm)?;
+        let key = self.front(customer, server, is_cached)?;
         self.remove(key)
     }
 
-    fn head(
+    fn front(
         &self,
         customer: CustomerId,
         server: ServerId,
-        warm: impl Fn(&T) -> bool,
+        is_cached: impl Fn(&T) -> bool,
     ) -> Option<EntryKey> {
-        let lines = [None, Some(server)]
+        let subqueues = [None, Some(server)]
             .into_iter()
-            .filter_map(|bound| self.lines.get(&(customer, bound)));
-        let heads: SmallVec<[EntryKey; 2 * WEIGHED]> =
-            lines.filter_map(Line::heads).flatten().collect();
-        let place = |key: &EntryKey| {
-            let waiting = &self.arena[*key];
-            (waiting.effective_class, waiting.deadline, waiting.arrival)
+            .filter_map(|pinned| self.subqueues.get(&(customer, pinned)));
+        let heads: SmallVec<[EntryKey; 2 * REORDER_CANDIDATES]> =
+            subqueues.filter_map(Subqueue::heads).flatten().collect();
+        let order = |key: &EntryKey| {
+            let entry = &self.entries[*key];
+            (entry.effective_class, entry.deadline, entry.arrival)
         };
-        let first = heads.iter().copied().min_by_key(place)?;
-        let (rank, deadline, _) = place(&first);
+        let first = heads.iter().copied().min_by_key(order)?;
+        let (class, deadline, _) = order(&first);
         let last = deadline.saturating_add(REORDER_WINDOW_MS);
-        let near = heads.iter().filter(|&key| {
-            let waiting = &self.arena[*key];
-            waiting.effective_class == rank && waiting.deadline <= last && warm(&waiting.payload)
+        let cached = heads.iter().filter(|&key| {
+            let entry = &self.entries[*key];
+            entry.effective_class == class && entry.deadline <= last && is_cached(&entry.payload)
         });
-        near.copied().min_by_key(place).or(Some(first))
+        cached.copied().min_by_key(order).or(Some(first))
     }
 
-    /// Raises deferrable requests whose deadline is near; returns their customers.
+    /// Promotes deferrable requests with a near deadline to urgent and returns their
+    /// customers.
     pub fn promote(&mut self, now: Millis) -> Vec<CustomerId> {
-        let mut raised = Vec::new();
-        while let Some(&(at, key)) = self.rises.first() {
+        let mut promoted = Vec::new();
+        while let Some(&(at, key)) = self.promotions.first() {
             if at > now {
                 break;
             }
-            self.rises.pop_first();
-            let waiting = &mut self.arena[key];
-            let place = (waiting.customer, waiting.pinned_server);
-            let Some(line) = self.lines.get_mut(&place) else {
+            self.promotions.pop_first();
+            let entry = &mut self.entries[key];
+            let id = (entry.customer, entry.pinned_server);
+            let Some(subqueue) = self.subqueues.get_mut(&id) else {
                 continue;
             };
-            line.remove(key, waiting);
-            waiting.effective_class = Class::Urgent;
-            line.insert(key, waiting);
-            raised.push(waiting.customer);
+            subqueue.remove(key, entry);
+            entry.effective_class = Class::Urgent;
+            subqueue.insert(key, entry);
+            promoted.push(entry.customer);
         }
-        raised
+        promoted
     }
 
-    /// The customer's request that would go last, for eviction.
+    /// Returns the last request of a customer, for eviction.
     #[must_use]
     pub fn back(&self, customer: CustomerId) -> Option<EntryKey> {
-        let lines = self.lines.iter();
-        let own = lines.filter(|((owner, _), _)| *owner == customer);
-        let tails = own.filter_map(|(_, line)| line.tail());
+        let subqueues = self.subqueues.iter();
+        let own = subqueues.filter(|((owner, _), _)| *owner == customer);
+        let tails = own.filter_map(|(_, subqueue)| subqueue.last());
         tails.max_by_key(|&key| {
-            let waiting = &self.arena[key];
-            (waiting.effective_class, waiting.deadline, waiting.arrival)
+            let entry = &self.entries[key];
+            (entry.effective_class, entry.deadline, entry.arrival)
         })
     }
 
-    /// What the customer has waiting that `server` may run; counts 0 for nothing.
+    /// Summarizes the customer's requests that `server` may run. All counts are 0 if
+    /// there are none.
     #[must_use]
     pub fn interest(&self, customer: CustomerId, server: ServerId) -> Interest {
         let mut interest = Interest {
@@ -190,18 +194,18 @@
         };
         let mut cost = 0;
         let mut oldest = [Millis::MAX; 3];
-        for bound in [None, Some(server)] {
-            let Some(line) = self.lines.get(&(customer, bound)) else {
+        for pinned in [None, Some(server)] {
+            let Some(subqueue) = self.subqueues.get(&(customer, pinned)) else {
                 continue;
             };
-            cost += line.cost();
-            for rank in Class::ALL {
-                let count = u16::try_from(line.count(rank)).unwrap_or(u16::MAX);
-                let total = &mut interest.waiting[rank.index()];
+            cost += subqueue.cost();
+            for class in Class::ALL {
+                let count = u16::try_from(subqueue.count(class)).unwrap_or(u16::MAX);
+                let total = &mut interest.waiting[class.index()];
                 *total = total.saturating_add(count);
-                if let Some(key) = line.oldest(rank) {
-                    let since = self.arena[key].arrived_at;
-                    oldest[rank.index()] = oldest[rank.index()].min(since);
+                if let Some(key) = subqueue.oldest(class) {
+                    let since = self.entries[key].arrived_at;
+                    oldest[class.index()] = oldest[class.index()].min(since);
                 }
             }
         }
@@ -212,40 +216,40 @@
         interest
     }
 
-    /// Requests of the same customer and standing that go before one.
+    /// Number of requests ahead of the given one in its subqueue.
     #[must_use]
-    pub fn position(&self, waiting: &Entry<T>) -> usize {
-        let line = self.lines.get(&(waiting.customer, waiting.pinned_server));
-        line.map_or(0, |line| line.position(waiting))
+    pub fn position(&self, entry: &Entry<T>) -> usize {
+        let subqueue = self.subqueues.get(&(entry.customer, entry.pinned_server));
+        subqueue.map_or(0, |subqueue| subqueue.position(entry))
     }
 
-    /// A number that changes whenever the customer begins to wait.
+    /// A number that changes whenever the customer starts to have unpinned requests.
     #[must_use]
     pub fn salt(&self, customer: CustomerId) -> u64 {
-        let line = self.lines.get(&(customer, None));
-        line.map_or(0, Line::began)
+        let subqueue = self.subqueues.get(&(customer, None));
+        subqueue.map_or(0, Subqueue::first_arrival)
     }
 
-    /// Whether the customer has requests that only `server` may run.
+    /// Whether the customer has requests pinned to `server`.
     #[must_use]
     pub fn has_pinned(&self, customer: CustomerId, server: ServerId) -> bool {
-        self.lines.contains_key(&(customer, Some(server)))
+        self.subqueues.contains_key(&(customer, Some(server)))
     }
 
-    /// How many customers have something waiting; one with bound requests counts
-    /// more than once.
+    /// Number of subqueues: one per customer and server that its requests are pinned
+    /// to, plus one per customer with unpinned requests.
     #[must_use]
     pub fn subqueues(&self) -> usize {
-        self.lines.len()
+        self.subqueues.len()
     }
 
-    /// Customers with something waiting; one may stand in it more than once.
+    /// Customers with waiting requests. May contain duplicates.
     pub fn customers(&self) -> impl Iterator<Item = CustomerId> {
-        self.lines.keys().map(|&(customer, _)| customer)
+        self.subqueues.keys().map(|&(customer, _)| customer)
     }
 
-    /// Every waiting request.
+    /// Iterates over all waiting requests in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (EntryKey, &Entry<T>)> {
-        self.arena.iter()
+        self.entries.iter()
     }
 }
--- a/crates/decide/src/queue/entry.rs
+++ b/crates/decide/src/queue/entry.rs
@@ -1,30 +1,30 @@
-//! One waiting request.
+//! A waiting request.
 
 use mulberryyoke_model::{Class, CustomerId, Millis, ServerId};
 
-/// A waiting request; `T` is what the queue's owner keeps with it.
+/// A waiting request with a payload `T`.
 #[derive(Clone, Debug)]
 pub struct Entry<T> {
-    /// Whose request it is.
+    /// The customer that sent the request.
     pub customer: CustomerId,
-    /// The class it came with.
+    /// Class requested by the caller.
     pub class: Class,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: Millis,
-    /// When it came to this router.
+    /// When the request arrived at this router.
     pub arrived_at: Millis,
     /// Estimated cost, in tokens.
     pub cost: u32,
-    /// The only server that may run it, if there is one.
+    /// The only server that may run the request; `None` for any server in the pool.
     pub pinned_server: Option<ServerId>,
-    /// What the owner keeps.
+    /// Data of the queue's user.
     pub payload: T,
     pub(super) effective_class: Class,
     pub(super) arrival: u64,
 }
 
 impl<T> Entry<T> {
-    /// A request that has not been queued yet.
+    /// Creates an entry that is not queued yet.
     pub fn new(
         customer: CustomerId,
         class: Class,
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Its class, risen to urgent if its deadline is near.
+    /// Class used for ordering: urgent once promoted, else the requested class.
     #[must_use]
     pub const fn effective_class(&self) -> Class {
         self.effective_class
     }
 
-    /// Its place in the order of arrivals.
+    /// Sequence number in the order of arrival.
     #[must_use]
     pub const fn arrival(&self) -> u64 {
         self.arrival
--- a/crates/decide/tests/queue.rs
+++ b/crates/decide/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Order of waiting requests.
+//! Order of queued requests.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::queue::{
@@ -13,23 +13,21 @@
 const THERE: ServerId = ServerId(11);
 const FAR: Millis = 1_000_000;
 
-type Named = &'static str;
+type Name = &'static str;
 
-fn waiting(customer: CustomerId, class: Class, deadline: Millis, name: Named) -> Entry<Named> {
+fn entry(customer: CustomerId, class: Class, deadline: Millis, name: Name) -> Entry<Name> {
     Entry::new(customer, class, deadline, 0, name)
 }
 
-fn bound(server: ServerId, name: Named) -> Entry<Named> {
-    let mut waiting = waiting(ACME, Class::Normal, FAR, name);
-    waiting.pinned_server = Some(server);
-    waiting
+fn pinned(server: ServerId, name: Name) -> Entry<Name> {
+    let mut entry = entry(ACME, Class::Normal, FAR, name);
+    entry.pinned_server = Some(server);
+    entry
 }
 
-fn drain(queue: &mut Queue<Named>, customer: CustomerId, server: ServerId) -> Vec<Named> {
-    let take = || queue.pop(customer, server, |_| false);
-    std::iter::from_fn(take)
-        .map(|waiting| waiting.payload)
-        .collect()
+fn drain(queue: &mut Queue<Name>, customer: CustomerId, server: ServerId) -> Vec<Name> {
+    let pop = || queue.pop(customer, server, |_| false);
+    std::iter::from_fn(pop).map(|entry| entry.payload).collect()
 }
 
 #[gtest]
@@ -71,7 +69,7 @@
     for (row, requests) in rows {
         let mut queue = Queue::default();
         for (class, deadline, name) in requests {
-            queue.push(waiting(ACME, class, deadline, name));
+            queue.push(entry(ACME, class, deadline, name));
         }
         expect_that!(
             drain(&mut queue, ACME, HERE),
@@ -85,18 +83,18 @@
 #[gtest]
 fn customers_do_not_mix() {
     let mut queue = Queue::default();
-    queue.push(waiting(ACME, Class::Urgent, FAR, "acme"));
-    queue.push(waiting(BETA, Class::Normal, FAR, "beta"));
+    queue.push(entry(ACME, Class::Urgent, FAR, "acme"));
+    queue.push(entry(BETA, Class::Normal, FAR, "beta"));
     expect_that!(drain(&mut queue, BETA, HERE), elements_are![&"beta"]);
     expect_that!(drain(&mut queue, ACME, HERE), elements_are![&"acme"]);
 }
 
 #[gtest]
-fn deferrable_rises_when_its_deadline_nears() {
+fn deferrable_is_promoted_near_its_deadline() {
     let mut queue = Queue::default();
-    queue.push(waiting(ACME, Class::Deferrable, FAR, "deferrable"));
-    queue.push(waiting(ACME, Class::Normal, FAR, "normal"));
-    queue.push(waiting(ACME, Class::Urgent, FAR + 1, "urgent"));
+    queue.push(entry(ACME, Class::Deferrable, FAR, "deferrable"));
+    queue.push(entry(ACME, Class::Normal, FAR, "normal"));
+    queue.push(entry(ACME, Class::Urgent, FAR + 1, "urgent"));
     expect_that!(queue.promote(FAR - PROMOTION_LEAD_MS - 1), is_empty());
     expect_that!(queue.interest(ACME, HERE).waiting, eq([1, 1, 1]));
     expect_that!(
@@ -110,11 +108,11 @@
 }
 
 #[gtest]
-fn bound_requests_go_to_their_server_only() {
+fn pinned_requests_go_to_their_server_only() {
     let mut queue = Queue::default();
-    queue.push(bound(HERE, "here"));
-    queue.push(bound(THERE, "there"));
-    queue.push(waiting(ACME, Class::Normal, FAR, "any"));
+    queue.push(pinned(HERE, "here"));
+    queue.push(pinned(THERE, "there"));
+    queue.push(entry(ACME, Class::Normal, FAR, "any"));
     expect_that!(queue.interest(ACME, HERE).total(), eq(2));
     expect_that!(queue.interest(ACME, ServerId(12)).total(), eq(1));
     expect_that!(
@@ -125,16 +123,16 @@
 }
 
 #[gtest]
-fn interest_tells_cost_and_the_oldest_of_the_best_class() {
+fn interest_has_mean_cost_and_oldest_request_of_the_best_class() {
     let mut queue = Queue::default();
     for (class, deadline, since, cost) in [
         (Class::Normal, FAR, 5, 100),
         (Class::Urgent, FAR, 9, 300),
         (Class::Urgent, FAR + 5, 7, 200),
     ] {
-        let mut waiting = Entry::new(ACME, class, deadline, since, "");
-        waiting.cost = cost;
-        queue.push(waiting);
+        let mut entry = Entry::new(ACME, class, deadline, since, "");
+        entry.cost = cost;
+        queue.push(entry);
     }
     let interest = queue.interest(ACME, HERE);
     expect_that!(interest.waiting, eq([2, 1, 0]));
@@ -145,47 +143,43 @@
 }
 
 #[gtest]
-fn warm_prefix_changes_places_only_within_the_slack() {
+fn cached_prefix_reorders_only_within_the_window() {
     let rows = [
-        ("equal deadline", Class::Normal, FAR, "warm"),
+        ("equal deadline", Class::Normal, FAR, "cached"),
         (
-            "within the slack",
+            "within the window",
             Class::Normal,
             FAR + REORDER_WINDOW_MS,
-            "warm",
+            "cached",
         ),
         (
-            "beyond the slack",
+            "beyond the window",
             Class::Normal,
             FAR + REORDER_WINDOW_MS + 1,
-            "cold",
+            "uncached",
         ),
-        ("lower class", Class::Deferrable, FAR, "cold"),
+        ("lower class", Class::Deferrable, FAR, "uncached"),
     ];
     for (row, class, deadline, first) in rows {
         let mut queue = Queue::default();
-        queue.push(waiting(ACME, Class::Normal, FAR, "cold"));
-        queue.push(waiting(ACME, class, deadline, "warm"));
-        let taken = queue.pop(ACME, HERE, |name| *name == "warm");
-        expect_that!(
-            taken.map(|waiting| waiting.payload),
-            some(eq(first)),
-            "{row}"
-        );
+        queue.push(entry(ACME, Class::Normal, FAR, "uncached"));
+        queue.push(entry(ACME, class, deadline, "cached"));
+        let popped = queue.pop(ACME, HERE, |name| *name == "cached");
+        expect_that!(popped.map(|entry| entry.payload), some(eq(first)), "{row}");
     }
 }
 
 #[gtest]
-fn tail_and_position_follow_the_order() {
+fn back_and_position_follow_the_order() {
     let mut queue = Queue::default();
-    queue.push(waiting(ACME, Class::Normal, FAR, "first"));
-    let last = queue.push(waiting(ACME, Class::Deferrable, FAR, "last"));
-    queue.push(waiting(ACME, Class::Normal, FAR + 1, "second"));
+    queue.push(entry(ACME, Class::Normal, FAR, "first"));
+    let last = queue.push(entry(ACME, Class::Deferrable, FAR, "last"));
+    queue.push(entry(ACME, Class::Normal, FAR + 1, "second"));
     expect_that!(queue.back(ACME), some(eq(last)));
     expect_that!(queue.back(BETA), none());
-    let mut positions: Vec<(Named, usize)> = queue
+    let mut positions: Vec<(Name, usize)> = queue
         .iter()
-        .map(|(_, waiting)| (waiting.payload, queue.position(waiting)))
+        .map(|(_, entry)| (entry.payload, queue.position(entry)))
         .collect();
     positions.sort_unstable();
     expect_that!(
@@ -195,86 +189,86 @@
 }
 
 #[gtest]
-fn changes_keep_the_latest_of_each_customer() {
+fn change_log_keeps_the_latest_change_of_each_customer() {
     let mut changes = ChangeLog::default();
     changes.record(ACME);
     let seen = changes.latest();
     changes.record(BETA);
     changes.record(ACME);
     changes.record(BETA);
-    let new: Vec<CustomerId> = changes.since(seen).collect();
-    expect_that!(new, elements_are![eq(&ACME), eq(&BETA)]);
+    let newer: Vec<CustomerId> = changes.since(seen).collect();
+    expect_that!(newer, elements_are![eq(&ACME), eq(&BETA)]);
     expect_that!(changes.since(changes.latest()).count(), eq(0));
 }
 
-/// What may happen to a queue.
+/// An operation on a queue.
 #[derive(Clone, Copy, Debug)]
-enum Step {
+enum Operation {
     Push {
         customer: u32,
         class: usize,
         deadline: Millis,
-        bound: u32,
+        pinned: u32,
     },
-    Take {
+    Pop {
         customer: u32,
         server: u32,
     },
     Remove(usize),
-    Raise(Millis),
+    Promote(Millis),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         (0..4_u32, 0..3_usize, 0..100_000_u64, 0..4_u32).prop_map(
-            |(customer, class, deadline, bound)| Step::Push {
+            |(customer, class, deadline, pinned)| Operation::Push {
                 customer,
                 class,
                 deadline,
-                bound
+                pinned
             }
         ),
-        (0..4_u32, 1..4_u32).prop_map(|(customer, server)| Step::Take { customer, server }),
-        (0..20_usize).prop_map(Step::Remove),
-        (0..100_000_u64).prop_map(Step::Raise),
+        (0..4_u32, 1..4_u32).prop_map(|(customer, server)| Operation::Pop { customer, server }),
+        (0..20_usize).prop_map(Operation::Remove),
+        (0..100_000_u64).prop_map(Operation::Promote),
     ]
 }
 
 proptest! {
-    /// Every request is waiting or gone exactly once, and interest counts them.
+    /// Guards against lost or duplicated requests and wrong interest counts.
     #[test]
-    fn nothing_is_lost_or_doubled(steps in prop::collection::vec(step(), 0..200)) {
+    fn no_request_is_lost_or_duplicated(operations in prop::collection::vec(operation(), 0..200)) {
         let mut queue: Queue<usize> = Queue::default();
-        let mut held: Vec<(EntryKey, usize)> = Vec::new();
-        for (number, step) in steps.into_iter().enumerate() {
-            match step {
-                Step::Push { customer, class, deadline, bound } => {
+        let mut queued: Vec<(EntryKey, usize)> = Vec::new();
+        for (number, operation) in operations.into_iter().enumerate() {
+            match operation {
+                Operation::Push { customer, class, deadline, pinned } => {
                     let class = Class::ALL[class];
-                    let mut waiting =
+                    let mut entry =
                         Entry::new(CustomerId(customer), class, deadline, 0, number);
-                    waiting.pinned_server = (bound > 0).then_some(ServerId(bound));
-                    held.push((queue.push(waiting), number));
+                    entry.pinned_server = (pinned > 0).then_some(ServerId(pinned));
+                    queued.push((queue.push(entry), number));
                 }
-                Step::Take { customer, server } => {
+                Operation::Pop { customer, server } => {
                     let customer = CustomerId(customer);
-                    let counted = queue.interest(customer, ServerId(server)).total();
-                    let taken = queue.pop(customer, ServerId(server), |_| false);
-                    prop_assert_eq!(taken.is_some(), counted > 0);
-                    held.retain(|(_, number)| Some(*number) != taken.as_ref().map(|w| w.payload));
+                    let waiting = queue.interest(customer, ServerId(server)).total();
+                    let popped = queue.pop(customer, ServerId(server), |_| false);
+                    prop_assert_eq!(popped.is_some(), waiting > 0);
+                    queued.retain(|(_, number)| Some(*number) != popped.as_ref().map(|entry| entry.payload));
                 }
-                Step::Remove(index) if index < held.len() => {
-                    let (key, number) = held.remove(index);
-                    prop_assert_eq!(queue.remove(key).map(|w| w.payload), Some(number));
+                Operation::Remove(index) if index < queued.len() => {
+                    let (key, number) = queued.remove(index);
+                    prop_assert_eq!(queue.remove(key).map(|entry| entry.payload), Some(number));
                     prop_assert!(queue.remove(key).is_none());
                 }
-                Step::Remove(_) => {}
-                Step::Raise(now) => drop(queue.promote(now)),
+                Operation::Remove(_) => {}
+                Operation::Promote(now) => drop(queue.promote(now)),
             }
-            prop_assert_eq!(queue.len(), held.len());
+            prop_assert_eq!(queue.len(), queued.len());
         }
-        let mut left: Vec<usize> = queue.iter().map(|(_, waiting)| waiting.payload).collect();
+        let mut left: Vec<usize> = queue.iter().map(|(_, entry)| entry.payload).collect();
         left.sort_unstable();
-        let mut expected: Vec<usize> = held.into_iter().map(|(_, number)| number).collect();
+        let mut expected: Vec<usize> = queued.into_iter().map(|(_, number)| number).collect();
         expected.sort_unstable();
         prop_assert_eq!(left, expected);
     }
