--- a/crates/decide/src/limiter.rs
+++ b/crates/decide/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Bounds on waiting requests and the time after which to come back.
+//! Limits on queued requests and the `Retry-After` delay.
 
 mod rate;
 
@@ -8,65 +8,71 @@
 
 pub use rate::Rate;
 
-/// Most seconds named to a caller as the time to come back.
+/// Maximum `Retry-After` delay, in seconds.
 pub const MAX_RETRY_AFTER_S: u32 = 120;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Account {
+struct CustomerState {
     waiting: u32,
     share: u32,
-    drain: Rate,
+    drain_rate: Rate,
 }
 
-/// What is to be done with a request that would wait.
+/// Decision on a request that has to be queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may wait; it is counted.
+    /// The request is counted and may be queued.
     Enqueue,
-    /// It may wait; it is counted, and this other customer's last request must go.
+    /// The request is counted and may be queued; the last request of this other
+    /// customer has to be evicted.
     Displace(CustomerId),
-    /// The customer has as much waiting as it may.
+    /// The customer has reached its limit.
     CustomerFull,
-    /// The router has as much waiting as it may, and the customer has the most
-    /// for its share.
+    /// The router has reached its limit, and no other customer has more requests
+    /// queued relative to its share.
     RouterFull,
 }
 
-/// Counts of waiting requests by customer, with their bounds.
+/// Counts queued requests by customer and enforces the limits.
 #[derive(Clone, Debug)]
 pub struct Limiter {
-    accounts: HashMap<CustomerId, Account>,
+    customers: HashMap<CustomerId, CustomerState>,
     total: u32,
-    per_customer: u32,
-    most: u32,
+    max_per_customer: u32,
+    max_total: u32,
 }
 
 impl Limiter {
-    /// Bounds for one customer and for all together.
+    /// Creates a limiter with the default limit of each customer and the total limit.
     #[must_use]
-    pub fn new(per_customer: u32, most: u32) -> Self {
+    pub fn new(max_per_customer: u32, max_total: u32) -> Self {
         Self {
-            accounts: HashMap::new(),
+            customers: HashMap::new(),
             total: 0,
-            per_customer,
-            most,
+            max_per_customer,
+            max_total,
         }
     }
 
-    /// Decides on a request that would wait; `queue` is the customer's own
-    /// bound, if it has one.
-    pub fn admit(&mut self, customer: CustomerId, share: u32, queue: Option<u32>) -> Decision {
-        let most = queue.unwrap_or(self.per_customer);
-        let account = self.accounts.entry(customer).or_default();
-        account.share = share.max(1);
-        if account.waiting >= most {
+    /// Decides whether a request may be queued. `customer_limit` overrides the
+    /// default limit.
+    pub fn admit(
+        &mut self,
+        customer: CustomerId,
+        share: u32,
+        customer_limit: Option<u32>,
+    ) -> Decision {
+        let max_waiting = customer_limit.unwrap_or(self.max_per_customer);
+        let state = self.customers.entry(customer).or_default();
+        state.share = share.max(1);
+        if state.waiting >= max_waiting {
             return Decision::CustomerFull;
         }
-        if self.total < self.most {
+        if self.total < self.max_total {
             self.count(customer);
             return Decision::Enqueue;
         }
-        match self.largest() {
+        match self.largest_backlog() {
             Some(largest) if largest != customer && self.exceeds(largest, customer) => {
                 self.count(customer);
                 Decision::Displace(largest)
@@ -75,81 +81,79 @@
         }
     }
 
-    /// Counts a request that waits again after it was admitted before.
+    /// Counts an admitted request that is queued again, regardless of the limits.
     pub fn readmit(&mut self, customer: CustomerId, share: u32) {
-        self.accounts.entry(customer).or_default().share = share.max(1);
+        self.customers.entry(customer).or_default().share = share.max(1);
         self.count(customer);
     }
 
     fn count(&mut self, customer: CustomerId) {
-        self.accounts.entry(customer).or_default().waiting += 1;
+        self.customers.entry(customer).or_default().waiting += 1;
         self.total += 1;
     }
 
-    /// The customer with the most waiting for its share.
-    fn largest(&self) -> Option<CustomerId> {
-        let waiting = self
-            .accounts
-            .iter()
-            .filter(|(_, account)| account.waiting > 0);
-        let largest = waiting.max_by(|(one, a), (other, b)| {
+    /// Returns the customer with the most queued requests relative to its share.
+    fn largest_backlog(&self) -> Option<CustomerId> {
+        let waiting = self.customers.iter().filter(|(_, state)| state.waiting > 0);
+        let largest = waiting.max_by(|(customer_a, a), (customer_b, b)| {
             let left = u64::from(a.waiting) * u64::from(b.share);
             let right = u64::from(b.waiting) * u64::from(a.share);
-            left.cmp(&right).then(one.cmp(other))
+            left.cmp(&right).then(customer_a.cmp(customer_b))
         });
         largest.map(|(&customer, _)| customer)
     }
 
-    /// Whether `large` has more for its share than `small` would have with one more.
+    /// Whether `large` has more requests relative to its share than `small` would
+    /// have with one more.
     fn exceeds(&self, large: CustomerId, small: CustomerId) -> bool {
-        let (large, small) = (&self.accounts[&large], &self.accounts[&small]);
+        let (large, small) = (&self.customers[&large], &self.customers[&small]);
         u64::from(large.waiting) * u64::from(small.share)
             > u64::from(small.waiting + 1) * u64::from(large.share)
     }
 
-    /// Counts a request that waits no longer; `started` tells whether a server
-    /// took it.
+    /// Removes a request from the count. `started` tells whether it left the queue
+    /// for a server.
     ///
     /// # Panics
     ///
-    /// When none was counted as waiting: each is counted once and leaves once.
+    /// If the customer has no request counted, which is a bug.
     pub fn remove(&mut self, customer: CustomerId, started: bool, now: Millis) {
-        let account = self.accounts.get_mut(&customer);
-        let account = account.filter(|account| account.waiting > 0);
-        let account = account.expect("a request that leaves was counted as waiting");
-        account.waiting -= 1;
+        let state = self.customers.get_mut(&customer);
+        let state = state.filter(|state| state.waiting > 0);
+        let state = state.expect("a removed request was counted before");
+        state.waiting -= 1;
         self.total -= 1;
         if started {
-            account.drain.count(now);
+            state.drain_rate.record(now);
         }
-        if account.waiting == 0 && account.drain.is_stale(now) {
-            self.accounts.remove(&customer);
+        if state.waiting == 0 && state.drain_rate.is_stale(now) {
+            self.customers.remove(&customer);
         }
     }
 
-    /// Whole seconds after which the customer's queue should have drained.
+    /// Estimated time until the customer's queue has drained, in whole seconds.
     #[must_use]
     pub fn retry_after(&self, customer: CustomerId, now: Millis) -> u32 {
-        let Some(account) = self.accounts.get(&customer) else {
+        let Some(state) = self.customers.get(&customer) else {
             return 1;
         };
-        let rate = account.drain.per_second(now);
+        let rate = state.drain_rate.per_second(now);
         if rate <= f64::EPSILON {
-            return MAX_RETRY_AFTER_S.min(account.waiting.saturating_add(1));
+            return MAX_RETRY_AFTER_S.min(state.waiting.saturating_add(1));
         }
-        let seconds = (f64::from(account.waiting) / rate).ceil();
+        let seconds = (f64::from(state.waiting) / rate).ceil();
         whole_seconds(seconds)
     }
 
-    /// Requests of a customer that wait.
+    /// Number of queued requests of a customer.
     #[must_use]
     pub fn waiting(&self, customer: CustomerId) -> u32 {
-        self.accounts
+        self.customers
             .get(&customer)
-            .map_or(0, |account| account.waiting)
+            .map_or(0, |state| state.waiting)
     }
 
-    /// Requests that wait in all.
+    /// Total number of queued requests.
     #[must_use]
     pub const fn total(&self) -> u32 {
         self.total
--- a/crates/decide/tests/limiter.rs
+++ b/crates/decide/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! Bounds on waiting requests.
+//! Limits on queued requests.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::limiter::{Decision, Limiter, MAX_RETRY_AFTER_S, Rate};
@@ -15,23 +15,23 @@
 }
 
 #[gtest]
-fn a_customer_is_bounded_by_its_own_queue() {
+fn queued_requests_of_a_customer_are_limited() {
     let rows = [
-        ("setting of the router", None, 3),
-        ("customer's own, smaller", Some(2), 2),
-        ("customer's own, larger", Some(5), 5),
+        ("default", None, 3),
+        ("override, smaller", Some(2), 2),
+        ("override, larger", Some(5), 5),
     ];
-    for (row, queue, most) in rows {
+    for (row, customer_limit, max) in rows {
         let mut limiter = Limiter::new(3, 100);
-        for _ in 0..most {
+        for _ in 0..max {
             expect_that!(
-                limiter.admit(LARGE, 1, queue),
+                limiter.admit(LARGE, 1, customer_limit),
                 eq(Decision::Enqueue),
                 "{row}"
             );
         }
         expect_that!(
-            limiter.admit(LARGE, 1, queue),
+            limiter.admit(LARGE, 1, customer_limit),
             eq(Decision::CustomerFull),
             "{row}"
         );
@@ -42,7 +42,7 @@
         );
         limiter.remove(LARGE, true, 0);
         expect_that!(
-            limiter.admit(LARGE, 1, queue),
+            limiter.admit(LARGE, 1, customer_limit),
             eq(Decision::Enqueue),
             "{row}"
         );
@@ -50,55 +50,55 @@
 }
 
 #[gtest]
-fn a_full_router_takes_from_the_customer_with_the_most_for_its_share() {
+fn a_full_router_displaces_the_customer_with_the_most_requests_per_share() {
     let rows = [
         (
-            "flooder asks",
+            "largest customer",
             [(LARGE, 1, 9), (SMALL, 1, 1)],
             LARGE,
             1,
             Decision::RouterFull,
         ),
         (
-            "small asks",
+            "small customer",
             [(LARGE, 1, 9), (SMALL, 1, 1)],
             SMALL,
             1,
             Decision::Displace(LARGE),
         ),
         (
-            "newcomer asks",
+            "new customer",
             [(LARGE, 1, 9), (SMALL, 1, 1)],
             OTHER,
             1,
             Decision::Displace(LARGE),
         ),
         (
-            "share counts",
+            "largest customer within its share",
             [(LARGE, 9, 9), (SMALL, 1, 1)],
             OTHER,
             1,
             Decision::RouterFull,
         ),
         (
-            "larger share asks",
+            "customer with a larger share",
             [(LARGE, 1, 5), (SMALL, 5, 5)],
             SMALL,
             5,
             Decision::Displace(LARGE),
         ),
     ];
-    for (row, held, customer, share, expected) in rows {
+    for (row, queued, customer, share, expected) in rows {
         let mut limiter = Limiter::new(100, 10);
-        for (holder, share, count) in held {
-            fill(&mut limiter, holder, share, count);
+        for (owner, share, count) in queued {
+            fill(&mut limiter, owner, share, count);
         }
         expect_that!(limiter.admit(customer, share, None), eq(expected), "{row}");
     }
 }
 
 #[gtest]
-fn displacing_keeps_the_total() {
+fn displacement_keeps_the_total() {
     let mut limiter = Limiter::new(100, 4);
     fill(&mut limiter, LARGE, 1, 4);
     assert_that!(limiter.admit(SMALL, 1, None), eq(Decision::Displace(LARGE)));
@@ -114,8 +114,9 @@
 }
 
 #[gtest]
-fn time_to_come_back_follows_the_drain_rate() {
-    // Waiting requests, milliseconds between starts (0 for none), least and most seconds.
+fn retry_after_follows_the_drain_rate() {
+    // Queued requests, milliseconds between starts (0 for none), minimum and maximum
+    // seconds.
     let rows = [
         (0, 100, 1, 1),
         (100, 100, 9, 13),
@@ -123,12 +124,12 @@
         (5, 0, 6, 6),
         (900, 0, 120, 120),
     ];
-    for (waiting, pause, least, most) in rows {
+    for (waiting, interval, min, max) in rows {
         let mut limiter = Limiter::new(u32::MAX, u32::MAX);
         let mut now = 0;
-        if pause > 0 {
+        if interval > 0 {
             for _ in 0..1_000 {
-                now += pause;
+                now += interval;
                 limiter.readmit(LARGE, 1);
                 limiter.remove(LARGE, true, now);
             }
@@ -137,18 +138,18 @@
         let seconds = limiter.retry_after(LARGE, now);
         expect_that!(
             seconds,
-            all![ge(least), le(most)],
-            "{waiting} waiting, {pause} ms"
+            all![ge(min), le(max)],
+            "{waiting} waiting, {interval} ms"
         );
         expect_that!(seconds, le(MAX_RETRY_AFTER_S));
     }
 }
 
 #[gtest]
-fn a_rate_forgets() {
+fn rate_decays() {
     let mut rate = Rate::default();
     for second in 0..100 {
-        rate.count(second * 1_000);
+        rate.record(second * 1_000);
     }
     expect_that!(rate.per_second(99_000), near(1.0, 0.1));
     expect_that!(rate.per_second(119_000), lt(0.2));
