--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -1,26 +1,26 @@
-//! Choice of a server for a request that can start at once.
+//! Placement of requests that can start immediately.
 
 use mulberryyoke_model::{CustomerId, ServerId};
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What is known of a server that could take a request.
+/// A server that could run the request, as known to the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The server.
     pub server: ServerId,
-    /// Whether it is in the router's availability zone.
+    /// Whether the server is in the router's availability zone.
     pub same_zone: bool,
-    /// Slots that should be free.
+    /// Number of slots assumed to be free.
     pub free_slots: u32,
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u32,
-    /// Requests this router has running there.
+    /// Number of requests of this router that run there.
     pub running: u32,
 }
 
-/// The start of a customer's prompt, hashed. Requests that share it gain from
-/// the same engine's prefix cache.
+/// Hash of the start of a customer's prompt. Requests with the same prefix share
+/// the prefix cache of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptPrefix(u64);
 
@@ -31,13 +31,13 @@
         Self(xxh3_64(start) ^ u64::from(customer.0).wrapping_mul(0x9e37_79b9_7f4a_7c15))
     }
 
-    /// Rank of a server for this prefix, by rendezvous hash; higher is warmer.
+    /// Rendezvous weight of a server for this prefix.
     #[must_use]
     pub fn weight(self, server: ServerId) -> u64 {
         weight(self.0, server)
     }
 
-    /// The server of highest weight.
+    /// Returns the server with the highest weight.
     pub fn preferred_server(self, servers: impl IntoIterator<Item = ServerId>) -> Option<ServerId> {
         servers
             .into_iter()
@@ -45,7 +45,7 @@
     }
 }
 
-/// Rank of a server for a key, by rendezvous hash.
+/// Rendezvous weight of a server for a key.
 #[must_use]
 pub fn weight(key: u64, server: ServerId) -> u64 {
     let mut bytes = [0; 12];
@@ -54,19 +54,19 @@
     xxh3_64(&bytes)
 }
 
-/// Chooses among servers with a free slot: the warm one, else a near one, else
-/// the one with the most free slots. `None` when no slot is free.
+/// Chooses among the servers with a free slot, by prefix affinity, then by zone, then
+/// by the number of free slots. Returns `None` if no slot is free.
 #[must_use]
 pub fn choose(candidates: &[Candidate], prefix: Option<PromptPrefix>) -> Option<ServerId> {
-    let warm =
+    let preferred =
         prefix.and_then(|prefix| prefix.preferred_server(candidates.iter().map(|c| c.server)));
-    let free = candidates
+    let available = candidates
         .iter()
         .filter(|candidate| candidate.free_slots > 0);
-    let best = free.max_by_key(|candidate| {
-        let is_warm = Some(candidate.server) == warm;
+    let best = available.max_by_key(|candidate| {
+        let is_preferred = Some(candidate.server) == preferred;
         (
-            is_warm,
+            is_preferred,
             candidate.same_zone,
             candidate.free_slots,
             candidate.server,
@@ -75,20 +75,20 @@
     best.map(|candidate| candidate.server)
 }
 
-/// The baseline: the less loaded of two servers drawn at random, whether it
-/// has a free slot or not.
+/// Baseline policy: the less loaded of two random servers, whether or not it has a
+/// free slot.
 pub fn two_random_choices(candidates: &[Candidate], rng: &mut impl Rng) -> Option<ServerId> {
     let last = candidates.len().checked_sub(1)?;
-    let one = candidates[rng.random_range(0..=last)];
-    let other = candidates[rng.random_range(0..=last)];
+    let first = candidates[rng.random_range(0..=last)];
+    let second = candidates[rng.random_range(0..=last)];
     let load = |candidate: &Candidate| {
         let busy = candidate.slots.saturating_sub(candidate.free_slots);
         f64::from(busy.max(candidate.running)) / f64::from(candidate.slots.max(1))
     };
-    let less = if load(&other) < load(&one) {
-        other
+    let less_loaded = if load(&second) < load(&first) {
+        second
     } else {
-        one
+        first
     };
-    Some(less.server)
+    Some(less_loaded.server)
 }
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Choice of a server and the budget of retries.
+//! Placement of requests and the retry budget.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::placement::{Candidate, PromptPrefix, choose, two_random_choices};
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn a_free_server_is_chosen_near_first_then_by_free_slots() {
+fn placement_prefers_the_same_zone_then_free_slots() {
     let rows = [
         ("none", vec![], None),
         (
@@ -34,7 +34,7 @@
             Some(2),
         ),
         (
-            "near first",
+            "same zone first",
             vec![candidate(1, false, 8), candidate(2, true, 1)],
             Some(2),
         ),
@@ -54,16 +54,16 @@
 }
 
 #[gtest]
-fn a_warm_server_goes_first_but_never_idles_another() {
+fn prefix_affinity_applies_only_to_servers_with_a_free_slot() {
     let servers: Vec<u32> = (1..=5).collect();
     let prefix = PromptPrefix::of(ACME, b"You are a helpful assistant");
-    let warm = prefix
+    let preferred = prefix
         .preferred_server(servers.iter().copied().map(ServerId))
         .unwrap();
     let free = |busy: Option<ServerId>| -> Vec<Candidate> {
         let all = servers
             .iter()
-            .map(|&server| candidate(server, server != warm.0, 2));
+            .map(|&server| candidate(server, server != preferred.0, 2));
         all.map(|mut candidate| {
             if Some(candidate.server) == busy {
                 candidate.free_slots = 0;
@@ -72,23 +72,23 @@
         })
         .collect()
     };
-    expect_that!(choose(&free(None), Some(prefix)), some(eq(warm)));
-    let other = choose(&free(Some(warm)), Some(prefix));
-    expect_that!(other, some(not(eq(warm))));
+    expect_that!(choose(&free(None), Some(prefix)), some(eq(preferred)));
+    let other = choose(&free(Some(preferred)), Some(prefix));
+    expect_that!(other, some(not(eq(preferred))));
 }
 
 #[gtest]
-fn prefixes_spread_over_servers_and_stay() {
+fn prefixes_are_balanced_and_keep_their_server() {
     let servers = || (0..8).map(ServerId);
     let mut counts = [0; 8];
     for number in 0..800_u32 {
         let prefix = PromptPrefix::of(ACME, &number.to_le_bytes());
-        let warm = prefix.preferred_server(servers()).unwrap();
-        counts[warm.0 as usize] += 1;
-        // A server that leaves moves only its own prefixes.
+        let preferred = prefix.preferred_server(servers()).unwrap();
+        counts[preferred.0 as usize] += 1;
+        // Removing a server moves only its own prefixes.
         let without = servers().filter(|server| *server != ServerId(0));
         let after = prefix.preferred_server(without).unwrap();
-        expect_that!(after == warm || warm == ServerId(0), eq(true));
+        expect_that!(after == preferred || preferred == ServerId(0), eq(true));
     }
     expect_that!(counts, each(all![gt(50), lt(150)]));
     let other = PromptPrefix::of(CustomerId(2), &1_u32.to_le_bytes());
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn the_baseline_takes_the_less_loaded_of_two() {
+fn two_random_choices_prefers_the_less_loaded_server() {
     let mut rng = ChaCha8Rng::seed_from_u64(7719);
     let candidates = [candidate(1, true, 0), candidate(2, true, 8)];
     let mut counts = [0, 0];
@@ -104,31 +104,31 @@
         let server = two_random_choices(&candidates, &mut rng).unwrap();
         counts[server.0 as usize - 1] += 1;
     }
-    // The loaded one only when it is drawn twice: a quarter.
+    // The loaded server is chosen only if it is drawn twice, with probability 1/4.
     expect_that!(counts[0], all![gt(200), lt(300)]);
     expect_that!(two_random_choices(&[], &mut rng), none());
 }
 
 #[gtest]
 fn retries_stay_within_the_budget() {
-    // Percent, first attempts, retries then allowed.
+    // Percent, first attempts, expected number of retries.
     let rows = [(10, 0, 10), (10, 1_000, 10), (0, 1_000, 0), (100, 3, 10)];
-    for (percent, firsts, allowed) in rows {
+    for (percent, first_attempts, allowed) in rows {
         let mut budget = Budget::new(percent);
-        for _ in 0..firsts {
+        for _ in 0..first_attempts {
             budget.earn();
         }
         let spent = (0..1_000).filter(|_| budget.spend()).count();
         expect_that!(
             spent,
             eq(allowed),
-            "{percent} percent, {firsts} first attempts"
+            "{percent} percent, {first_attempts} first attempts"
         );
     }
 }
 
 #[gtest]
-fn a_fault_costs_at_most_the_stated_part() {
+fn retries_are_limited_to_the_configured_percentage() {
     let mut budget = Budget::new(10);
     let mut retries = 0;
     for _ in 0..1_000 {
@@ -137,8 +137,8 @@
             retries += 1;
         }
     }
-    // Ten at first, and one for each ten first attempts; the very first adds
-    // nothing to the full budget.
+    // The initial ten, plus one per ten first attempts, except that the first
+    // attempt finds the budget already full.
     expect_that!(retries, eq(10 + 99));
     expect_that!(budget.left(), eq(0));
 }
