--- a/crates/decide/src/declare.rs
+++ b/crates/decide/src/declare.rs
@@ -1,62 +1,68 @@
-//! What a router tells each sidecar of its waiting requests, and when.
+//! Declaration of waiting requests by a router to the sidecars.
 //!
-//! Telling every sidecar of every request costs more than all other control
-//! traffic, and a sidecar needs little of it: whether anything of a customer
-//! waits, and whether any of it is urgent. So counts are told again only when
-//! they differ by much, and a customer with few waiting requests is told to a
-//! few sidecars, to more the longer it waits. No server idles for it: one with
-//! a free slot is told everything, and so many are told of each customer that
-//! every sidecar knows of some.
+//! Declaring every request to every sidecar would cost more than all other control
+//! traffic. A sidecar mainly needs to know whether a customer has waiting requests
+//! and whether any of them is urgent. Therefore:
+//!
+//! - Counts are declared again only after a significant change.
+//! - A customer with few waiting requests is declared to few sidecars. The fan-out
+//!   doubles the longer the requests wait.
+//!
+//! No server stays idle as a result: a sidecar with a free slot gets all requests,
+//! and the fan-out is at least large enough for every sidecar to get a share of the
+//! customers.
 
 use std::collections::HashMap;
 
 use mulberryyoke_model::{Class, CustomerId, Interest, Millis, ServerId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Sidecars told for each waiting request of a customer.
+/// Number of sidecars that a customer is declared to, per waiting request.
 pub const FANOUT_PER_REQUEST: usize = 4;
 
-/// Time after which twice as many sidecars are told, in milliseconds.
+/// Waiting time after which the fan-out doubles, in milliseconds.
 pub const FANOUT_DOUBLING_MS: Millis = 1_000;
 
-/// Factor by which a count has to change to be told again.
-const CHANGE: u32 = 4;
+/// Factor by which a count has to change to be declared again.
+const MIN_CHANGE_FACTOR: u32 = 4;
 
-/// Most doublings of the number of sidecars told.
-const DOUBLINGS: Millis = 16;
+/// Maximum number of doublings of the fan-out.
+const MAX_DOUBLINGS: Millis = 16;
 
-/// How many of `open` sidecars are told of a customer's waiting requests while
-/// `customers` have some.
+/// Number of sidecars that a customer's waiting requests are declared to, out of
+/// `eligible` sidecars, while `customers` have waiting requests. The result may
+/// exceed `eligible`.
 #[must_use]
-pub fn fanout(interest: &Interest, open: usize, customers: usize, now: Millis) -> usize {
-    let cover = (FANOUT_PER_REQUEST * open).div_ceil(customers.max(1));
-    let steps = now.saturating_sub(interest.since) / FANOUT_DOUBLING_MS;
-    let each = FANOUT_PER_REQUEST << steps.min(DOUBLINGS);
-    let each = each.saturating_mul(interest.total() as usize);
-    each.max(cover)
+pub fn fanout(interest: &Interest, eligible: usize, customers: usize, now: Millis) -> usize {
+    let coverage = (FANOUT_PER_REQUEST * eligible).div_ceil(customers.max(1));
+    let doublings = now.saturating_sub(interest.since) / FANOUT_DOUBLING_MS;
+    let per_request = FANOUT_PER_REQUEST << doublings.min(MAX_DOUBLINGS);
+    let fanout = per_request.saturating_mul(interest.total() as usize);
+    fanout.max(coverage)
 }
 
-/// Whether a sidecar is among those told of a customer's waiting requests.
-/// `salt` changes whenever the customer begins to wait; `open` are the servers
-/// that may get new work; `customers` have waiting requests.
+/// Whether a customer's waiting requests are declared to the sidecar of `server`.
+/// Sidecars are selected by rendezvous hashing with `salt`, which changes whenever
+/// the customer starts to wait. `eligible` are the servers that take new requests,
+/// `customers` is the number of customers with waiting requests.
 #[must_use]
 pub fn is_target(
     interest: &Interest,
     salt: u64,
     server: ServerId,
-    open: &[ServerId],
+    eligible: &[ServerId],
     customers: usize,
     now: Millis,
 ) -> bool {
-    let reach = fanout(interest, open.len(), customers, now);
-    if open.len() <= reach {
+    let fanout = fanout(interest, eligible.len(), customers, now);
+    if eligible.len() <= fanout {
         return true;
     }
     let own = weight(interest.customer, salt, server);
-    let before = open
+    let higher = eligible
         .iter()
         .filter(|&&other| weight(interest.customer, salt, other) > own);
-    before.take(reach).count() < reach
+    higher.take(fanout).count() < fanout
 }
 
 fn weight(customer: CustomerId, salt: u64, server: ServerId) -> u64 {
@@ -67,17 +73,18 @@
     xxh3_64(&bytes)
 }
 
-/// What one sidecar believes to wait: what it was told last, less the slots that
-/// it has reserved since.
+/// Waiting requests as known to one sidecar: the last declared counts, less the
+/// slots that it has reserved since.
 #[derive(Clone, Debug, Default)]
 pub struct DeclaredDemand {
     waiting: HashMap<CustomerId, [u16; 3]>,
 }
 
 impl DeclaredDemand {
-    /// Keeps of `interest` what has to be told, and takes it as told.
+    /// Filters `interest` down to the significant changes and records them as
+    /// declared.
     pub fn update(&mut self, mut interest: Vec<Interest>) -> Vec<Interest> {
-        interest.retain(|now| self.is_news(now));
+        interest.retain(|current| self.has_changed(current));
         for interest in &interest {
             if interest.total() == 0 {
                 self.waiting.remove(&interest.customer);
@@ -88,8 +95,8 @@
         interest
     }
 
-    /// The sidecar reserved a slot for a customer, and counts one request of the
-    /// best class less.
+    /// Records that the sidecar has reserved a slot for a request of the customer's
+    /// best class.
     pub fn record_grant(&mut self, customer: CustomerId) {
         let Some(waiting) = self.waiting.get_mut(&customer) else {
             return;
@@ -102,38 +109,38 @@
         }
     }
 
-    fn is_news(&self, interest: &Interest) -> bool {
-        let told = self.waiting.get(&interest.customer);
-        let told = told.copied().unwrap_or_default();
+    fn has_changed(&self, interest: &Interest) -> bool {
+        let declared = self.waiting.get(&interest.customer);
+        let declared = declared.copied().unwrap_or_default();
         let urgent = Class::Urgent.index();
-        differs(told[urgent].into(), interest.waiting[urgent].into())
-            || differs(told.into_iter().map(u32::from).sum(), interest.total())
+        differs_significantly(declared[urgent].into(), interest.waiting[urgent].into())
+            || differs_significantly(declared.into_iter().map(u32::from).sum(), interest.total())
     }
 
-    /// Whether the sidecar was told of a customer.
+    /// Whether the sidecar knows of waiting requests of a customer.
     #[must_use]
     pub fn contains(&self, customer: CustomerId) -> bool {
         self.waiting.contains_key(&customer)
     }
 
-    /// Whether the sidecar knows of nothing that waits.
+    /// Whether the sidecar knows of no waiting requests.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes everything as untold, as before a full declaration.
+    /// Forgets all declared counts, before a full declaration.
     pub fn clear(&mut self) {
         self.waiting.clear();
     }
 
-    /// Customers of whom the sidecar was told.
+    /// Customers with waiting requests known to the sidecar.
     pub fn customers(&self) -> impl Iterator<Item = CustomerId> {
         self.waiting.keys().copied()
     }
 }
 
-fn differs(told: u32, now: u32) -> bool {
-    let (less, more) = (told.min(now), told.max(now));
-    more > 0 && more >= CHANGE * less
+fn differs_significantly(declared: u32, current: u32) -> bool {
+    let (less, more) = (declared.min(current), declared.max(current));
+    more > 0 && more >= MIN_CHANGE_FACTOR * less
 }
