--- a/crates/decide/src/home.rs
+++ b/crates/decide/src/home.rs
@@ -1,9 +1,9 @@
-//! Homes of idempotency keys.
+//! Home servers of idempotency keys.
 //!
-//! A request that may run at most once runs only at its key's home: among the
-//! servers of its pool that take new work, the one with the highest rendezvous
-//! weight. A server that was home earlier within the key retention time may
-//! have run the key; it has to give a withdrawal first.
+//! A request that must run at most once runs only at the home of its key: the
+//! server with the highest rendezvous weight among the active servers of the pool.
+//! A former home within the key retention time may have run the key already, so the
+//! router has to withdraw the key there first.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -12,48 +12,49 @@
 
 use crate::rendezvous;
 
-/// Where a key may run now, and where it may have run before.
+/// Current and former homes of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Homes {
-    /// The home now; `None` when no server takes new work.
+    /// The current home; `None` if no server is active.
     pub current: Option<ServerId>,
-    /// Every other server that may have been home within the retention time, the
-    /// highest weight first.
+    /// Other servers that may have been the home within the retention time, in
+    /// descending order of weight.
     pub former: Vec<ServerId>,
 }
 
-/// Finds the homes of a key among all servers of its pool, removed ones included.
+/// Finds the homes of a key among all servers of its pool, including removed ones.
 ///
-/// A server's record tells when it was added and when its state last changed, not
-/// what lay between. So it may have been active from `added_at` on, until
-/// `changed_at` if it is active no more, but surely was only from the later of the
-/// two on, if it is active now. Servers are visited by falling weight; one that
-/// surely was active in the whole window hides all that come after it.
+/// A server's record only has the times when it was added and when its state last
+/// changed. An active server is known to have been active since the later of the
+/// two, but may have been active since `added_at`. Any other server may have been
+/// active from `added_at` to `changed_at`. Servers are visited in descending order
+/// of weight, up to the first one that was active during the whole retention time:
+/// no server after it can have been the home.
 #[must_use]
 pub fn find(servers: &[Arc<Server>], key: KeyId, now: Millis, retention_ms: u64) -> Homes {
     let start = now.saturating_sub(retention_ms);
     let mut homes = Homes::default();
-    // The window's part in which a server of less weight may have been home.
-    let mut open_until = now;
+    // End of the period in which a server of lower weight may have been the home.
+    let mut undetermined_until = now;
     for server in ranked(servers, key) {
         let active = server.state == State::Active;
         let id = ServerId::of(&server.name);
         if active && homes.current.is_none() {
             homes.current = Some(id);
-        } else if may_have_been_active(server, start, open_until) {
+        } else if may_have_been_active(server, start, undetermined_until) {
             homes.former.push(id);
         }
         if active {
-            open_until = open_until.min(active_since(server));
+            undetermined_until = undetermined_until.min(active_since(server));
         }
-        if homes.current.is_some() && open_until <= start {
+        if homes.current.is_some() && undetermined_until <= start {
             break;
         }
     }
     homes
 }
 
-/// From when on an active server surely was active.
+/// Earliest time since which an active server is known to have been active.
 fn active_since(server: &Server) -> Millis {
     server.added_at.max(server.changed_at)
 }
--- a/crates/decide/tests/home.rs
+++ b/crates/decide/tests/home.rs
@@ -1,4 +1,4 @@
-//! Homes of keys: one home, moved by as little as a change needs.
+//! Home servers of idempotency keys.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     })
 }
 
-fn steady(count: usize) -> Vec<Arc<Server>> {
+fn unchanged_pool(count: usize) -> Vec<Arc<Server>> {
     (0..count)
         .map(|i| server(&format!("s{i}"), State::Active, LONG_AGO, LONG_AGO))
         .collect()
@@ -37,9 +37,9 @@
     home::find(servers, KeyId(key), NOW, RETENTION_MS)
 }
 
-/// The servers of a pool in the order of their weight for a key.
+/// Names of the servers of a pool in descending order of their weight for a key.
 fn order(key: u64, count: usize) -> Vec<String> {
-    let mut left = steady(count);
+    let mut left = unchanged_pool(count);
     let mut names = Vec::new();
     while let Some(id) = find(&left, key).current {
         let index = left.iter().position(|s| ServerId::of(&s.name) == id);
@@ -49,8 +49,8 @@
 }
 
 #[googletest::test]
-fn a_steady_pool_has_one_home_and_no_former_ones() {
-    let servers = steady(7);
+fn an_unchanged_pool_has_one_home_and_no_former_ones() {
+    let servers = unchanged_pool(7);
     let mut counts = std::collections::BTreeMap::new();
     for key in 0..7_000 {
         let homes = find(&servers, key);
@@ -63,13 +63,13 @@
 
 #[googletest::test]
 fn adding_or_removing_a_server_moves_only_its_own_keys() {
-    let before = steady(8);
+    let before = unchanged_pool(8);
     let mut after = before.clone();
-    let gone = ServerId::of(&after.remove(3).name);
+    let removed = ServerId::of(&after.remove(3).name);
     for key in 0..4_000 {
         let old = find(&before, key).current.unwrap();
         let new = find(&after, key).current.unwrap();
-        expect_true!(old == new || old == gone);
+        expect_true!(old == new || old == removed);
     }
 }
 
@@ -78,8 +78,8 @@
     expect_that!(find(&[], 1), eq(&home::Homes::default()));
 }
 
-/// States of the servers of highest, second and third weight, and which of them are
-/// the home and the former homes.
+/// Case name, states of the servers with the highest, second and third weight, and
+/// indices of the current and the former homes.
 type Row = (
     &'static str,
     [(State, u64, u64); 3],
@@ -88,12 +88,12 @@
 );
 
 #[googletest::test]
-fn former_homes_are_those_in_force_within_the_retention_time() {
+fn former_homes_are_those_within_the_retention_time() {
     use State::{Active, Draining, Removed};
     const START: u64 = NOW - RETENTION_MS;
     const OLD: (State, u64, u64) = (Active, LONG_AGO, LONG_AGO);
     let rows: [Row; 14] = [
-        ("steady", [OLD, OLD, OLD], Some(0), &[]),
+        ("unchanged", [OLD, OLD, OLD], Some(0), &[]),
         (
             "first added",
             [(Active, NOW - 5, NOW - 5), OLD, OLD],
@@ -101,7 +101,7 @@
             &[1],
         ),
         (
-            "first added as the window began",
+            "first added at the start of the retention time",
             [(Active, START, START), OLD, OLD],
             Some(0),
             &[],
@@ -113,7 +113,7 @@
             &[],
         ),
         (
-            "first drains",
+            "first draining",
             [(Draining, LONG_AGO, NOW - 5), OLD, OLD],
             Some(1),
             &[0],
@@ -143,7 +143,7 @@
             &[],
         ),
         (
-            "first taken back",
+            "first reactivated",
             [(Active, LONG_AGO, NOW - 5), OLD, OLD],
             Some(0),
             &[1],
@@ -171,7 +171,7 @@
             &[0, 2],
         ),
         (
-            "none takes work",
+            "none active",
             [
                 (Removed, LONG_AGO, NOW - 5),
                 (Draining, LONG_AGO, NOW - 9),
@@ -184,7 +184,7 @@
     for key in 0..20 {
         let names = order(key, 3);
         let id = |index: usize| ServerId::of(&names[index]);
-        for (what, states, current, former) in &rows {
+        for (case, states, current, former) in &rows {
             let servers: Vec<_> = names
                 .iter()
                 .zip(states)
@@ -192,8 +192,8 @@
                 .collect();
             let former: Vec<_> = former.iter().copied().map(id).collect();
             let homes = find(&servers, key);
-            expect_that!(homes.current, eq(current.map(id)), "{what}");
-            expect_that!(homes.former, eq(&former), "{what}");
+            expect_that!(homes.current, eq(current.map(id)), "{case}");
+            expect_that!(homes.former, eq(&former), "{case}");
         }
     }
 }
