--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -1,4 +1,4 @@
-//! Read-only index over the accepted configuration.
+//! Read-only index of the accepted configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 
 use route::Table;
 
-/// The accepted configuration as of one revision, indexed for the path of a
-/// request. Shared by read-copy-update: never changed, only replaced.
+/// The accepted configuration at one revision, indexed for request processing.
+/// Immutable: a new revision replaces the whole view.
 #[derive(Debug, Default)]
 pub struct View {
     revision: Revision,
@@ -21,7 +21,7 @@
     keys: HashMap<KeyHash, CustomerId>,
     pools: HashMap<PoolId, Pool>,
     servers: HashMap<ServerId, Arc<Server>>,
-    present: HashMap<PoolId, Vec<Arc<Server>>>,
+    current: HashMap<PoolId, Vec<Arc<Server>>>,
     all: HashMap<PoolId, Vec<Arc<Server>>>,
     routes: Table,
 }
@@ -45,25 +45,25 @@
         view
     }
 
-    /// Highest revision in it.
+    /// The highest revision in the configuration.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The customer that a bearer key names.
+    /// The customer that owns a bearer key.
     #[must_use]
     pub fn customer_by_key(&self, key: &KeyHash) -> Option<&Customer> {
         self.customer(*self.keys.get(key)?)
     }
 
-    /// A customer.
+    /// The customer with an ID.
     #[must_use]
     pub fn customer(&self, id: CustomerId) -> Option<&Customer> {
         self.customers.get(&id)
     }
 
-    /// Every customer, in no order.
+    /// All customers, in no particular order.
     pub fn customers(&self) -> impl Iterator<Item = (CustomerId, &Customer)> {
         self.customers.iter().map(|(id, customer)| (*id, customer))
     }
@@ -75,24 +75,25 @@
         (pool.kind == Kind::Model && pool.name == name).then_some(pool)
     }
 
-    /// Every pool of model engines, in no order.
+    /// All pools of model engines, in no particular order.
     pub fn model_pools(&self) -> impl Iterator<Item = &Pool> {
         self.pools().filter(|pool| pool.kind == Kind::Model)
     }
 
-    /// Every pool, in no order.
+    /// All pools, in no particular order.
     pub fn pools(&self) -> impl Iterator<Item = &Pool> {
         self.pools.values()
     }
 
-    /// A pool.
+    /// The pool with an ID.
     #[must_use]
     pub fn pool(&self, id: PoolId) -> Option<&Pool> {
         self.pools.get(&id)
     }
 
-    /// The plain service that serves a method and path (without query). A prefix
-    /// matches whole segments; the longest wins, then one that names the method.
+    /// The plain service pool and route that match a method and a path without query.
+    /// Prefixes match whole path segments; the longest match wins, then a route for
+    /// exactly this method.
     #[must_use]
     pub fn route(&self, method: &str, path: &str) -> Option<(&Pool, &Route)> {
         let (pool, index) = self.routes.find(method, path)?;
@@ -100,19 +101,19 @@
         Some((pool, pool.routes.get(index)?))
     }
 
-    /// Servers of a pool that are active or draining.
+    /// Active and draining servers of a pool.
     #[must_use]
     pub fn servers(&self, pool: PoolId) -> &[Arc<Server>] {
-        self.present.get(&pool).map_or(&[], Vec::as_slice)
+        self.current.get(&pool).map_or(&[], Vec::as_slice)
     }
 
-    /// Servers of a pool, removed ones within the retention time included.
+    /// All servers of a pool, including removed ones within the retention time.
     #[must_use]
     pub fn all_servers(&self, pool: PoolId) -> &[Arc<Server>] {
         self.all.get(&pool).map_or(&[], Vec::as_slice)
     }
 
-    /// A server, whatever its state.
+    /// The server with an ID, in any state.
     #[must_use]
     pub fn server(&self, id: ServerId) -> Option<&Arc<Server>> {
         self.servers.get(&id)
@@ -121,7 +122,7 @@
     fn add_customer(&mut self, customer: &Customer) {
         let id = CustomerId::of(&customer.name);
         for key in &customer.keys {
-            // Of two customers with one key the first by name keeps it.
+            // If two customers have the same key, the first by name owns it.
             self.keys.entry(key.clone()).or_insert(id);
         }
         self.customers.insert(id, customer.clone());
@@ -139,8 +140,8 @@
         let server = Arc::new(server.clone());
         let pool = PoolId::of(&server.pool);
         if server.state != State::Removed {
-            let present = self.present.entry(pool).or_default();
-            present.push(Arc::clone(&server));
+            let current = self.current.entry(pool).or_default();
+            current.push(Arc::clone(&server));
         }
         let all = self.all.entry(pool).or_default();
         all.push(Arc::clone(&server));
