--- a/crates/decide/examples/exchange.rs
+++ b/crates/decide/examples/exchange.rs
@@ -1,10 +1,11 @@
-//! Bytes and staleness of the usage exchange, by numbers of routers and customers.
+//! Measures bandwidth and staleness of the usage exchange by number of routers and
+//! customers.
 //!
-//! Every router serves a fixed number of requests at a steady pace, of customers drawn
-//! alike. All routers exchange once a second, in
-//! a random order; nothing is lost and nothing takes time. Bytes are those of encoded
-//! statements, without the envelope of a call. Staleness is the difference between a
-//! total and the truth, divided by the customer's pace.
+//! Every router serves a fixed number of concurrent requests at a constant rate, with
+//! customers drawn uniformly. All routers exchange once per second in random order,
+//! without message loss or delay. Bytes are those of encoded statements, without the
+//! RPC envelope. Staleness is the difference between a total and its exact value,
+//! divided by the customer's rate.
 //!
 //! `cargo run --release -p mulberryyoke-decide --example exchange`
 
@@ -17,36 +18,36 @@
 use rand_chacha::ChaCha8Rng;
 
 const SEED: u64 = 1;
-const WARMING_S: u64 = 40;
+const WARM_UP_S: u64 = 40;
 const MEASURED_S: u64 = 40;
-const QUIET_S: u64 = 40;
-const PACE: u64 = 30;
+const DRAIN_S: u64 = 40;
+const TOKENS_PER_S: u64 = 30;
 const MEAN_TOKENS: u64 = 430;
-const BUDGET: usize = 4_096;
+const BYTES_PER_S: usize = 4_096;
 const ENTRY_BYTES: usize = 14;
-const FEWEST_ENTRIES: usize = 32;
+const MIN_ENTRIES: usize = 32;
 const ZONES: usize = 12;
 const REGIONS: usize = 3;
 
-/// Routers whose totals are compared with the truth.
-const SAMPLES: usize = 10;
+/// Routers whose totals are compared with the exact values.
+const SAMPLED_ROUTERS: usize = 10;
 
 struct Node {
-    life: Instance,
+    instance: Instance,
     ledger: Ledger,
     table: Table,
     running: Vec<(usize, u64)>,
     charged: Vec<u64>,
     sequence: u64,
     bytes: u64,
-    others: usize,
-    entries: usize,
+    exchanges: usize,
+    max_entries: usize,
 }
 
-struct Run {
+struct Simulation {
     now: u64,
     nodes: Vec<Node>,
-    truth: Vec<u64>,
+    exact: Vec<u64>,
     rng: ChaCha8Rng,
 }
 
@@ -61,11 +62,11 @@
         (120, 620, 136),
         (700, 620, 136),
     ] {
-        Run::open(routers, customers, running).measure();
+        Simulation::new(routers, customers, running).measure();
     }
 }
 
-fn place(index: usize) -> Router {
+fn router(index: usize) -> Router {
     Router {
         name: format!("router-{index}"),
         region: format!("region-{}", index % REGIONS),
@@ -73,74 +74,74 @@
     }
 }
 
-impl Run {
-    fn open(routers: usize, customers: usize, running: usize) -> Self {
+impl Simulation {
+    fn new(routers: usize, customers: usize, running: usize) -> Self {
         let now = 1_000_000;
-        let places: Vec<Router> = (0..routers).map(place).collect();
+        let members: Vec<Router> = (0..routers).map(router).collect();
         let nodes = (0..routers).map(|index| {
-            let life = Instance {
+            let instance = Instance {
                 incarnation: Incarnation(index as u64 + 1),
                 started_at: now,
             };
-            let mut table = Table::new(place(index), member::Limits::default());
-            table.set_listed(places.clone(), now);
+            let mut table = Table::new(router(index), member::Limits::default());
+            table.set_listed(members.clone(), now);
             Node {
-                life,
-                ledger: Ledger::new(life, Limits::default()),
+                instance,
+                ledger: Ledger::new(instance, Limits::default()),
                 table,
                 running: vec![(0, 0); running],
                 charged: vec![0; customers],
                 sequence: 0,
                 bytes: 0,
-                others: 0,
-                entries: 0,
+                exchanges: 0,
+                max_entries: 0,
             }
         });
         Self {
             now,
             nodes: nodes.collect(),
-            truth: vec![0; customers],
+            exact: vec![0; customers],
             rng: ChaCha8Rng::seed_from_u64(SEED),
         }
     }
 
     fn measure(&mut self) {
-        (0..WARMING_S).for_each(|_| self.second(true));
+        (0..WARM_UP_S).for_each(|_| self.step(true));
         let before: Vec<u64> = self.nodes.iter().map(|node| node.bytes).collect();
-        let start = self.truth.clone();
+        let start = self.exact.clone();
         let mut samples = Vec::new();
         for _ in 0..MEASURED_S {
-            self.second(true);
-            samples.push((self.truth.clone(), self.totals()));
+            self.step(true);
+            samples.push((self.exact.clone(), self.totals()));
         }
         let bytes = self.nodes.iter().zip(before);
         let bytes: Vec<u64> = bytes
             .map(|(node, before)| (node.bytes - before) / MEASURED_S)
             .collect();
-        let grown = self.truth.iter().zip(&start);
-        let paces: Vec<f64> = grown
+        let growth = self.exact.iter().zip(&start);
+        let rates: Vec<f64> = growth
             .map(|(end, start)| to_f64(end - start) / to_f64(MEASURED_S))
             .collect();
-        (0..QUIET_S).for_each(|_| self.second(false));
-        // Every router counts from where it began; that difference stays.
+        (0..DRAIN_S).for_each(|_| self.step(false));
+        // Every router counts from its own baseline; that offset is constant.
         let end = self.totals();
-        let mut short = Vec::new();
-        for (truth, totals) in &samples {
+        let mut staleness = Vec::new();
+        for (exact, totals) in &samples {
             for (node, totals) in totals.iter().enumerate() {
-                for customer in 0..truth.len() {
-                    let missing = to_f64(self.truth[customer]) - to_f64(end[node][customer]);
-                    let short_by = to_f64(truth[customer]) - to_f64(totals[customer]) - missing;
-                    short.push(short_by.abs() / paces[customer]);
+                for customer in 0..exact.len() {
+                    let offset = to_f64(self.exact[customer]) - to_f64(end[node][customer]);
+                    let lag = to_f64(exact[customer]) - to_f64(totals[customer]) - offset;
+                    staleness.push(lag.abs() / rates[customer]);
                 }
             }
         }
-        short.sort_by(f64::total_cmp);
-        let quantile = |part: usize| short[(short.len() - 1) * part / 100];
-        let entries = self.nodes.iter().map(|node| node.entries);
+        staleness.sort_by(f64::total_cmp);
+        let quantile = |percent: usize| staleness[(staleness.len() - 1) * percent / 100];
+        let entries = self.nodes.iter().map(|node| node.max_entries);
         println!(
             "{:7} {:9} {:7} {:>21} {:>5} {:>18.1} {:.1} {:.1} {:>8}",
             self.nodes.len(),
-            self.truth.len(),
+            self.exact.len(),
             self.nodes[0].running.len(),
             bytes.iter().sum::<u64>() / bytes.len() as u64,
             bytes.iter().max().unwrap(),
@@ -152,11 +153,11 @@
     }
 
     fn totals(&self) -> Vec<Vec<u64>> {
-        let step = (self.nodes.len() / SAMPLES).max(1);
+        let step = (self.nodes.len() / SAMPLED_ROUTERS).max(1);
         let sampled = self.nodes.iter().step_by(step);
         sampled
             .map(|node| {
-                let mut totals = vec![0; self.truth.len()];
+                let mut totals = vec![0; self.exact.len()];
                 for usage in node.ledger.totals_since(&mut Cursor::default()) {
                     totals[usage.customer.0 as usize] = usage.tokens;
                 }
@@ -165,9 +166,9 @@
             .collect()
     }
 
-    fn second(&mut self, busy: bool) {
+    fn step(&mut self, is_serving: bool) {
         self.now += 1_000;
-        if busy {
+        if is_serving {
             (0..self.nodes.len()).for_each(|index| self.serve(index));
         }
         let mut order: Vec<usize> = (0..self.nodes.len()).collect();
@@ -176,9 +177,9 @@
             self.exchange(index);
         }
         for node in &mut self.nodes {
-            node.entries = entries(std::mem::take(&mut node.others));
+            node.max_entries = max_entries(std::mem::take(&mut node.exchanges));
             node.ledger.set_limits(Limits {
-                max_entries: node.entries,
+                max_entries: node.max_entries,
                 ..Limits::default()
             });
             node.ledger.tick(self.now);
@@ -189,13 +190,13 @@
         let node = &mut self.nodes[index];
         for (customer, left) in &mut node.running {
             if *left == 0 {
-                *customer = self.rng.random_range(0..self.truth.len());
+                *customer = self.rng.random_range(0..self.exact.len());
                 *left = self.rng.random_range(1..2 * MEAN_TOKENS);
             }
-            let tokens = PACE.min(*left);
+            let tokens = TOKENS_PER_S.min(*left);
             *left -= tokens;
             node.charged[*customer] += tokens;
-            self.truth[*customer] += tokens;
+            self.exact[*customer] += tokens;
         }
         node.sequence += 1;
         let usage = node.charged.iter().enumerate();
@@ -208,7 +209,7 @@
             sequence: node.sequence,
             usage: usage.collect(),
         };
-        let sidecar = Incarnation(node.life.incarnation.0 << 32);
+        let sidecar = Incarnation(node.instance.incarnation.0 << 32);
         node.ledger.collect(sidecar, &report, self.now);
     }
 
@@ -216,55 +217,60 @@
         let neighbors = self.nodes[index].table.neighbors(self.now);
         if let Some(parent) = &neighbors.parent {
             let parent = position(parent);
-            let life = self.nodes[parent].life;
-            self.nodes[index].ledger.set_parent(Some(life), self.now);
+            let instance = self.nodes[parent].instance;
+            self.nodes[index]
+                .ledger
+                .set_parent(Some(instance), self.now);
             self.call(index, parent, Relation::Child);
             return;
         }
         self.nodes[index].ledger.set_parent(None, self.now);
-        // Of two peers the one with the lesser name calls.
-        let own = place(index).name;
+        // Of two peers, the one with the smaller name initiates the call.
+        let own = router(index).name;
         for peer in neighbors.peers.iter().filter(|peer| own < **peer) {
             self.call(index, position(peer), Relation::Peer);
         }
     }
 
     fn call(&mut self, caller: usize, other: usize, relation: Relation) {
-        let answer = match relation {
+        let response = match relation {
             Relation::Child => Relation::Parent,
             _ => Relation::Peer,
         };
-        let (from, to) = (self.nodes[caller].life, self.nodes[other].life);
+        let (from, to) = (self.nodes[caller].instance, self.nodes[other].instance);
         let request = self.nodes[caller]
             .ledger
             .next_statement(to.incarnation, relation, self.now);
         self.nodes[other].ledger.receive(from, &request, self.now);
-        let answer = self.nodes[other]
-            .ledger
-            .next_statement(from.incarnation, answer, self.now);
-        self.nodes[caller].ledger.receive(to, &answer, self.now);
+        let response =
+            self.nodes[other]
+                .ledger
+                .next_statement(from.incarnation, response, self.now);
+        self.nodes[caller].ledger.receive(to, &response, self.now);
         for node in [caller, other] {
-            self.nodes[node].others += 1;
-            self.nodes[node].bytes += size(&request) + size(&answer);
+            self.nodes[node].exchanges += 1;
+            self.nodes[node].bytes += size(&request) + size(&response);
         }
     }
 }
 
-fn entries(others: usize) -> usize {
-    (BUDGET / (others.max(1) * ENTRY_BYTES)).max(FEWEST_ENTRIES)
+fn max_entries(exchanges: usize) -> usize {
+    (BYTES_PER_S / (exchanges.max(1) * ENTRY_BYTES)).max(MIN_ENTRIES)
 }
 
 fn size(statement: &Statement) -> u64 {
     let size = bincode::DefaultOptions::new().serialized_size(statement);
-    size.expect("a statement can be encoded")
+    size.expect("statement is serializable")
 }
 
 fn position(name: &str) -> usize {
-    let (_, index) = name.split_once('-').expect("a name has a number");
-    index.parse().expect("a name has a number")
+    let (_, index) = name
+        .split_once('-')
+        .expect("router name ends with a number");
+    index.parse().expect("router name ends with a number")
 }
 
-#[expect(clippy::cast_precision_loss, reason = "figures for people")]
+#[expect(clippy::cast_precision_loss, reason = "approximate values for display")]
 fn to_f64(value: u64) -> f64 {
     value as f64
 }
--- a/crates/decide/tests/exchange/main.rs
+++ b/crates/decide/tests/exchange/main.rs
@@ -1,5 +1,5 @@
-//! The usage exchange: totals never go back, and agree once all is quiet.
+//! Usage exchange: totals never decrease, and converge once usage stops.
 
-mod flat;
-mod net;
+mod mesh;
+mod network;
 mod tree;
--- a/crates/decide/tests/exchange/net.rs
+++ b/crates/decide/tests/exchange/network.rs
@@ -1,4 +1,4 @@
-//! A network of ledgers whose messages can be lost, repeated and delayed.
+//! Simulated network of ledgers with lost, duplicated and delayed messages.
 
 use std::collections::BTreeMap;
 
@@ -8,89 +8,89 @@
 /// Time between two ticks, in milliseconds.
 pub const TICK_MS: u64 = 1_000;
 
-/// The pool of all usage.
+/// Pool of all usage.
 pub const POOL: PoolId = PoolId(1);
 
-/// A router and the one sidecar that reports to it.
+/// A router and the sidecar that reports to it.
 pub struct Node {
-    pub life: Instance,
+    pub instance: Instance,
     pub ledger: Ledger,
     pub totals: BTreeMap<u32, u64>,
     cursor: Cursor,
     sidecar: Incarnation,
     sequence: u64,
     charged: BTreeMap<u32, u64>,
-    /// `charged` as this life began.
-    before: BTreeMap<u32, u64>,
+    /// `charged` when this instance started.
+    charged_at_start: BTreeMap<u32, u64>,
 }
 
-/// What becomes of an exchange.
+/// Delivery of the messages of one exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Whole,
+pub enum Delivery {
+    Complete,
     RequestLost,
-    AnswerLost,
-    Repeated,
+    ResponseLost,
+    Duplicated,
     Delayed,
 }
 
-pub struct Net {
+pub struct Network {
     pub now: u64,
     pub nodes: Vec<Node>,
-    /// Tokens credited at lives that go on, by customer.
+    /// Tokens credited in running instances, by customer.
     pub credited: BTreeMap<u32, u64>,
-    /// Tokens credited at lives that have ended.
+    /// Tokens credited in ended instances, by customer.
     pub ended: BTreeMap<u32, u64>,
     limits: Limits,
-    lives: u64,
-    late: Vec<(usize, Instance, Statement)>,
+    incarnations: u64,
+    delayed: Vec<(usize, Instance, Statement)>,
 }
 
-impl Net {
-    pub fn open(count: usize, limits: Limits) -> Self {
-        let mut net = Self {
+impl Network {
+    pub fn new(count: usize, limits: Limits) -> Self {
+        let mut network = Self {
             now: 1_000_000,
             nodes: Vec::new(),
             credited: BTreeMap::new(),
             ended: BTreeMap::new(),
             limits,
-            lives: 0,
-            late: Vec::new(),
+            incarnations: 0,
+            delayed: Vec::new(),
         };
         for index in 0..count {
             let sidecar = Incarnation(1_000 + index as u64);
-            let node = net.node(sidecar, 0, BTreeMap::new());
-            net.nodes.push(node);
+            let node = network.node(sidecar, 0, BTreeMap::new());
+            network.nodes.push(node);
         }
-        net
+        network
     }
 
     fn node(&mut self, sidecar: Incarnation, sequence: u64, charged: BTreeMap<u32, u64>) -> Node {
-        self.lives += 1;
-        let life = Instance {
-            incarnation: Incarnation(self.lives),
+        self.incarnations += 1;
+        let instance = Instance {
+            incarnation: Incarnation(self.incarnations),
             started_at: self.now,
         };
         Node {
-            life,
-            ledger: Ledger::new(life, self.limits),
+            instance,
+            ledger: Ledger::new(instance, self.limits),
             totals: BTreeMap::new(),
             cursor: Cursor::default(),
             sidecar,
             sequence,
-            before: charged.clone(),
+            charged_at_start: charged.clone(),
             charged,
         }
     }
 
-    /// A router forgets everything; its sidecar reports to the new life.
+    /// Restarts a router without state; its sidecar reports to the new instance.
     pub fn restart(&mut self, index: usize) {
         let old = &self.nodes[index];
         let (sidecar, sequence) = (old.sidecar, old.sequence + 1);
         let charged = old.charged.clone();
         for (customer, tokens) in &charged {
-            let before = old.before.get(customer).copied().unwrap_or(0);
-            let own = tokens - before;
+            let at_start = old.charged_at_start.get(customer).copied().unwrap_or(0);
+            let own = tokens - at_start;
             *self.ended.entry(*customer).or_default() += own;
             *self.credited.get_mut(customer).unwrap() -= own;
         }
@@ -109,12 +109,12 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         node.sequence += 1;
-        let first = customers.is_empty();
-        let due = node
+        let report_all = customers.is_empty();
+        let reported = node
             .charged
             .iter()
-            .filter(|(c, _)| first || customers.contains(c));
-        let usage = due.map(|(customer, tokens)| Usage {
+            .filter(|(c, _)| report_all || customers.contains(c));
+        let usage = reported.map(|(customer, tokens)| Usage {
             pool: POOL,
             customer: CustomerId(*customer),
             tokens: *tokens,
@@ -124,50 +124,50 @@
             usage: usage.collect(),
         };
         node.ledger.collect(node.sidecar, &report, now);
-        // A repeated report changes nothing.
+        // A duplicate report must have no effect.
         node.ledger.collect(node.sidecar, &report, now);
     }
 
-    /// One calls the other as a peer.
-    pub fn exchange(&mut self, caller: usize, other: usize, fate: Fate) {
-        self.call(caller, other, Relation::Peer, fate);
+    /// Exchanges statements between two peers.
+    pub fn exchange(&mut self, caller: usize, other: usize, delivery: Delivery) {
+        self.call(caller, other, Relation::Peer, delivery);
     }
 
-    pub fn call(&mut self, caller: usize, other: usize, relation: Relation, fate: Fate) {
-        let answer_relation = match relation {
+    pub fn call(&mut self, caller: usize, other: usize, relation: Relation, delivery: Delivery) {
+        let response_relation = match relation {
             Relation::Peer => Relation::Peer,
             Relation::Child => Relation::Parent,
             Relation::Parent => Relation::Child,
         };
-        let (from, to) = (self.nodes[caller].life, self.nodes[other].life);
+        let (from, to) = (self.nodes[caller].instance, self.nodes[other].instance);
         let now = self.now;
         let ledger = &mut self.nodes[caller].ledger;
         let request = ledger.next_statement(to.incarnation, relation, now);
-        if fate == Fate::RequestLost {
+        if delivery == Delivery::RequestLost {
             return;
         }
-        if fate == Fate::Delayed {
-            self.late.push((other, from, request));
+        if delivery == Delivery::Delayed {
+            self.delayed.push((other, from, request));
             return;
         }
-        if fate == Fate::Repeated {
-            self.late.push((other, from, request.clone()));
+        if delivery == Delivery::Duplicated {
+            self.delayed.push((other, from, request.clone()));
         }
         let ledger = &mut self.nodes[other].ledger;
         ledger.receive(from, &request, now);
-        let answer = ledger.next_statement(from.incarnation, answer_relation, now);
-        if fate != Fate::AnswerLost {
-            self.nodes[caller].ledger.receive(to, &answer, now);
+        let response = ledger.next_statement(from.incarnation, response_relation, now);
+        if delivery != Delivery::ResponseLost {
+            self.nodes[caller].ledger.receive(to, &response, now);
         }
-        self.observe(caller);
-        self.observe(other);
+        self.read_totals(caller);
+        self.read_totals(other);
     }
 
-    /// Delivers what was delayed or repeated, the latest first.
-    pub fn deliver_late(&mut self) {
-        while let Some((other, from, request)) = self.late.pop() {
+    /// Delivers the delayed and duplicated requests, last one first.
+    pub fn deliver_delayed(&mut self) {
+        while let Some((other, from, request)) = self.delayed.pop() {
             self.nodes[other].ledger.receive(from, &request, self.now);
-            self.observe(other);
+            self.read_totals(other);
         }
     }
 
@@ -175,29 +175,29 @@
         self.now += TICK_MS;
         for index in 0..self.nodes.len() {
             self.nodes[index].ledger.tick(self.now);
-            self.observe(index);
+            self.read_totals(index);
         }
     }
 
-    /// Every pair exchanges for a while and nothing else happens.
-    pub fn quiet(&mut self, rounds: usize) {
+    /// Runs rounds in which every pair of nodes exchanges, without new usage.
+    pub fn exchange_all(&mut self, rounds: usize) {
         for _ in 0..rounds {
             for caller in 0..self.nodes.len() {
                 for other in 0..caller {
-                    self.exchange(caller, other, Fate::Whole);
+                    self.exchange(caller, other, Delivery::Complete);
                 }
             }
             self.tick();
         }
     }
 
-    /// Reads the totals of a node; they must not go back.
-    pub fn observe(&mut self, index: usize) {
+    /// Reads the totals of a node, which must not decrease.
+    pub fn read_totals(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         for usage in node.ledger.totals_since(&mut node.cursor) {
-            let held = node.totals.entry(usage.customer.0).or_default();
-            assert!(usage.tokens >= *held, "a total went back");
-            *held = usage.tokens;
+            let total = node.totals.entry(usage.customer.0).or_default();
+            assert!(usage.tokens >= *total, "a total decreased");
+            *total = usage.tokens;
         }
     }
 }
--- a/crates/decide/tests/exchange/tree.rs
+++ b/crates/decide/tests/exchange/tree.rs
@@ -1,4 +1,4 @@
-//! Many routers, in a tree by region and zone.
+//! Routers in a tree by region and zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,18 +7,18 @@
 use mulberryyoke_decide::member::{Limits, Neighbors, Router, Table};
 use mulberryyoke_model::Relation;
 
-use crate::net::{Fate, Net, TICK_MS};
+use crate::network::{Delivery, Network, TICK_MS};
 
 const ROUTERS: usize = 40;
 const CUSTOMER: u32 = 7;
 
-/// Rounds in which a dead router becomes suspect and the tree is mended.
-const MENDING: usize = 8;
+/// Rounds until a dead router is suspect and the tree is repaired.
+const REPAIR_ROUNDS: usize = 8;
 
-/// Rounds in which a token passes from any router to any other.
-const PASSING: usize = 8;
+/// Rounds until a token counted by one router is known to all.
+const PROPAGATION_ROUNDS: usize = 8;
 
-fn place(index: usize) -> Router {
+fn router(index: usize) -> Router {
     Router {
         name: format!("r{index}"),
         region: format!("region{}", index % 2),
@@ -27,35 +27,35 @@
 }
 
 struct Fleet {
-    net: Net,
+    network: Network,
     tables: Vec<Table>,
     dead: BTreeSet<usize>,
 }
 
 impl Fleet {
-    fn open() -> Self {
+    fn new() -> Self {
         let limits = Limits {
             max_full_mesh: 4,
             fanout: 3,
             suspect_ms: 2 * TICK_MS,
             ..Limits::default()
         };
-        let net = Net::open(ROUTERS, ExchangeLimits::default());
-        let places: Vec<Router> = (0..ROUTERS).map(place).collect();
+        let network = Network::new(ROUTERS, ExchangeLimits::default());
+        let routers: Vec<Router> = (0..ROUTERS).map(router).collect();
         let table = |index| {
-            let mut table = Table::new(place(index), limits);
-            table.set_listed(places.clone(), net.now);
+            let mut table = Table::new(router(index), limits);
+            table.set_listed(routers.clone(), network.now);
             table
         };
         Self {
             tables: (0..ROUTERS).map(table).collect(),
-            net,
+            network,
             dead: BTreeSet::new(),
         }
     }
 
     fn neighbors(&self, index: usize) -> Neighbors {
-        self.tables[index].neighbors(self.net.now)
+        self.tables[index].neighbors(self.network.now)
     }
 
     fn index(name: &str) -> usize {
@@ -72,28 +72,31 @@
                 self.call(index, Self::index(&parent), Relation::Child);
                 continue;
             }
-            let now = self.net.now;
-            self.net.nodes[index].ledger.set_parent(None, now);
+            let now = self.network.now;
+            self.network.nodes[index].ledger.set_parent(None, now);
             for peer in neighbors.peers {
                 self.call(index, Self::index(&peer), Relation::Peer);
             }
         }
-        self.net.tick();
+        self.network.tick();
     }
 
     fn call(&mut self, caller: usize, other: usize, relation: Relation) {
-        let now = self.net.now;
-        let name = place(other).name;
+        let now = self.network.now;
+        let name = router(other).name;
         if self.dead.contains(&other) {
             self.tables[caller].record_failure(&name, now);
             return;
         }
         self.tables[caller].record_contact(&name, now);
         if relation == Relation::Child {
-            let life = self.net.nodes[other].life;
-            self.net.nodes[caller].ledger.set_parent(Some(life), now);
+            let instance = self.network.nodes[other].instance;
+            self.network.nodes[caller]
+                .ledger
+                .set_parent(Some(instance), now);
         }
-        self.net.call(caller, other, relation, Fate::Whole);
+        self.network
+            .call(caller, other, relation, Delivery::Complete);
     }
 
     fn rounds(&mut self, count: usize) {
@@ -106,7 +109,7 @@
         let mut credited = 0;
         for index in 0..ROUTERS {
             if !self.dead.contains(&index) {
-                self.net.credit(index, CUSTOMER, 10 + index as u64);
+                self.network.credit(index, CUSTOMER, 10 + index as u64);
                 credited += 10 + index as u64;
             }
         }
@@ -114,10 +117,10 @@
     }
 
     fn totals(&self) -> BTreeMap<usize, u64> {
-        let living = (0..ROUTERS).filter(|index| !self.dead.contains(index));
-        living
+        let alive = (0..ROUTERS).filter(|index| !self.dead.contains(index));
+        alive
             .map(|index| {
-                let total = self.net.nodes[index].totals.get(&CUSTOMER);
+                let total = self.network.nodes[index].totals.get(&CUSTOMER);
                 (index, total.copied().unwrap_or(0))
             })
             .collect()
@@ -125,15 +128,15 @@
 
     fn expect_growth(&self, before: &BTreeMap<usize, u64>, expected: u64) {
         for (index, total) in self.totals() {
-            let grown = total - before.get(&index).copied().unwrap_or(0);
-            expect_that!(grown, eq(expected), "router {index}");
+            let growth = total - before.get(&index).copied().unwrap_or(0);
+            expect_that!(growth, eq(expected), "router {index}");
         }
     }
 }
 
 #[googletest::test]
-fn positions_agree_and_lead_to_few_roots() {
-    let fleet = Fleet::open();
+fn positions_agree_and_give_few_roots() {
+    let fleet = Fleet::new();
     let neighbors: Vec<Neighbors> = (0..ROUTERS).map(|index| fleet.neighbors(index)).collect();
     let roots: Vec<&Neighbors> = neighbors
         .iter()
@@ -148,26 +151,26 @@
     {
         *children.entry(parent).or_insert(0) += 1;
     }
-    // Three of its zone, and three roots of other zones.
+    // Up to three in its zone and three roots of other zones.
     expect_true!(children.values().all(|count| *count <= 6));
 }
 
 #[googletest::test]
-fn every_router_learns_every_total() {
-    let mut fleet = Fleet::open();
-    fleet.rounds(PASSING);
+fn totals_reach_every_router() {
+    let mut fleet = Fleet::new();
+    fleet.rounds(PROPAGATION_ROUNDS);
     let credited = fleet.credit_all();
-    fleet.rounds(PASSING);
+    fleet.rounds(PROPAGATION_ROUNDS);
     fleet.expect_growth(&BTreeMap::new(), credited);
 }
 
 #[googletest::test]
-fn nothing_is_counted_twice_when_a_root_dies() {
-    let mut fleet = Fleet::open();
+fn no_token_is_counted_twice_when_a_root_dies() {
+    let mut fleet = Fleet::new();
     fleet.credit_all();
-    fleet.rounds(PASSING);
+    fleet.rounds(PROPAGATION_ROUNDS);
     let mut roots = (0..ROUTERS).filter(|index| fleet.neighbors(*index).parent.is_none());
-    let (dying, staying) = (roots.next().unwrap(), roots.next().unwrap());
+    let (dying, surviving) = (roots.next().unwrap(), roots.next().unwrap());
     let before = fleet.totals();
     fleet.dead.insert(dying);
     let mut credited = 0;
@@ -175,31 +178,35 @@
         credited += fleet.credit_all();
         fleet.round();
     }
-    fleet.rounds(MENDING + PASSING);
-    // Who has a new parent does not count what others served before its first word.
+    fleet.rounds(REPAIR_ROUNDS + PROPAGATION_ROUNDS);
+    // A router with a new parent omits tokens that others served before the parent's
+    // first statement.
     for (index, total) in fleet.totals() {
         expect_that!(total - before[&index], le(credited));
     }
-    expect_that!(fleet.totals()[&staying] - before[&staying], eq(credited));
+    expect_that!(
+        fleet.totals()[&surviving] - before[&surviving],
+        eq(credited)
+    );
     let before = fleet.totals();
     let credited = fleet.credit_all();
-    fleet.rounds(PASSING);
+    fleet.rounds(PROPAGATION_ROUNDS);
     fleet.expect_growth(&before, credited);
 }
 
 #[googletest::test]
-fn totals_grow_alike_after_a_parent_restarted() {
-    let mut fleet = Fleet::open();
+fn totals_grow_equally_after_a_parent_restarts() {
+    let mut fleet = Fleet::new();
     fleet.credit_all();
-    fleet.rounds(PASSING);
+    fleet.rounds(PROPAGATION_ROUNDS);
     let parents = (0..ROUTERS).filter_map(|index| fleet.neighbors(index).parent);
     let parents: BTreeSet<usize> = parents.map(|name| Fleet::index(&name)).collect();
     for parent in parents {
-        fleet.net.restart(parent);
-        fleet.rounds(PASSING);
+        fleet.network.restart(parent);
+        fleet.rounds(PROPAGATION_ROUNDS);
         let before = fleet.totals();
         let credited = fleet.credit_all();
-        fleet.rounds(PASSING);
+        fleet.rounds(PROPAGATION_ROUNDS);
         fleet.expect_growth(&before, credited);
     }
 }
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -5,7 +5,7 @@
 
 const SUSPECT_MS: u64 = 3_000;
 
-fn place(name: &str) -> Router {
+fn router(name: &str) -> Router {
     Router {
         name: name.to_owned(),
         region: "north".to_owned(),
@@ -21,13 +21,13 @@
 }
 
 fn table(names: &[&str]) -> Table {
-    let mut table = Table::new(place("r1"), limits());
-    table.set_listed(names.iter().copied().map(place).collect(), 0);
+    let mut table = Table::new(router("r1"), limits());
+    table.set_listed(names.iter().copied().map(router).collect(), 0);
     table
 }
 
 #[googletest::test]
-fn a_small_fleet_is_flat() {
+fn a_small_fleet_is_a_full_mesh() {
     let neighbors = table(&["r1", "r2", "r3"]).neighbors(0);
     let expected = Neighbors {
         peers: vec!["r2".to_owned(), "r3".to_owned()],
@@ -37,7 +37,7 @@
 }
 
 #[googletest::test]
-fn a_router_is_suspect_once_calls_have_failed_for_long() {
+fn a_router_is_suspect_after_calls_fail_for_the_timeout() {
     let mut table = table(&["r1", "r2", "r3"]);
     expect_false!(table.record_failure("r2", 1_000));
     expect_false!(table.record_failure("r2", 2_000));
@@ -59,15 +59,15 @@
 }
 
 #[googletest::test]
-fn a_router_that_is_heard_outlives_its_entry_in_the_list() {
+fn an_unlisted_router_is_kept_while_in_contact() {
     let mut table = table(&["r1", "r2", "r3"]);
     table.record_contact("r2", 5_000);
-    table.set_listed(vec![place("r1")], 5_000);
+    table.set_listed(vec![router("r1")], 5_000);
     expect_that!(
         table.alive_names(5_000),
         unordered_elements_are![eq("r1"), eq("r2")]
     );
-    table.set_listed(vec![place("r1")], 5_000 + SUSPECT_MS);
+    table.set_listed(vec![router("r1")], 5_000 + SUSPECT_MS);
     expect_that!(
         table.alive_names(5_000 + SUSPECT_MS),
         elements_are![eq("r1")]
@@ -78,8 +78,8 @@
 fn a_large_zone_has_few_watchers() {
     let names: Vec<String> = (1..=20).map(|index| format!("r{index}")).collect();
     let tables = names.iter().map(|own| {
-        let mut table = Table::new(place(own), limits());
-        table.set_listed(names.iter().map(|name| place(name)).collect(), 0);
+        let mut table = Table::new(router(own), limits());
+        table.set_listed(names.iter().map(|name| router(name)).collect(), 0);
         table
     });
     let watchers = tables.filter(|table| table.is_watcher(0)).count();
--- a/crates/decide/tests/view.rs
+++ b/crates/decide/tests/view.rs
@@ -1,4 +1,4 @@
-//! The index over the configuration.
+//! Index of the configuration.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::view::View;
@@ -88,7 +88,7 @@
 }
 
 #[googletest::test]
-fn objects_are_found_by_identity_and_key() {
+fn objects_are_found_by_id_and_key() {
     let view = view();
     let acme = view.customer_by_key(&KeyHash::of("acme-key"));
     expect_that!(view.revision(), eq(20));
@@ -105,7 +105,7 @@
 }
 
 #[googletest::test]
-fn removed_servers_are_listed_apart() {
+fn removed_servers_are_only_in_all_servers() {
     let view = view();
     let names = |servers: &[std::sync::Arc<Server>]| {
         let names: Vec<_> = servers.iter().map(|s| s.name.clone()).collect();
