--- a/crates/daemon/src/sidecar/answer.rs
+++ b/crates/daemon/src/sidecar/answer.rs
@@ -40,7 +40,7 @@
 }
 
 /// The answer that a request with the same key got.
-pub(crate) fn replay(answer: &key::Answer) -> Response<Body> {
+pub(crate) fn replay(answer: &key::Response) -> Response<Body> {
     let mut response = Response::builder()
         .status(answer.status)
         .header(REPLAY, "true");
--- a/crates/daemon/src/sidecar/control.rs
+++ b/crates/daemon/src/sidecar/control.rs
@@ -74,7 +74,7 @@
     fn answer(&self) -> Polled {
         let (load, (grants, report)) = self
             .shared
-            .decide(|admission, now| (admission.load(), admission.answer(self.key, now)));
+            .decide(|admission, now| (admission.load(), admission.poll_response(self.key, now)));
         for grant in &grants {
             log!(self.shared.logger, Event::Granted,
                 "grant" => grant.id, "customer" => grant.customer.0, "until" => grant.until);
@@ -90,14 +90,14 @@
 impl Sidecar for Link {
     async fn declare(self, _: Context, origin: Incarnation, full: bool, interest: Vec<Interest>) {
         self.shared.decide(|admission, now| {
-            admission.introduce(self.key, origin, now);
+            admission.identify_router(self.key, origin, now);
             admission.declare(self.key, full, &interest, now);
         });
     }
 
     async fn poll(self, _: Context, poll: Poll) -> Polled {
         self.shared.decide(|admission, now| {
-            admission.introduce(self.key, poll.origin, now);
+            admission.identify_router(self.key, poll.origin, now);
             admission.poll(self.key, poll.counted, &poll.fleet, poll.heard, now);
         });
         self.wait(poll.until).await;
@@ -133,10 +133,10 @@
 
     async fn recall(self, _: Context, origin: Incarnation, complete: bool, keys: Vec<KeyId>) {
         let recovered = self.shared.decide(|admission, now| {
-            let before = admission.is_doubtful(now);
-            admission.introduce(self.key, origin, now);
-            admission.recall(origin, complete, &keys, now);
-            before && !admission.is_doubtful(now)
+            let before = admission.is_recovering(now);
+            admission.identify_router(self.key, origin, now);
+            admission.add_sent_keys(origin, complete, &keys, now);
+            before && !admission.is_recovering(now)
         });
         if recovered {
             log!(self.shared.logger, Event::KeysRecovered, "from" => "routers");
--- a/crates/daemon/src/sidecar/data.rs
+++ b/crates/daemon/src/sidecar/data.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use hyper_util::server::conn::auto::Builder;
 use hyper_util::server::graceful::GracefulShutdown;
-use mulberryyoke_decide::admission::Arrival;
+use mulberryyoke_decide::admission::Decision;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::Ticket;
 use mulberryyoke_wire::{Verdict, ticket};
@@ -67,9 +67,9 @@
     if ticket.key.is_some() {
         shared.home.name(shared, ticket.attempt.origin).await;
     }
-    let arrival = shared.decide(|admission, now| admission.arrive(&ticket, now));
+    let arrival = shared.decide(|admission, now| admission.admit(&ticket, now));
     match arrival {
-        Arrival::Started => start(shared, ticket, request).await,
+        Decision::Started => start(shared, ticket, request).await,
         arrival => turn_away(shared, &ticket, &arrival),
     }
 }
@@ -83,18 +83,18 @@
     exchange::spawn(slot, request).await
 }
 
-fn turn_away(shared: &Shared, ticket: &Ticket, arrival: &Arrival) -> Response<Body> {
+fn turn_away(shared: &Shared, ticket: &Ticket, arrival: &Decision) -> Response<Body> {
     let (verdict, retry_at) = match arrival {
-        Arrival::Replay(answer) => return answer::replay(answer),
-        Arrival::Full(at) => (Verdict::Full, Some(*at)),
-        Arrival::Started | Arrival::Busy => (Verdict::Busy, None),
-        Arrival::Draining => (Verdict::Draining, None),
-        Arrival::Tombstone => (Verdict::Tombstone, None),
-        Arrival::Late => (Verdict::Late, None),
-        Arrival::Doubtful => (Verdict::Doubtful, None),
-        Arrival::Running => (Verdict::Running, None),
-        Arrival::Ran => (Verdict::Ran, None),
-        Arrival::Cut => (Verdict::Broken, None),
+        Decision::Replay(answer) => return answer::replay(answer),
+        Decision::RetryAt(at) => (Verdict::Full, Some(*at)),
+        Decision::Started | Decision::Busy => (Verdict::Busy, None),
+        Decision::Draining => (Verdict::Draining, None),
+        Decision::Withdrawn => (Verdict::Tombstone, None),
+        Decision::DeadlineExceeded => (Verdict::Late, None),
+        Decision::Indeterminate => (Verdict::Doubtful, None),
+        Decision::Running => (Verdict::Running, None),
+        Decision::Completed => (Verdict::Ran, None),
+        Decision::Interrupted => (Verdict::Broken, None),
     };
     log!(shared.logger, Event::TurnedAway,
         "request" => ticket.attempt.request_id(), "attempt" => ticket.attempt.number,
--- a/crates/daemon/src/sidecar/exchange.rs
+++ b/crates/daemon/src/sidecar/exchange.rs
@@ -3,7 +3,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use hyper_util::client::legacy::Error;
-use mulberryyoke_decide::admission::Ending;
+use mulberryyoke_decide::admission::Termination;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_wire::{Verdict, verdict};
 use tokio::sync::{mpsc, oneshot};
@@ -59,7 +59,7 @@
         return answer::refuse(Verdict::Broken, None);
     }
     slot.shared.found_down();
-    slot.end(Ending::Unsent);
+    slot.end(Termination::Unsent);
     answer::refuse(Verdict::Unreachable, None)
 }
 
--- a/crates/daemon/src/sidecar/home.rs
+++ b/crates/daemon/src/sidecar/home.rs
@@ -36,7 +36,7 @@
     /// refused.
     pub(crate) async fn name(&self, shared: &Shared, origin: Incarnation) {
         let mut written = self.written.subscribe();
-        let is_named = || shared.decide(|admission, _| admission.is_named(origin));
+        let is_named = || shared.decide(|admission, _| admission.is_registered(origin));
         if is_named() {
             return;
         }
--- a/crates/daemon/src/sidecar/keeper.rs
+++ b/crates/daemon/src/sidecar/keeper.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use mulberryyoke_decide::key::Past;
+use mulberryyoke_decide::key::PriorRecord;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Incarnation, Millis};
 use mulberryyoke_platform::Backoff;
@@ -25,7 +25,7 @@
     key: String,
     backoff: Backoff,
     /// What the earlier life left, once read.
-    earlier: Option<(Past, Vec<Incarnation>)>,
+    earlier: Option<(PriorRecord, Vec<Incarnation>)>,
     /// Revision of the record once it is this life's.
     revision: Option<Revision>,
 }
@@ -89,9 +89,9 @@
             return Ok(());
         }
         let missing = self.shared.decide(|admission, now| {
-            admission.open_home(&past, &routers, now);
-            let doubtful = admission.is_doubtful(now);
-            doubtful.then(|| admission.missing_routers())
+            admission.restore_record(&past, &routers, now);
+            let doubtful = admission.is_recovering(now);
+            doubtful.then(|| admission.missing_reports())
         });
         if let Some(missing) = missing {
             log!(self.shared.logger, Event::KeysDoubtful, "routers" => missing);
@@ -102,14 +102,14 @@
 
     /// What the earlier life left. A record of this life is one whose write was
     /// not answered.
-    fn learn(&mut self, found: Option<&Pair>) -> (Past, Vec<Incarnation>) {
+    fn learn(&mut self, found: Option<&Pair>) -> (PriorRecord, Vec<Incarnation>) {
         let record = found.map(|pair| Record::parse(&pair.value));
         let earlier = match record {
-            None => (Past::None, Vec::new()),
-            Some(None) => (Past::Unreadable, Vec::new()),
+            None => (PriorRecord::Absent, Vec::new()),
+            Some(None) => (PriorRecord::Unreadable, Vec::new()),
             Some(Some(record)) if self.is_own(&record) => {
                 let earlier = self.earlier.clone();
-                earlier.unwrap_or((Past::Unreadable, record.routers))
+                earlier.unwrap_or((PriorRecord::Unreadable, record.routers))
             }
             Some(Some(record)) => (record.past(), record.routers),
         };
@@ -158,9 +158,12 @@
             return Ok(false);
         };
         let wanted = self.shared.home.wanted.lock().clone();
-        let (mut routers, has_room) = self
-            .shared
-            .decide(|admission, now| (admission.keep_routers(now), admission.can_name()));
+        let (mut routers, has_room) = self.shared.decide(|admission, now| {
+            (
+                admission.refresh_routers(now),
+                admission.can_register_router(),
+            )
+        });
         if has_room {
             routers.extend(&wanted);
         }
@@ -169,7 +172,7 @@
             return Ok(self.revision.is_some());
         }
         self.shared
-            .decide(|admission, now| admission.name_routers(&routers, now));
+            .decide(|admission, now| admission.register_routers(&routers, now));
         self.backoff.reset();
         let mut still_wanted = self.shared.home.wanted.lock();
         still_wanted.retain(|origin| !wanted.contains(origin));
@@ -180,14 +183,15 @@
 
     fn supersede(&self) {
         log!(self.shared.logger, Event::Superseded, "key" => &self.key);
-        self.shared.decide(|admission, _| admission.lose_home());
+        self.shared
+            .decide(|admission, _| admission.abandon_record());
     }
 
     /// Writes what the next life has to know.
     async fn close(&mut self) {
         let (routers, marks) = self.shared.decide(|admission, now| {
-            let routers = admission.keep_routers(now);
-            (routers, admission.close_home(now))
+            let routers = admission.refresh_routers(now);
+            (routers, admission.close_record(now))
         });
         let Some(marks) = marks else {
             return;
--- a/crates/daemon/src/sidecar/probe.rs
+++ b/crates/daemon/src/sidecar/probe.rs
@@ -20,7 +20,7 @@
         while !shared.backend.answers().await {
             tokio::time::sleep(PAUSE).await;
         }
-        shared.decide(|admission, now| admission.set_down(false, now));
+        shared.decide(|admission, now| admission.set_backend_down(false, now));
         log!(shared.logger, Event::BackendUp,
             "backend" => shared.settings.backend.to_string());
     }
--- a/crates/daemon/src/sidecar/pump.rs
+++ b/crates/daemon/src/sidecar/pump.rs
@@ -6,7 +6,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Frame, Incoming};
 use hyper::http::response::Parts;
-use mulberryyoke_decide::admission::Ending;
+use mulberryyoke_decide::admission::Termination;
 use mulberryyoke_decide::key;
 use mulberryyoke_event::{Event, log};
 use tokio::sync::mpsc;
@@ -30,7 +30,7 @@
     frames: mpsc::Sender<Piece>,
     meter: Meter,
     /// The answer so far, while it may be kept for repeats.
-    kept: Option<key::Answer>,
+    kept: Option<key::Response>,
     /// The engine's name of the stream, until it was resumed once.
     stream: Option<String>,
     /// Whether the router has hung up on a request that runs on.
@@ -79,7 +79,7 @@
     /// Ends the answer towards the router at once, then reads to the end of the
     /// backend's, so that its connection can be used again.
     async fn finish(mut self) {
-        self.slot.end(Ending::Whole(self.kept));
+        self.slot.end(Termination::Complete(self.kept));
         // A router that has hung up needs no end.
         let _ = self.frames.send(Piece::End).await;
         let rest = async { while let Some(Ok(_)) = self.body.frame().await {} };
@@ -212,10 +212,10 @@
     }
 }
 
-fn keep(parts: &Parts) -> key::Answer {
+fn keep(parts: &Parts) -> key::Response {
     let headers = parts.headers.iter();
     let headers = headers.map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
-    key::Answer {
+    key::Response {
         status: parts.status.as_u16(),
         headers: headers.collect(),
         body: Vec::new(),
--- a/crates/daemon/src/sidecar/record.rs
+++ b/crates/daemon/src/sidecar/record.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use mulberryyoke_decide::key::{Mark, Past};
+use mulberryyoke_decide::key::{PriorRecord, SavedState};
 use mulberryyoke_model::{Incarnation, KeyId, Millis};
 use serde::{Deserialize, Serialize};
 
@@ -34,26 +34,26 @@
 }
 
 impl Keys {
-    pub(crate) fn pack(marks: &[(KeyId, Mark)]) -> Self {
-        let pack = |wanted: Mark| {
+    pub(crate) fn pack(marks: &[(KeyId, SavedState)]) -> Self {
+        let pack = |wanted: SavedState| {
             let keys = marks.iter().filter(|(_, mark)| *mark == wanted);
             let bytes: Vec<u8> = keys.flat_map(|(key, _)| key.0.to_le_bytes()).collect();
             STANDARD.encode(bytes)
         };
         Self {
-            ran: pack(Mark::Ran),
-            cut: pack(Mark::Cut),
-            barred: pack(Mark::Barred),
-            doubtful: pack(Mark::Doubtful),
+            ran: pack(SavedState::Completed),
+            cut: pack(SavedState::Interrupted),
+            barred: pack(SavedState::Withdrawn),
+            doubtful: pack(SavedState::Indeterminate),
         }
     }
 
-    fn unpack(&self) -> Option<Vec<(KeyId, Mark)>> {
+    fn unpack(&self) -> Option<Vec<(KeyId, SavedState)>> {
         let groups = [
-            (&self.ran, Mark::Ran),
-            (&self.cut, Mark::Cut),
-            (&self.barred, Mark::Barred),
-            (&self.doubtful, Mark::Doubtful),
+            (&self.ran, SavedState::Completed),
+            (&self.cut, SavedState::Interrupted),
+            (&self.barred, SavedState::Withdrawn),
+            (&self.doubtful, SavedState::Indeterminate),
         ];
         let mut marks = Vec::new();
         for (text, mark) in groups {
@@ -85,10 +85,11 @@
     }
 
     /// What it tells the next life.
-    pub(crate) fn past(&self) -> Past {
+    pub(crate) fn past(&self) -> PriorRecord {
         let Some(keys) = &self.closed else {
-            return Past::Open(self.routers.clone());
+            return PriorRecord::Open(self.routers.clone());
         };
-        keys.unpack().map_or(Past::Unreadable, Past::Closed)
+        keys.unpack()
+            .map_or(PriorRecord::Unreadable, PriorRecord::Closed)
     }
 }
--- a/crates/daemon/src/sidecar/role.rs
+++ b/crates/daemon/src/sidecar/role.rs
@@ -157,7 +157,7 @@
 async fn wait_idle(shared: &Shared) {
     loop {
         let ended = shared.ended.notified();
-        if shared.decide(|admission, _| admission.running()) == 0 {
+        if shared.decide(|admission, _| admission.running_count()) == 0 {
             return;
         }
         ended.await;
--- a/crates/daemon/src/sidecar/shared.rs
+++ b/crates/daemon/src/sidecar/shared.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use mulberryyoke_decide::admission::{Admission, LinkKey, Setup, Sharing};
+use mulberryyoke_decide::admission::{Admission, LinkKey, Scheduling, Setup};
 use mulberryyoke_event::slog::Logger;
 use mulberryyoke_model::{Change, Config, Incarnation, Millis, PoolId, Revision, ServerId};
 use mulberryyoke_settings as settings;
@@ -63,14 +63,14 @@
             incarnation: Incarnation(rand::random()),
             started_at: now,
             slots: settings.slots,
-            sharing: match settings.policy {
-                settings::Policy::Fair => Sharing::Fair,
-                settings::Policy::Baseline => Sharing::Open,
+            scheduling: match settings.policy {
+                settings::Policy::Fair => Scheduling::Fair,
+                settings::Policy::Baseline => Scheduling::Immediate,
             },
             retention_ms: settings.retention_ms,
         };
         let state = State {
-            admission: Admission::open(setup),
+            admission: Admission::new(setup),
             config: Config::default(),
             polls: SecondaryMap::new(),
         };
@@ -95,10 +95,10 @@
     /// Runs one decision under the lock, then wakes the polls it concerns.
     pub(crate) fn decide<T>(&self, decision: impl FnOnce(&mut Admission, Millis) -> T) -> T {
         let mut state = self.state.lock();
-        let before = state.admission.reserved();
+        let before = state.admission.reserved_count();
         let result = decision(&mut state.admission, clock::now());
-        let has_reserved = before == 0 && state.admission.reserved() > 0;
-        for link in state.admission.take_woken() {
+        let has_reserved = before == 0 && state.admission.reserved_count() > 0;
+        for link in state.admission.take_ready_links() {
             if let Some(poll) = state.polls.get(link) {
                 poll.notify_one();
             }
@@ -113,8 +113,8 @@
     /// Notes that the backend cannot be reached.
     pub(crate) fn found_down(&self) {
         let was_down = self.decide(|admission, now| {
-            let was_down = admission.is_down();
-            admission.set_down(true, now);
+            let was_down = admission.is_backend_down();
+            admission.set_backend_down(true, now);
             was_down
         });
         if !was_down {
--- a/crates/daemon/src/sidecar/slot.rs
+++ b/crates/daemon/src/sidecar/slot.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use mulberryyoke_decide::admission::Ending;
+use mulberryyoke_decide::admission::Termination;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::Ticket;
 
@@ -14,7 +14,7 @@
 pub(crate) struct Slot {
     pub(crate) shared: Arc<Shared>,
     pub(crate) ticket: Ticket,
-    ending: Ending,
+    ending: Termination,
 }
 
 impl Slot {
@@ -22,7 +22,7 @@
         Self {
             shared,
             ticket,
-            ending: Ending::Cut,
+            ending: Termination::Interrupted,
         }
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Ends the request.
-    pub(crate) fn end(mut self, ending: Ending) {
+    pub(crate) fn end(mut self, ending: Termination) {
         self.ending = ending;
     }
 }
@@ -44,11 +44,11 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let attempt = self.ticket.attempt;
-        let ending = std::mem::replace(&mut self.ending, Ending::Cut);
+        let ending = std::mem::replace(&mut self.ending, Termination::Interrupted);
         let word = match ending {
-            Ending::Whole(_) => "whole",
-            Ending::Cut => "cut",
-            Ending::Unsent => "unsent",
+            Termination::Complete(_) => "whole",
+            Termination::Interrupted => "cut",
+            Termination::Unsent => "unsent",
         };
         let tokens = self
             .shared
--- a/crates/daemon/src/sidecar/status.rs
+++ b/crates/daemon/src/sidecar/status.rs
@@ -56,7 +56,7 @@
     if shared.decide(|admission, _| admission.is_draining()) {
         return (StatusCode::SERVICE_UNAVAILABLE, "draining\n".to_owned());
     }
-    if shared.decide(|admission, _| admission.is_down()) {
+    if shared.decide(|admission, _| admission.is_backend_down()) {
         return (StatusCode::SERVICE_UNAVAILABLE, "backend down\n".to_owned());
     }
     (StatusCode::OK, "ready\n".to_owned())
@@ -65,7 +65,7 @@
 fn metrics(shared: &Shared) -> String {
     let (load, running, backlogged) = shared.decide(|admission, _| {
         let backlogged = admission.ledger().backlogged();
-        (admission.load(), admission.running(), backlogged)
+        (admission.load(), admission.running_count(), backlogged)
     });
     let server = shared.settings.name.clone();
     metrics::gauge!("sidecar_slots", "server" => server.clone()).set(load.slots);
--- a/crates/daemon/src/sidecar/timer.rs
+++ b/crates/daemon/src/sidecar/timer.rs
@@ -10,7 +10,7 @@
     loop {
         let next = shared.decide(|admission, now| {
             admission.tick(now);
-            admission.next_lapse()
+            admission.next_grant_expiry()
         });
         match next {
             Some(at) => tokio::time::sleep_until(clock::instant(at)).await,
--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -3,8 +3,10 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use mulberryyoke_decide::admission::{Admission, Arrival, Ending, LinkKey, Setup, Sharing};
-use mulberryyoke_decide::key::Past;
+use mulberryyoke_decide::admission::{
+    Admission, Decision, LinkKey, Scheduling, Setup, Termination,
+};
+use mulberryyoke_decide::key::PriorRecord;
 use mulberryyoke_model::{
     Attempt, Class, CustomerId, Grant, Incarnation, Interest, Kind, PoolId, ServerId, Ticket, Usage,
 };
@@ -42,13 +44,13 @@
             incarnation: Incarnation(1),
             started_at: 0,
             slots: SLOTS,
-            sharing: Sharing::Fair,
+            scheduling: Scheduling::Fair,
             retention_ms: 600_000,
         };
-        let mut admission = Admission::open(setup);
-        admission.open_home(&Past::None, &[ROUTER], 0);
+        let mut admission = Admission::new(setup);
+        admission.restore_record(&PriorRecord::Absent, &[ROUTER], 0);
         let link = admission.connect();
-        admission.introduce(link, ROUTER, 0);
+        admission.identify_router(link, ROUTER, 0);
         let all: Vec<Interest> = (0..customers).map(interest).collect();
         admission.declare(link, true, &all, 1);
         let mut bench = Self {
@@ -64,8 +66,8 @@
 
     /// Starts a request under each grant and declares what waits then.
     fn start(&mut self) {
-        self.admission.take_woken();
-        let (grants, _) = self.admission.answer(self.link, 2);
+        self.admission.take_ready_links();
+        let (grants, _) = self.admission.poll_response(self.link, 2);
         self.grants.extend(grants);
         while let Some(grant) = self.grants.pop() {
             self.request += 1;
@@ -84,7 +86,7 @@
                 grant: Some(grant.id),
                 key: None,
             };
-            assert_eq!(self.admission.arrive(&ticket, 2), Arrival::Started);
+            assert_eq!(self.admission.admit(&ticket, 2), Decision::Started);
             self.running.push(attempt);
             let interest = [interest(grant.customer.0)];
             self.admission.declare(self.link, false, &interest, 2);
@@ -95,7 +97,7 @@
     fn turn(&mut self) {
         let attempt = self.running.remove(0);
         self.admission.meter(attempt, 430);
-        self.admission.end(attempt, Ending::Whole(None), 2);
+        self.admission.end(attempt, Termination::Complete(None), 2);
         self.start();
     }
 }
--- a/crates/decide/examples/memory.rs
+++ b/crates/decide/examples/memory.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo run --release -p mulberryyoke-decide --example memory`
 
-use mulberryyoke_decide::admission::{Admission, LinkKey, Setup, Sharing};
-use mulberryyoke_decide::key::{Memory, Past, Seen};
+use mulberryyoke_decide::admission::{Admission, LinkKey, Scheduling, Setup};
+use mulberryyoke_decide::key::{KeyState, PriorRecord, Store};
 use mulberryyoke_model::{CustomerId, Incarnation, Interest, KeyId, Kind, PoolId, ServerId};
 use serde_json::json;
 
@@ -30,10 +30,10 @@
         }
     }
     let all = resident();
-    let mut keys = Memory::open(600_000, 0);
-    keys.read(&Past::None, 0);
+    let mut keys = Store::new(600_000, 0);
+    keys.restore(&PriorRecord::Absent, 0);
     for key in 0..KEYS {
-        keys.note(KeyId(key), Seen::Ran(None), 1);
+        keys.record(KeyId(key), KeyState::Completed(None), 1);
     }
     let kept = resident();
     let customers = u64::from(CUSTOMERS) * SIDECARS as u64;
@@ -49,21 +49,21 @@
 }
 
 fn open() -> Admission {
-    Admission::open(Setup {
+    Admission::new(Setup {
         server: ServerId(1),
         pool: PoolId(1),
         kind: Kind::Model,
         incarnation: Incarnation(1),
         started_at: 0,
         slots: 0,
-        sharing: Sharing::Fair,
+        scheduling: Scheduling::Fair,
         retention_ms: 600_000,
     })
 }
 
 fn declare(sidecar: &mut Admission, origin: u64) -> LinkKey {
     let link = sidecar.connect();
-    sidecar.introduce(link, Incarnation(origin), 0);
+    sidecar.identify_router(link, Incarnation(origin), 0);
     let interest = (0..CUSTOMERS).map(|customer| Interest {
         customer: CustomerId(customer),
         waiting: [1, 1, 1],
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -3,25 +3,25 @@
 //! [`Admission`] is the state of one sidecar. The role keeps it under one lock,
 //! so a start and a withdrawal exclude each other.
 
-mod arrival;
-mod arrive;
+mod admit;
 mod attempts;
 mod check;
 mod configure;
+mod decision;
 mod grants;
-mod home;
 mod link;
 mod poll;
+mod record;
 mod running;
 mod setup;
 mod withdraw;
 
-pub use arrival::{Arrival, Ending};
 pub use attempts::Attempts;
+pub use decision::{Decision, Termination};
 pub use grants::GRANT_TTL;
 pub use link::{Link, LinkKey};
 pub use poll::Due;
-pub use setup::{Setup, Sharing};
+pub use setup::{Scheduling, Setup};
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -29,7 +29,7 @@
 use slotmap::SlotMap;
 
 use crate::account::{Ledger, Reporter};
-use crate::key::{Memory, Routers};
+use crate::key::{Routers, Store};
 use grants::Reservation;
 use running::Running;
 
@@ -48,7 +48,7 @@
     pub(crate) next_grant: u64,
     pub(crate) running: HashMap<Attempt, Running>,
     pub(crate) attempts: Attempts,
-    pub(crate) keys: Memory,
+    pub(crate) keys: Store,
     pub(crate) routers: Routers,
     pub(crate) stopping: bool,
     pub(crate) leaving: bool,
@@ -62,7 +62,7 @@
 impl Admission {
     /// A sidecar without links, at the start of its life.
     #[must_use]
-    pub fn open(setup: Setup) -> Self {
+    pub fn new(setup: Setup) -> Self {
         Self {
             setup,
             slots: setup.slots,
@@ -73,8 +73,8 @@
             reservations: BTreeMap::new(),
             next_grant: 1,
             running: HashMap::new(),
-            attempts: Attempts::open(setup.retention_ms),
-            keys: Memory::open(setup.retention_ms, setup.started_at),
+            attempts: Attempts::new(setup.retention_ms),
+            keys: Store::new(setup.retention_ms, setup.started_at),
             routers: Routers::default(),
             stopping: false,
             leaving: false,
@@ -92,19 +92,19 @@
 
     /// Requests that run now.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Slots reserved now.
     #[must_use]
-    pub fn reserved(&self) -> usize {
+    pub fn reserved_count(&self) -> usize {
         self.reservations.len()
     }
 
     /// Slots neither running nor reserved; none while the backend is down.
     #[must_use]
-    pub fn free(&self) -> u32 {
+    pub fn free_slots(&self) -> u32 {
         if self.down {
             return 0;
         }
@@ -128,13 +128,13 @@
             started_at: self.setup.started_at,
             revision: self.revision,
             slots: self.slots,
-            free: self.free(),
+            free: self.free_slots(),
             draining: self.is_draining(),
         }
     }
 
     /// Links whose poll may have something to tell since the last call.
-    pub fn take_woken(&mut self) -> Vec<LinkKey> {
+    pub fn take_ready_links(&mut self) -> Vec<LinkKey> {
         std::mem::take(&mut self.woken)
     }
 
@@ -147,7 +147,7 @@
 
     /// Notes whether the backend can be reached. Nothing is started while it
     /// cannot.
-    pub fn set_down(&mut self, down: bool, now: Millis) {
+    pub fn set_backend_down(&mut self, down: bool, now: Millis) {
         self.down = down;
         self.expire(now);
         self.fill(now);
@@ -155,7 +155,7 @@
 
     /// Whether the backend cannot be reached.
     #[must_use]
-    pub fn is_down(&self) -> bool {
+    pub fn is_backend_down(&self) -> bool {
         self.down
     }
 
@@ -173,6 +173,6 @@
     }
 
     pub(crate) fn is_fair(&self) -> bool {
-        self.setup.sharing == Sharing::Fair
+        self.setup.scheduling == Scheduling::Fair
     }
 }
--- a/crates/decide/src/admission/arrive.rs
+++ b/crates/decide/src/admission/admit.rs
@@ -3,21 +3,21 @@
 use mulberryyoke_model::{Attempt, Incarnation, KeyId, Kind, Millis, Outcome, Ticket};
 
 use super::running::Running;
-use super::{Admission, Arrival, Ending};
+use super::{Admission, Decision, Termination};
 use crate::account::{AccountKey, Charge};
-use crate::key::Seen;
+use crate::key::KeyState;
 
 /// When to come back if the home record does not name the router yet, in
 /// milliseconds.
 const NAME_RETRY: Millis = 1_000;
 
 impl Admission {
-    /// A request arrived. Unless the answer is [`Arrival::Started`] it never runs
+    /// A request arrived. Unless the answer is [`Decision::Started`] it never runs
     /// here under this attempt.
-    pub fn arrive(&mut self, ticket: &Ticket, now: Millis) -> Arrival {
+    pub fn admit(&mut self, ticket: &Ticket, now: Millis) -> Decision {
         self.expire(now);
-        let arrival = self.admit(ticket, now);
-        if arrival == Arrival::Started {
+        let arrival = self.decide(ticket, now);
+        if arrival == Decision::Started {
             self.start(ticket, now);
         } else if let Some(grant) = self.own_grant(ticket) {
             self.release(grant);
@@ -26,7 +26,7 @@
         arrival
     }
 
-    fn admit(&mut self, ticket: &Ticket, now: Millis) -> Arrival {
+    fn decide(&mut self, ticket: &Ticket, now: Millis) -> Decision {
         if let Some(arrival) = self.refuse_attempt(ticket, now) {
             return arrival;
         }
@@ -34,38 +34,40 @@
             return arrival;
         }
         if self.is_draining() {
-            return Arrival::Draining;
+            return Decision::Draining;
         }
         if self.own_grant(ticket).is_none() && !self.may_start() {
-            return Arrival::Busy;
+            return Decision::Busy;
         }
-        Arrival::Started
+        Decision::Started
     }
 
-    fn refuse_attempt(&self, ticket: &Ticket, now: Millis) -> Option<Arrival> {
+    fn refuse_attempt(&self, ticket: &Ticket, now: Millis) -> Option<Decision> {
         match self.attempts.record(ticket.attempt) {
-            Some(Outcome::Running) => Some(Arrival::Running),
-            Some(Outcome::Ran) => Some(Arrival::Ran),
-            Some(Outcome::Cut) => Some(Arrival::Cut),
-            Some(_) => Some(Arrival::Tombstone),
-            None if ticket.deadline <= now => Some(Arrival::Late),
+            Some(Outcome::Running) => Some(Decision::Running),
+            Some(Outcome::Ran) => Some(Decision::Completed),
+            Some(Outcome::Cut) => Some(Decision::Interrupted),
+            Some(_) => Some(Decision::Withdrawn),
+            None if ticket.deadline <= now => Some(Decision::DeadlineExceeded),
             None => None,
         }
     }
 
-    fn recall_key(&mut self, ticket: &Ticket, now: Millis) -> Option<Arrival> {
+    fn recall_key(&mut self, ticket: &Ticket, now: Millis) -> Option<Decision> {
         let key = ticket.key?;
         let origin = ticket.attempt.origin;
-        self.routers.see(origin, now);
-        match self.keys.seen(key, now) {
-            Seen::Unknown => self.refuse_key(origin, now),
-            Seen::Doubtful if self.is_proved_new(ticket, now) => self.refuse_key(origin, now),
-            Seen::Doubtful => Some(Arrival::Doubtful),
-            Seen::Barred => Some(Arrival::Tombstone),
-            Seen::Running => Some(Arrival::Running),
-            Seen::Ran(Some(answer)) => Some(Arrival::Replay(answer)),
-            Seen::Ran(None) => Some(Arrival::Ran),
-            Seen::Cut => Some(Arrival::Cut),
+        self.routers.touch(origin, now);
+        match self.keys.state(key, now) {
+            KeyState::Unknown => self.refuse_key(origin, now),
+            KeyState::Indeterminate if self.is_proved_new(ticket, now) => {
+                self.refuse_key(origin, now)
+            }
+            KeyState::Indeterminate => Some(Decision::Indeterminate),
+            KeyState::Withdrawn => Some(Decision::Withdrawn),
+            KeyState::Running => Some(Decision::Running),
+            KeyState::Completed(Some(answer)) => Some(Decision::Replay(answer)),
+            KeyState::Completed(None) => Some(Decision::Completed),
+            KeyState::Interrupted => Some(Decision::Interrupted),
         }
     }
 
@@ -75,16 +77,16 @@
         let own = KeyId::of(ticket.customer, &ticket.attempt.request_id());
         let origin = ticket.attempt.origin;
         ticket.key == Some(own)
-            && !self.keys.is_known(own)
-            && !self.keys.is_doubtful_for(origin, now)
+            && !self.keys.contains(own)
+            && !self.keys.is_recovering_for(origin, now)
     }
 
     /// Refuses a new key that could not be remembered, by this life or the next.
-    fn refuse_key(&mut self, origin: Incarnation, now: Millis) -> Option<Arrival> {
+    fn refuse_key(&mut self, origin: Incarnation, now: Millis) -> Option<Decision> {
         if !self.routers.contains(origin) {
-            return Some(Arrival::Full(now + NAME_RETRY));
+            return Some(Decision::RetryAt(now + NAME_RETRY));
         }
-        self.keys.room_at(now).map(Arrival::Full)
+        self.keys.full_until(now).map(Decision::RetryAt)
     }
 
     /// The reserved slot that a ticket may use.
@@ -107,7 +109,7 @@
         self.ledger.start(account, charge.charged());
         self.attempts.start(ticket.attempt);
         if let Some(key) = ticket.key {
-            self.keys.note(key, Seen::Running, now);
+            self.keys.record(key, KeyState::Running, now);
         }
         let running = Running {
             account,
@@ -138,14 +140,14 @@
     }
 
     /// A running request ended; its charge is settled. Returns its tokens.
-    pub fn end(&mut self, attempt: Attempt, ending: Ending, now: Millis) -> u64 {
+    pub fn end(&mut self, attempt: Attempt, ending: Termination, now: Millis) -> u64 {
         let Some(running) = self.running.remove(&attempt) else {
             return 0;
         };
         let surplus = running.charge.settle();
         let tokens = running.charge.metered();
         let is_model = self.setup.kind == Kind::Model;
-        let teaches = is_model && tokens > 0 && matches!(ending, Ending::Whole(_));
+        let teaches = is_model && tokens > 0 && matches!(ending, Termination::Complete(_));
         self.ledger.update(running.account, |account| {
             account.running -= 1;
             account.refund(surplus);
@@ -159,21 +161,24 @@
         tokens
     }
 
-    fn remember(&mut self, attempt: Attempt, running: &Running, ending: Ending, now: Millis) {
+    fn remember(&mut self, attempt: Attempt, running: &Running, ending: Termination, now: Millis) {
         let outcome = match ending {
-            Ending::Whole(_) => Outcome::Ran,
-            Ending::Cut => Outcome::Cut,
-            Ending::Unsent => Outcome::NotRun,
+            Termination::Complete(_) => Outcome::Ran,
+            Termination::Interrupted => Outcome::Cut,
+            Termination::Unsent => Outcome::NotRun,
         };
         self.attempts.end(attempt, outcome, now);
         let Some(key) = running.key else {
             return;
         };
-        self.routers.see(attempt.origin, now);
+        self.routers.touch(attempt.origin, now);
         match ending {
-            Ending::Whole(answer) => self.keys.note(key, Seen::Ran(answer.map(Into::into)), now),
-            Ending::Cut => self.keys.note(key, Seen::Cut, now),
-            Ending::Unsent => self.keys.forget(key),
+            Termination::Complete(answer) => {
+                self.keys
+                    .record(key, KeyState::Completed(answer.map(Into::into)), now);
+            }
+            Termination::Interrupted => self.keys.record(key, KeyState::Interrupted, now),
+            Termination::Unsent => self.keys.remove(key),
         }
     }
 }
--- a/crates/decide/src/admission/attempts.rs
+++ b/crates/decide/src/admission/attempts.rs
@@ -27,7 +27,7 @@
 impl Attempts {
     /// An empty memory.
     #[must_use]
-    pub fn open(retention_ms: Millis) -> Self {
+    pub fn new(retention_ms: Millis) -> Self {
         Self {
             records: HashMap::new(),
             ended: VecDeque::new(),
--- a/crates/decide/src/admission/check.rs
+++ b/crates/decide/src/admission/check.rs
@@ -15,7 +15,7 @@
         if !self.is_fair() {
             return;
         }
-        let may_grant = !self.is_draining() && self.free() > 0;
+        let may_grant = !self.is_draining() && self.free_slots() > 0;
         assert!(
             !(may_grant && self.ledger.is_backlogged()),
             "a slot is free beside a runnable request"
--- a/crates/decide/src/admission/arrival.rs
+++ b/crates/decide/src/admission/decision.rs
@@ -4,42 +4,42 @@
 
 use mulberryyoke_model::Millis;
 
-use crate::key::Answer;
+use crate::key::Response;
 
 /// What becomes of an arriving request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum Decision {
     /// It runs now; its end has to be told.
     Started,
     /// A request with the same key ran; this was its answer.
-    Replay(Arc<Answer>),
+    Replay(Arc<Response>),
     /// No slot is free.
     Busy,
     /// The server is leaving.
     Draining,
     /// The attempt or its key was withdrawn.
-    Tombstone,
+    Withdrawn,
     /// The deadline has passed.
-    Late,
+    DeadlineExceeded,
     /// The key cannot be remembered before the instant.
-    Full(Millis),
+    RetryAt(Millis),
     /// The key may have run in an earlier life.
-    Doubtful,
+    Indeterminate,
     /// The attempt, or a request with the same key, runs now.
     Running,
     /// The attempt, or a request with the same key, ran; the answer is not kept.
-    Ran,
+    Completed,
     /// A request with the same key was cut off.
-    Cut,
+    Interrupted,
 }
 
 /// How a request ended on the server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Termination {
     /// The answer was whole; kept for repeats of the key when small.
-    Whole(Option<Answer>),
+    Complete(Option<Response>),
     /// The answer was cut off.
-    Cut,
+    Interrupted,
     /// Nothing reached the server.
     Unsent,
 }
--- a/crates/decide/src/admission/grants.rs
+++ b/crates/decide/src/admission/grants.rs
@@ -3,7 +3,7 @@
 use mulberryyoke_model::{Grant, Interest, Millis};
 
 use super::link::LinkKey;
-use super::{Admission, Sharing};
+use super::{Admission, Scheduling};
 use crate::account::{AccountKey, Charge, Demand, VirtualService};
 
 /// How long a slot stays reserved for a request, in milliseconds.
@@ -71,7 +71,7 @@
 
     /// When the next reserved slot lapses.
     #[must_use]
-    pub fn next_lapse(&self) -> Option<Millis> {
+    pub fn next_grant_expiry(&self) -> Option<Millis> {
         let first = self.reservations.first_key_value();
         first.map(|(_, reservation)| reservation.until)
     }
@@ -127,9 +127,9 @@
 
     /// Whether the backend can be given another request.
     pub(crate) fn may_start(&self) -> bool {
-        match self.setup.sharing {
-            Sharing::Fair => self.free() > 0,
-            Sharing::Open => !self.down,
+        match self.setup.scheduling {
+            Scheduling::Fair => self.free_slots() > 0,
+            Scheduling::Immediate => !self.down,
         }
     }
 
--- a/crates/decide/src/admission/poll.rs
+++ b/crates/decide/src/admission/poll.rs
@@ -41,7 +41,7 @@
     }
 
     /// Learns whose link it is.
-    pub fn introduce(&mut self, link: LinkKey, origin: Incarnation, now: Millis) {
+    pub fn identify_router(&mut self, link: LinkKey, origin: Incarnation, now: Millis) {
         let Some(entry) = self.links.get_mut(link) else {
             return;
         };
@@ -121,7 +121,7 @@
     }
 
     /// What to answer a link's poll with.
-    pub fn answer(&mut self, link: LinkKey, now: Millis) -> (Vec<Grant>, Option<Report>) {
+    pub fn poll_response(&mut self, link: LinkKey, now: Millis) -> (Vec<Grant>, Option<Report>) {
         let told = Told {
             is_idle: self.is_idle(),
             draining: self.is_draining(),
@@ -138,7 +138,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.free() > 0
+        self.free_slots() > 0
     }
 
     /// A link showed a sign of life.
--- a/crates/decide/src/admission/setup.rs
+++ b/crates/decide/src/admission/setup.rs
@@ -4,11 +4,11 @@
 
 /// In what order a server's capacity is given out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sharing {
+pub enum Scheduling {
     /// By weighted service; no more requests run than there are slots.
     Fair,
     /// At once, without order; queues form inside the engine.
-    Open,
+    Immediate,
 }
 
 /// Fixed facts of one sidecar life.
@@ -27,7 +27,7 @@
     /// Requests that the backend runs at once.
     pub slots: u32,
     /// In what order they are given out.
-    pub sharing: Sharing,
+    pub scheduling: Scheduling,
     /// How long keys and attempts are remembered, in milliseconds.
     pub retention_ms: Millis,
 }
--- a/crates/decide/src/admission/withdraw.rs
+++ b/crates/decide/src/admission/withdraw.rs
@@ -3,7 +3,7 @@
 use mulberryyoke_model::{Attempt, Incarnation, KeyId, Millis, Outcome};
 
 use super::Admission;
-use crate::key::Seen;
+use crate::key::KeyState;
 
 impl Admission {
     /// Makes sure that an attempt, and with `key` any request with that key,
@@ -18,24 +18,24 @@
     ) -> (Outcome, bool) {
         let outcome = self.attempts.withdraw(attempt, now);
         let Some(key) = key else {
-            return (outcome, self.keys.is_doubtful(now));
+            return (outcome, self.keys.is_recovering(now));
         };
-        match self.keys.seen(key, now) {
-            Seen::Unknown if !self.can_bar(attempt.origin, now) => (Outcome::Unknown, true),
-            Seen::Unknown => {
-                self.keys.note(key, Seen::Barred, now);
+        match self.keys.state(key, now) {
+            KeyState::Unknown if !self.can_bar(attempt.origin, now) => (Outcome::Unknown, true),
+            KeyState::Unknown => {
+                self.keys.record(key, KeyState::Withdrawn, now);
                 (Outcome::NotRun, false)
             }
-            Seen::Doubtful => (Outcome::Unknown, true),
-            Seen::Barred => (Outcome::NotRun, false),
-            Seen::Running => (Outcome::Running, false),
-            Seen::Ran(_) => (Outcome::Ran, false),
-            Seen::Cut => (Outcome::Cut, false),
+            KeyState::Indeterminate => (Outcome::Unknown, true),
+            KeyState::Withdrawn => (Outcome::NotRun, false),
+            KeyState::Running => (Outcome::Running, false),
+            KeyState::Completed(_) => (Outcome::Ran, false),
+            KeyState::Interrupted => (Outcome::Cut, false),
         }
     }
 
     fn can_bar(&mut self, origin: Incarnation, now: Millis) -> bool {
-        self.routers.see(origin, now);
-        self.routers.contains(origin) && self.keys.room_at(now).is_none()
+        self.routers.touch(origin, now);
+        self.routers.contains(origin) && self.keys.full_until(now).is_none()
     }
 }
--- a/crates/decide/src/key/doubt.rs
+++ b/crates/decide/src/key/recovery.rs
@@ -4,18 +4,18 @@
 
 use mulberryyoke_model::{Incarnation, KeyId, Millis};
 
-use super::Mark;
+use super::SavedState;
 
 /// Keys told by routers that are kept until the earlier life's record is read.
 const MAX_TOLD: usize = 65_536;
 
 /// What the record of an earlier life tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Past {
+pub enum PriorRecord {
     /// There was no earlier life.
-    None,
+    Absent,
     /// It stopped as planned and left its keys.
-    Closed(Vec<(KeyId, Mark)>),
+    Closed(Vec<(KeyId, SavedState)>),
     /// It ended without a word; these routers may have sent it keys.
     Open(Vec<Incarnation>),
     /// The record cannot be read.
@@ -37,7 +37,7 @@
 /// Whether an earlier life may have started keys that this one has not seen.
 /// After the retention time it no longer matters.
 #[derive(Clone, Debug)]
-pub struct Doubt {
+pub struct Recovery {
     state: State,
     until: Millis,
     /// Routers that told all keys they sent to earlier lives.
@@ -47,10 +47,10 @@
     keys: Vec<KeyId>,
 }
 
-impl Doubt {
-    /// Doubt that lasts at most until `until`.
+impl Recovery {
+    /// Recovery that lasts at most until `until`.
     #[must_use]
-    pub fn open(until: Millis) -> Self {
+    pub fn new(until: Millis) -> Self {
         Self {
             state: State::Unread,
             until,
@@ -62,20 +62,25 @@
 
     /// Whether a key that this life has not seen may have been started before.
     #[must_use]
-    pub fn is_open(&self, now: Millis) -> bool {
+    pub fn is_pending(&self, now: Millis) -> bool {
         self.state != State::Clear && now < self.until
     }
 
     /// Whether a router's own key, which no other router can have sent, may have
     /// been started before.
     #[must_use]
-    pub fn is_open_for(&self, origin: Incarnation, now: Millis) -> bool {
-        self.is_open(now) && !self.told.contains(&origin)
+    pub fn is_pending_for(&self, origin: Incarnation, now: Millis) -> bool {
+        self.is_pending(now) && !self.told.contains(&origin)
     }
 
     /// A router told the keys it sent to earlier lives; only its first word counts,
     /// later ones are about this life. Returns those now known as doubtful.
-    pub fn recall(&mut self, origin: Incarnation, complete: bool, keys: &[KeyId]) -> Vec<KeyId> {
+    pub fn add_sent_keys(
+        &mut self,
+        origin: Incarnation,
+        complete: bool,
+        keys: &[KeyId],
+    ) -> Vec<KeyId> {
         let is_known = self.told.contains(&origin) || self.partly.contains(&origin);
         if is_known || self.state == State::Clear {
             return Vec::new();
@@ -91,11 +96,11 @@
     }
 
     /// The earlier life's record was read. Returns keys now known as doubtful.
-    pub fn read(&mut self, past: &Past) -> Vec<KeyId> {
+    pub fn load(&mut self, past: &PriorRecord) -> Vec<KeyId> {
         self.state = match past {
-            Past::None | Past::Closed(_) => State::Clear,
-            Past::Open(routers) => State::Missing(routers.iter().copied().collect()),
-            Past::Unreadable => State::Lasting,
+            PriorRecord::Absent | PriorRecord::Closed(_) => State::Clear,
+            PriorRecord::Open(routers) => State::Missing(routers.iter().copied().collect()),
+            PriorRecord::Unreadable => State::Lasting,
         };
         if self.state == State::Clear {
             self.keys.clear();
@@ -116,7 +121,7 @@
 
     /// Routers that have not told yet.
     #[must_use]
-    pub fn missing(&self) -> usize {
+    pub fn missing_reports(&self) -> usize {
         match &self.state {
             State::Missing(missing) => missing.len(),
             State::Unread | State::Lasting | State::Clear => 0,
--- a/crates/decide/src/key/answer.rs
+++ b/crates/decide/src/key/response.rs
@@ -2,7 +2,7 @@
 
 /// A whole answer of the backend, kept for repeats of its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Headers by name.
@@ -11,7 +11,7 @@
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     /// Memory that it takes, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
--- a/crates/decide/src/key/routers.rs
+++ b/crates/decide/src/key/routers.rs
@@ -23,19 +23,19 @@
     }
 
     /// The record names a router now.
-    pub fn name(&mut self, origin: Incarnation, now: Millis) {
+    pub fn register(&mut self, origin: Incarnation, now: Millis) {
         self.named.insert(origin, now);
     }
 
     /// A named router was seen.
-    pub fn see(&mut self, origin: Incarnation, now: Millis) {
+    pub fn touch(&mut self, origin: Incarnation, now: Millis) {
         if let Some(seen) = self.named.get_mut(&origin) {
             *seen = now;
         }
     }
 
     /// Forgets routers not seen since an instant; they have to be named again.
-    pub fn forget(&mut self, since: Millis) {
+    pub fn expire(&mut self, since: Millis) {
         self.named.retain(|_, seen| *seen >= since);
     }
 
--- a/crates/decide/src/key/mark.rs
+++ b/crates/decide/src/key/saved_state.rs
@@ -2,13 +2,13 @@
 
 /// What is handed from one life to the next about a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum SavedState {
     /// It ran.
-    Ran,
+    Completed,
     /// It started and was cut off.
-    Cut,
+    Interrupted,
     /// It never runs here.
-    Barred,
+    Withdrawn,
     /// It may have run.
-    Doubtful,
+    Indeterminate,
 }
--- a/crates/decide/tests/admission/random/model.rs
+++ b/crates/decide/tests/admission/random/model.rs
@@ -2,8 +2,10 @@
 
 use std::collections::{HashMap, HashSet};
 
-use mulberryyoke_decide::admission::{Admission, Arrival, Ending, LinkKey, Setup, Sharing};
-use mulberryyoke_decide::key::Past;
+use mulberryyoke_decide::admission::{
+    Admission, Decision, LinkKey, Scheduling, Setup, Termination,
+};
+use mulberryyoke_decide::key::PriorRecord;
 use mulberryyoke_model::{
     Attempt, Class, CustomerId, Grant, Incarnation, Interest, KeyId, Kind, Millis, Outcome, PoolId,
     ServerId, Ticket,
@@ -77,12 +79,12 @@
             incarnation: Incarnation(1),
             started_at: 0,
             slots: SLOTS,
-            sharing: Sharing::Fair,
+            scheduling: Scheduling::Fair,
             retention_ms: RETENTION,
         };
-        let mut admission = Admission::open(setup);
+        let mut admission = Admission::new(setup);
         let routers: Vec<Incarnation> = (0..LINKS).map(origin).collect();
-        admission.open_home(&Past::None, &routers, 0);
+        admission.restore_record(&PriorRecord::Absent, &routers, 0);
         let mut model = Self {
             admission,
             now: 1,
@@ -104,7 +106,7 @@
 
     fn connect(&mut self, link: usize) -> LinkKey {
         let key = self.admission.connect();
-        self.admission.introduce(key, origin(link), self.now);
+        self.admission.identify_router(key, origin(link), self.now);
         self.grants[link].clear();
         key
     }
@@ -150,18 +152,18 @@
             }
             Op::End { index, how } => self.end(index, how),
             Op::Withdraw { link, ahead, key } => self.withdraw(link, ahead, key),
-            Op::Down(down) => self.admission.set_down(down, self.now),
+            Op::Down(down) => self.admission.set_backend_down(down, self.now),
         }
         self.collect();
-        assert_eq!(self.admission.running(), self.running.len());
-        let used = self.admission.running() + self.admission.reserved();
+        assert_eq!(self.admission.running_count(), self.running.len());
+        let used = self.admission.running_count() + self.admission.reserved_count();
         assert!(used <= SLOTS as usize);
     }
 
     fn collect(&mut self) {
-        self.admission.take_woken();
+        self.admission.take_ready_links();
         for (link, key) in self.links.iter().enumerate() {
-            let (grants, _) = self.admission.answer(*key, self.now);
+            let (grants, _) = self.admission.poll_response(*key, self.now);
             self.grants[link].extend(grants);
         }
     }
@@ -188,7 +190,7 @@
             grant: grant.map(|grant| grant.id),
             key: key.map(KeyId),
         };
-        if self.admission.arrive(&ticket, self.now) != Arrival::Started {
+        if self.admission.admit(&ticket, self.now) != Decision::Started {
             return;
         }
         assert!(self.started.insert(attempt), "{attempt:?} started twice");
@@ -213,9 +215,9 @@
         };
         self.running.retain(|(running, _)| *running != attempt);
         let ending = match how {
-            0 => Ending::Unsent,
-            1 => Ending::Cut,
-            _ => Ending::Whole(None),
+            0 => Termination::Unsent,
+            1 => Termination::Interrupted,
+            _ => Termination::Complete(None),
         };
         if let Some(key) = key {
             let until = if how == 0 { 0 } else { self.now + RETENTION };
--- a/crates/decide/tests/admission/session/mod.rs
+++ b/crates/decide/tests/admission/session/mod.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use mulberryyoke_decide::admission::{Admission, Due, LinkKey, Setup, Sharing};
-use mulberryyoke_decide::key::Past;
+use mulberryyoke_decide::admission::{Admission, Due, LinkKey, Scheduling, Setup};
+use mulberryyoke_decide::key::PriorRecord;
 use mulberryyoke_model::{
     Change, Class, Config, Customer, CustomerId, Incarnation, Interest, KeyId, Kind, Millis,
     Object, PoolId, ServerId, Usage,
@@ -48,11 +48,11 @@
             incarnation: Incarnation(1),
             started_at: 0,
             slots: 2,
-            sharing: Sharing::Fair,
+            scheduling: Scheduling::Fair,
             retention_ms: 10_000,
         };
         Self {
-            admission: Admission::open(setup),
+            admission: Admission::new(setup),
             links: BTreeMap::new(),
             config: Config::default(),
             now: 0,
@@ -76,7 +76,7 @@
             "customer" | "server" => self.configure(words),
             "connect" => {
                 let link = admission.connect();
-                admission.introduce(link, origin(name), now);
+                admission.identify_router(link, origin(name), now);
                 self.links.insert(name.to_owned(), link);
             }
             "disconnect" => {
@@ -91,7 +91,7 @@
                 let grant = words.number("grant").expect("grant");
                 admission.decline(self.links[name], &[grant], now);
             }
-            "arrive" => return vec![format!("{:?}", admission.arrive(&ticket(words), now))],
+            "arrive" => return vec![format!("{:?}", admission.admit(&ticket(words), now))],
             "meter" => admission.meter(attempt(name), words.number("tokens").expect("tokens")),
             "end" => {
                 let ending = ending(words);
@@ -109,12 +109,16 @@
                 return vec![format!("{:?}", admission.outcome(attempt(name), key, now))];
             }
             "poll" => return self.poll(name, words),
-            "home" => admission.open_home(&Past::Open(vec![origin(name)]), &[origin(name)], now),
-            "first" => admission.open_home(&Past::None, &[], now),
-            "name" => admission.name_routers(&[origin(name)], now),
+            "home" => admission.restore_record(
+                &PriorRecord::Open(vec![origin(name)]),
+                &[origin(name)],
+                now,
+            ),
+            "first" => admission.restore_record(&PriorRecord::Absent, &[], now),
+            "name" => admission.register_routers(&[origin(name)], now),
             "recall" => {
                 let keys: Vec<KeyId> = words.number("key").map(KeyId).into_iter().collect();
-                admission.recall(origin(name), true, &keys, now);
+                admission.add_sent_keys(origin(name), true, &keys, now);
             }
             "show" => {
                 let ledger = admission.ledger();
@@ -123,8 +127,8 @@
                 return vec![format!("{service} tokens for each unit of share")];
             }
             "tick" => admission.tick(now),
-            "down" => admission.set_down(true, now),
-            "up" => admission.set_down(false, now),
+            "down" => admission.set_backend_down(true, now),
+            "up" => admission.set_backend_down(false, now),
             "stop" => admission.stop(),
             other => panic!("no such event: {other}"),
         }
@@ -160,13 +164,13 @@
 
     /// Answers the polls of links that have grants.
     fn grants(&mut self) -> Vec<String> {
-        self.admission.take_woken();
+        self.admission.take_ready_links();
         let names: Vec<String> = self.links.keys().cloned().collect();
         names.iter().flat_map(|name| self.answer(name)).collect()
     }
 
     fn answer(&mut self, name: &str) -> Vec<String> {
-        let (grants, report) = self.admission.answer(self.links[name], self.now);
+        let (grants, report) = self.admission.poll_response(self.links[name], self.now);
         let grants = grants.iter().map(|grant| {
             let customer = self.customer(grant.customer);
             format!(
--- a/crates/decide/tests/admission/session/read.rs
+++ b/crates/decide/tests/admission/session/read.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use mulberryyoke_decide::admission::Ending;
-use mulberryyoke_decide::key::Answer;
+use mulberryyoke_decide::admission::Termination;
+use mulberryyoke_decide::key::Response;
 use mulberryyoke_model::{
     Attempt, Class, CustomerId, Incarnation, Interest, KeyId, Server, State, Ticket,
 };
@@ -93,11 +93,11 @@
     }
 }
 
-pub fn ending(words: &Words) -> Ending {
+pub fn ending(words: &Words) -> Termination {
     match words.plain.get(3).copied().unwrap_or("whole") {
-        "cut" => Ending::Cut,
-        "unsent" => Ending::Unsent,
-        _ => Ending::Whole(words.named.get("answer").map(|text| Answer {
+        "cut" => Termination::Interrupted,
+        "unsent" => Termination::Unsent,
+        _ => Termination::Complete(words.named.get("answer").map(|text| Response {
             status: 200,
             headers: Vec::new(),
             body: text.as_bytes().to_vec(),
--- a/crates/decide/tests/admission/table.rs
+++ b/crates/decide/tests/admission/table.rs
@@ -2,8 +2,8 @@
 
 use googletest::prelude::*;
 use mulberryyoke_decide::account::{CHARGE_LEAD, Charge, CostCorrection};
-use mulberryyoke_decide::admission::{Admission, Setup, Sharing};
-use mulberryyoke_decide::key::{Answer, Mark, Memory, Past, Seen};
+use mulberryyoke_decide::admission::{Admission, Scheduling, Setup};
+use mulberryyoke_decide::key::{KeyState, PriorRecord, Response, SavedState, Store};
 use mulberryyoke_model::{CustomerId, Incarnation, Interest, KeyId, Kind, PoolId, ServerId};
 
 #[gtest]
@@ -42,34 +42,45 @@
 fn what_is_known_of_a_key_by_what_the_earlier_life_left() {
     let router = Incarnation(7);
     let key = KeyId(1);
-    let closed = Past::Closed(vec![(key, Mark::Ran), (KeyId(2), Mark::Barred)]);
+    let closed = PriorRecord::Closed(vec![
+        (key, SavedState::Completed),
+        (KeyId(2), SavedState::Withdrawn),
+    ]);
     // What was left, whether the router has told, what is known of the key.
     let cases = [
-        (None, false, Seen::Doubtful),
-        (Some(Past::None), false, Seen::Unknown),
-        (Some(closed), false, Seen::Ran(None)),
-        (Some(Past::Open(vec![])), false, Seen::Unknown),
-        (Some(Past::Open(vec![router])), false, Seen::Doubtful),
-        (Some(Past::Open(vec![router])), true, Seen::Unknown),
+        (None, false, KeyState::Indeterminate),
+        (Some(PriorRecord::Absent), false, KeyState::Unknown),
+        (Some(closed), false, KeyState::Completed(None)),
+        (Some(PriorRecord::Open(vec![])), false, KeyState::Unknown),
         (
-            Some(Past::Open(vec![router, Incarnation(8)])),
+            Some(PriorRecord::Open(vec![router])),
+            false,
+            KeyState::Indeterminate,
+        ),
+        (
+            Some(PriorRecord::Open(vec![router])),
+            true,
+            KeyState::Unknown,
+        ),
+        (
+            Some(PriorRecord::Open(vec![router, Incarnation(8)])),
             true,
-            Seen::Doubtful,
+            KeyState::Indeterminate,
         ),
-        (Some(Past::Unreadable), true, Seen::Doubtful),
+        (Some(PriorRecord::Unreadable), true, KeyState::Indeterminate),
     ];
     for (past, told, seen) in cases {
-        let mut memory = Memory::open(1_000, 0);
+        let mut memory = Store::new(1_000, 0);
         if let Some(past) = &past {
-            memory.read(past, 1);
+            memory.restore(past, 1);
         }
         if told {
-            memory.recall(router, true, &[KeyId(3)], 2);
+            memory.add_sent_keys(router, true, &[KeyId(3)], 2);
         }
-        expect_that!(memory.seen(key, 3), eq(&seen), "{past:?} {told}");
+        expect_that!(memory.state(key, 3), eq(&seen), "{past:?} {told}");
         expect_that!(
-            memory.seen(KeyId(9), 1_002),
-            eq(&Seen::Unknown),
+            memory.state(KeyId(9), 1_002),
+            eq(&KeyState::Unknown),
             "{past:?} {told}"
         );
     }
@@ -77,52 +88,56 @@
 
 #[gtest]
 fn router_that_cannot_tell_all_leaves_doubt() {
-    let mut memory = Memory::open(1_000, 0);
-    memory.recall(Incarnation(7), false, &[], 1);
-    memory.read(&Past::Open(vec![Incarnation(7)]), 2);
-    expect_that!(memory.seen(KeyId(1), 3), eq(&Seen::Doubtful));
-    expect_that!(memory.marks(3), none());
+    let mut memory = Store::new(1_000, 0);
+    memory.add_sent_keys(Incarnation(7), false, &[], 1);
+    memory.restore(&PriorRecord::Open(vec![Incarnation(7)]), 2);
+    expect_that!(memory.state(KeyId(1), 3), eq(&KeyState::Indeterminate));
+    expect_that!(memory.saved_states(3), none());
 }
 
 #[gtest]
 fn memory_of_keys_is_bounded() {
-    let mut memory = Memory::open(1_000, 0);
-    memory.read(&Past::None, 0);
+    let mut memory = Store::new(1_000, 0);
+    memory.restore(&PriorRecord::Absent, 0);
     let mut count = 0;
-    while memory.room_at(5).is_none() {
+    while memory.full_until(5).is_none() {
         count += 1;
-        memory.note(KeyId(count), Seen::Cut, 5);
+        memory.record(KeyId(count), KeyState::Interrupted, 5);
     }
     expect_that!(count, eq(65_536));
-    expect_that!(memory.room_at(5), some(eq(1_005)));
-    expect_that!(memory.room_at(1_005), none());
+    expect_that!(memory.full_until(5), some(eq(1_005)));
+    expect_that!(memory.full_until(1_005), none());
 }
 
 #[gtest]
 fn memory_of_answers_is_bounded() {
-    let mut memory = Memory::open(1_000, 0);
-    memory.read(&Past::None, 0);
-    let answer = Answer {
+    let mut memory = Store::new(1_000, 0);
+    memory.restore(&PriorRecord::Absent, 0);
+    let answer = Response {
         body: vec![0; 60_000],
-        ..Answer::default()
+        ..Response::default()
     };
     for key in 0..1_000 {
-        memory.note(KeyId(key), Seen::Ran(Some(answer.clone().into())), 5);
+        memory.record(
+            KeyId(key),
+            KeyState::Completed(Some(answer.clone().into())),
+            5,
+        );
     }
-    let kept = (0..1_000).filter(|key| memory.seen(KeyId(*key), 6) != Seen::Ran(None));
+    let kept = (0..1_000).filter(|key| memory.state(KeyId(*key), 6) != KeyState::Completed(None));
     expect_that!(kept.count(), all![gt(200), lt(300)]);
 }
 
 #[gtest]
 fn without_order_all_that_waits_starts_at_once() {
-    let mut admission = Admission::open(Setup {
+    let mut admission = Admission::new(Setup {
         server: ServerId(1),
         pool: PoolId(1),
         kind: Kind::Service,
         incarnation: Incarnation(1),
         started_at: 0,
         slots: 1,
-        sharing: Sharing::Open,
+        scheduling: Scheduling::Immediate,
         retention_ms: 1_000,
     });
     let link = admission.connect();
@@ -133,5 +148,5 @@
         since: 0,
     };
     admission.declare(link, true, &[interest], 1);
-    expect_that!(admission.answer(link, 1).0.len(), eq(5));
+    expect_that!(admission.poll_response(link, 1).0.len(), eq(5));
 }
--- a/crates/decide/tests/admission/world/mod.rs
+++ b/crates/decide/tests/admission/world/mod.rs
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use mulberryyoke_decide::admission::{Admission, LinkKey, Setup, Sharing};
+use mulberryyoke_decide::admission::{Admission, LinkKey, Scheduling, Setup};
 use mulberryyoke_model::{
     Attempt, CustomerId, Grant, Incarnation, Interest, Kind, Millis, PoolId, ServerId,
 };
@@ -146,10 +146,10 @@
             incarnation,
             started_at: self.now,
             slots: self.shape.slots,
-            sharing: Sharing::Fair,
+            scheduling: Scheduling::Fair,
             retention_ms: 600_000,
         };
-        let mut admission = Admission::open(setup);
+        let mut admission = Admission::new(setup);
         admission.configure(&config(self.shape), POOL, self.now);
         Node {
             admission,
@@ -172,7 +172,7 @@
         let node = &mut self.nodes[server];
         let link = node.admission.connect();
         let origin = self.routers[router].incarnation;
-        node.admission.introduce(link, origin, self.now);
+        node.admission.identify_router(link, origin, self.now);
         node.links.insert(router, link);
         node.counted.insert(router, 0);
         node.admission.declare(link, true, &interest, self.now);
@@ -246,10 +246,10 @@
     /// Hands grants to the routers, which answer a hop later.
     fn flush(&mut self, server: usize) {
         let node = &mut self.nodes[server];
-        node.admission.take_woken();
+        node.admission.take_ready_links();
         let links: Vec<(usize, LinkKey)> = node.links.iter().map(|(r, l)| (*r, *l)).collect();
         for (router, link) in links {
-            let (grants, report) = self.nodes[server].admission.answer(link, self.now);
+            let (grants, report) = self.nodes[server].admission.poll_response(link, self.now);
             if let Some(report) = report {
                 let incarnation = self.nodes[server].incarnation;
                 self.collect(router, incarnation, &report);
@@ -281,7 +281,7 @@
         let busy = self
             .nodes
             .iter()
-            .map(|node| node.admission.running() as u64);
+            .map(|node| node.admission.running_count() as u64);
         let slots = self.shape.servers as u64 * u64::from(self.shape.slots);
         (busy.sum(), slots)
     }
--- a/crates/decide/tests/admission/world/request.rs
+++ b/crates/decide/tests/admission/world/request.rs
@@ -1,6 +1,6 @@
 //! Requests of a run.
 
-use mulberryyoke_decide::admission::{Arrival, Ending};
+use mulberryyoke_decide::admission::{Decision, Termination};
 use mulberryyoke_model::{Attempt, Class, Ticket};
 use rand::RngExt;
 
@@ -39,7 +39,7 @@
         };
         let node = &mut self.nodes[server];
         node.admission.declare(link, false, &[interest], self.now);
-        if node.admission.arrive(&ticket, self.now) == Arrival::Started {
+        if node.admission.admit(&ticket, self.now) == Decision::Started {
             node.left.insert(attempt, (customer, u64::from(cost)));
             self.started += 1;
             self.at(METER, Event::Progress { server, attempt });
@@ -74,7 +74,8 @@
             return self.at(METER, Event::Progress { server, attempt });
         }
         node.left.remove(&attempt);
-        node.admission.end(attempt, Ending::Whole(None), self.now);
+        node.admission
+            .end(attempt, Termination::Complete(None), self.now);
         self.flush(server);
     }
 }
