--- a/crates/decide/src/key.rs
+++ b/crates/decide/src/key.rs
@@ -1,10 +1,10 @@
-//! Idempotency keys at their home: what this life of the sidecar has seen, and
-//! what an earlier life may have.
+//! Idempotency keys at the server responsible for them: the keys that this
+//! sidecar has handled, and those that an earlier incarnation may have started.
 //!
-//! A key runs once because its memory is in the process that starts it. What an
-//! earlier life started is known from the record that it left in the key-value
-//! service at a planned stop, or else from the routers that sent it keys:
-//! [`Recovery`] keeps count. `docs/design/outcomes.md` has the cases.
+//! Each key runs at most once because its state is kept in the process that
+//! starts the request. After a restart, [`Recovery`] collects the keys started
+//! earlier: from the record that a planned stop leaves in the key-value service,
+//! or else from the routers that sent them. See `docs/design/outcomes.md`.
 
 mod recovery;
 mod response;
--- a/crates/decide/src/key/recovery.rs
+++ b/crates/decide/src/key/recovery.rs
@@ -1,4 +1,4 @@
-//! Whether an earlier life may have started keys that this one has not seen.
+//! Recovery of the keys that an earlier incarnation may have started.
 
 use std::collections::BTreeSet;
 
@@ -6,125 +6,127 @@
 
 use super::SavedState;
 
-/// Keys told by routers that are kept until the earlier life's record is read.
-const MAX_TOLD: usize = 65_536;
+/// Maximum number of reported keys held until the prior record is loaded.
+const MAX_REPORTED_KEYS: usize = 65_536;
 
-/// What the record of an earlier life tells.
+/// Record left by an earlier incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PriorRecord {
-    /// There was no earlier life.
+    /// There is no record: this is the first incarnation.
     Absent,
-    /// It stopped as planned and left its keys.
+    /// A planned stop left the state of every key.
     Closed(Vec<(KeyId, SavedState)>),
-    /// It ended without a word; these routers may have sent it keys.
+    /// The process ended without a planned stop; these routers may have sent it keys.
     Open(Vec<Incarnation>),
-    /// The record cannot be read.
+    /// The record cannot be parsed.
     Unreadable,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum State {
-    /// The earlier life's record is not read yet.
-    Unread,
-    /// These routers have not told yet which keys they sent.
-    Missing(BTreeSet<Incarnation>),
-    /// Nobody can tell.
-    Lasting,
-    /// Every key that an earlier life may have started is known.
-    Clear,
+enum Phase {
+    /// The prior record is not loaded yet.
+    AwaitingRecord,
+    /// These routers have not reported yet which keys they sent.
+    AwaitingReports(BTreeSet<Incarnation>),
+    /// The routers to ask are unknown; only the retention time ends the recovery.
+    Unrecoverable,
+    /// Every key that an earlier incarnation may have started is known.
+    Complete,
 }
 
-/// Whether an earlier life may have started keys that this one has not seen.
-/// After the retention time it no longer matters.
+/// Collects the keys that earlier incarnations may have started. Pending until
+/// all are known or the retention time has passed.
 #[derive(Clone, Debug)]
 pub struct Recovery {
-    state: State,
+    phase: Phase,
     until: Millis,
-    /// Routers that told all keys they sent to earlier lives.
-    told: BTreeSet<Incarnation>,
-    /// Routers that told only a part.
-    partly: BTreeSet<Incarnation>,
+    /// Routers that reported all keys they had sent to earlier incarnations.
+    reported: BTreeSet<Incarnation>,
+    /// Routers whose report was incomplete.
+    incomplete: BTreeSet<Incarnation>,
+    /// Reported keys not yet returned as indeterminate.
     keys: Vec<KeyId>,
 }
 
 impl Recovery {
-    /// Recovery that lasts at most until `until`.
+    /// Starts a recovery that ends at `until` at the latest.
     #[must_use]
     pub fn new(until: Millis) -> Self {
         Self {
-            state: State::Unread,
+            phase: Phase::AwaitingRecord,
             until,
-            told: BTreeSet::new(),
-            partly: BTreeSet::new(),
+            reported: BTreeSet::new(),
+            incomplete: BTreeSet::new(),
             keys: Vec::new(),
         }
     }
 
-    /// Whether a key that this life has not seen may have been started before.
+    /// Whether a key unknown to this incarnation may have been started earlier.
     #[must_use]
     pub fn is_pending(&self, now: Millis) -> bool {
-        self.state != State::Clear && now < self.until
+        self.phase != Phase::Complete && now < self.until
     }
 
-    /// Whether a router's own key, which no other router can have sent, may have
-    /// been started before.
+    /// Whether a key that only the given router can have sent may have been started
+    /// earlier.
     #[must_use]
     pub fn is_pending_for(&self, origin: Incarnation, now: Millis) -> bool {
-        self.is_pending(now) && !self.told.contains(&origin)
+        self.is_pending(now) && !self.reported.contains(&origin)
     }
 
-    /// A router told the keys it sent to earlier lives; only its first word counts,
-    /// later ones are about this life. Returns those now known as doubtful.
+    /// Takes a router's report of the keys it sent to earlier incarnations. Only the
+    /// first report counts: later ones concern this incarnation. Returns the keys
+    /// that are now indeterminate.
     pub fn add_sent_keys(
         &mut self,
         origin: Incarnation,
         complete: bool,
         keys: &[KeyId],
     ) -> Vec<KeyId> {
-        let is_known = self.told.contains(&origin) || self.partly.contains(&origin);
-        if is_known || self.state == State::Clear {
+        let has_reported = self.reported.contains(&origin) || self.incomplete.contains(&origin);
+        if has_reported || self.phase == Phase::Complete {
             return Vec::new();
         }
-        let complete = complete && self.keys.len() + keys.len() <= MAX_TOLD;
+        let complete = complete && self.keys.len() + keys.len() <= MAX_REPORTED_KEYS;
         if complete {
-            self.told.insert(origin);
+            self.reported.insert(origin);
             self.keys.extend_from_slice(keys);
         } else {
-            self.partly.insert(origin);
+            self.incomplete.insert(origin);
         }
-        self.settle()
+        self.update_phase()
     }
 
-    /// The earlier life's record was read. Returns keys now known as doubtful.
-    pub fn load(&mut self, past: &PriorRecord) -> Vec<KeyId> {
-        self.state = match past {
-            PriorRecord::Absent | PriorRecord::Closed(_) => State::Clear,
-            PriorRecord::Open(routers) => State::Missing(routers.iter().copied().collect()),
-            PriorRecord::Unreadable => State::Lasting,
+    /// Loads the prior record. Returns the keys that are now indeterminate.
+    pub fn load(&mut self, prior: &PriorRecord) -> Vec<KeyId> {
+        self.phase = match prior {
+            PriorRecord::Absent | PriorRecord::Closed(_) => Phase::Complete,
+            PriorRecord::Open(routers) => Phase::AwaitingReports(routers.iter().copied().collect()),
+            PriorRecord::Unreadable => Phase::Unrecoverable,
         };
-        if self.state == State::Clear {
+        if self.phase == Phase::Complete {
             self.keys.clear();
         }
-        self.settle()
+        self.update_phase()
     }
 
-    fn settle(&mut self) -> Vec<KeyId> {
-        let State::Missing(missing) = &mut self.state else {
+    fn update_phase(&mut self) -> Vec<KeyId> {
+        let Phase::AwaitingReports(missing) = &mut self.phase else {
             return Vec::new();
         };
-        missing.retain(|origin| !self.told.contains(origin));
+        missing.retain(|origin| !self.reported.contains(origin));
         if missing.is_empty() {
-            self.state = State::Clear;
+            self.phase = Phase::Complete;
         }
         std::mem::take(&mut self.keys)
     }
 
-    /// Routers that have not told yet.
+    /// Number of routers that have not reported yet.
     #[must_use]
     pub fn missing_reports(&self) -> usize {
-        match &self.state {
-            State::Missing(missing) => missing.len(),
-            State::Unread | State::Lasting | State::Clear => 0,
+        match &self.phase {
+            Phase::AwaitingReports(missing) => missing.len(),
+            Phase::AwaitingRecord | Phase::Unrecoverable | Phase::Complete => 0,
         }
     }
 }
--- a/crates/decide/src/key/response.rs
+++ b/crates/decide/src/key/response.rs
@@ -1,18 +1,18 @@
-//! Kept answers.
+//! Stored responses.
 
-/// A whole answer of the backend, kept for repeats of its key.
+/// A complete backend response, stored for replay to requests with the same key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Headers by name.
+    /// Header names and values.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// Memory that it takes, in bytes.
+    /// Memory footprint, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         let headers = self.headers.iter();
--- a/crates/decide/src/key/routers.rs
+++ b/crates/decide/src/key/routers.rs
@@ -1,57 +1,59 @@
-//! Routers that may send keys, as the home record names them.
+//! Routers that may send keys, as listed in the record in the key-value service.
 
 use std::collections::BTreeMap;
 
 use mulberryyoke_model::{Incarnation, Millis};
 
-/// Most routers that a record names.
+/// Maximum number of routers in a record.
 const MAX_ROUTERS: usize = 8_192;
 
-/// Routers that the home record names. Only they may have keys started here, so
-/// that the next life knows whom to ask.
+/// Routers listed in the record. Only their keys may start here, so that the
+/// next incarnation can ask every router that may have sent one.
 #[derive(Clone, Debug, Default)]
 pub struct Routers {
-    /// By when they were seen last.
-    named: BTreeMap<Incarnation, Millis>,
+    /// Time of the last activity by router.
+    last_active: BTreeMap<Incarnation, Millis>,
 }
 
 impl Routers {
-    /// Whether the record names a router.
+    /// Whether a router is listed in the record.
     #[must_use]
     pub fn contains(&self, origin: Incarnation) -> bool {
-        self.named.contains_key(&origin)
+        self.last_active.contains_key(&origin)
     }
 
-    /// The record names a router now.
+    /// Adds a router that the record now lists.
     pub fn register(&mut self, origin: Incarnation, now: Millis) {
-        self.named.insert(origin, now);
+        self.last_active.insert(origin, now);
     }
 
-    /// A named router was seen.
+    /// Updates the time of last activity of a registered router.
     pub fn touch(&mut self, origin: Incarnation, now: Millis) {
-        if let Some(seen) = self.named.get_mut(&origin) {
-            *seen = now;
+        if let Some(last_active) = self.last_active.get_mut(&origin) {
+            *last_active = now;
         }
     }
 
-    /// Forgets routers not seen since an instant; they have to be named again.
+    /// Removes routers without activity since the given time; they have to register
+    /// again.
     pub fn expire(&mut self, since: Millis) {
-        self.named.retain(|_, seen| *seen >= since);
+        self.last_active
+            .retain(|_, last_active| *last_active >= since);
     }
 
-    /// Forgets all: another life has taken over the record.
+    /// Removes all routers.
     pub fn clear(&mut self) {
-        self.named.clear();
+        self.last_active.clear();
     }
 
-    /// Whether another router can be named.
+    /// Whether another router can be registered.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.named.len() < MAX_ROUTERS
+        self.last_active.len() < MAX_ROUTERS
     }
 
-    /// The routers named.
+    /// Registered routers.
     pub fn iter(&self) -> impl Iterator<Item = Incarnation> {
-        self.named.keys().copied()
+        self.last_active.keys().copied()
     }
 }
--- a/crates/decide/src/key/saved_state.rs
+++ b/crates/decide/src/key/saved_state.rs
@@ -1,14 +1,14 @@
-//! What is handed from one life to the next about a key.
+//! Key states handed over to the next incarnation.
 
-/// What is handed from one life to the next about a key.
+/// State of a key in the record left for the next incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SavedState {
-    /// It ran.
+    /// The request completed.
     Completed,
-    /// It started and was cut off.
+    /// The request started and was interrupted.
     Interrupted,
-    /// It never runs here.
+    /// The key was withdrawn and must not run on this server.
     Withdrawn,
-    /// It may have run.
+    /// The request may have run.
     Indeterminate,
 }
--- a/crates/decide/src/key/store.rs
+++ b/crates/decide/src/key/store.rs
@@ -1,4 +1,4 @@
-//! Keys that this life has seen.
+//! State of idempotency keys.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -7,31 +7,31 @@
 
 use super::{PriorRecord, Recovery, Response, SavedState};
 
-/// Most keys remembered.
+/// Maximum number of keys stored.
 const MAX_KEYS: usize = 65_536;
 
-/// Most memory for kept answers, in bytes.
-const MAX_ANSWERS: usize = 16 << 20;
+/// Maximum memory for stored responses, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// What is known of a key.
+/// State of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyState {
-    /// Nothing: it may run.
+    /// Never seen: the request may run.
     Unknown,
-    /// It may have run in an earlier life.
+    /// The request may have run in an earlier incarnation.
     Indeterminate,
-    /// Withdrawn: it never runs here.
+    /// Withdrawn: the request must not run here.
     Withdrawn,
-    /// Runs now.
+    /// The request is running.
     Running,
-    /// Ran; with the answer if kept.
+    /// The request completed; holds the response if it is stored.
     Completed(Option<Arc<Response>>),
-    /// Started and cut off.
+    /// The request started and was interrupted.
     Interrupted,
 }
 
 impl KeyState {
-    fn mark(&self) -> SavedState {
+    fn to_saved(&self) -> SavedState {
         match self {
             Self::Completed(_) => SavedState::Completed,
             Self::Interrupted => SavedState::Interrupted,
@@ -43,82 +43,84 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    seen: KeyState,
-    until: Millis,
+    state: KeyState,
+    expires_at: Millis,
 }
 
-/// Keys that this life has seen, each for the retention time after its last
-/// change; a running one for as long as it runs.
+/// Idempotency keys, each stored for the retention time after its last change; a
+/// running one for as long as it runs.
 #[derive(Clone, Debug)]
 pub struct Store {
     entries: HashMap<KeyId, Entry>,
-    /// Keys by when they may be forgotten; stale pairs are skipped.
+    /// Keys in order of expiry; outdated pairs are skipped.
     expiry: VecDeque<(Millis, KeyId)>,
-    answers: usize,
+    /// Memory used by stored responses.
+    response_bytes: usize,
     retention_ms: Millis,
-    doubt: Recovery,
+    recovery: Recovery,
 }
 
 impl Store {
-    /// The empty memory of a life that began at an instant.
+    /// An empty store of an incarnation that began at `started_at`.
     #[must_use]
     pub fn new(retention_ms: Millis, started_at: Millis) -> Self {
         Self {
             entries: HashMap::new(),
             expiry: VecDeque::new(),
-            answers: 0,
+            response_bytes: 0,
             retention_ms,
-            doubt: Recovery::new(started_at + retention_ms),
+            recovery: Recovery::new(started_at + retention_ms),
         }
     }
 
-    /// What is known of a key.
+    /// State of a key.
     pub fn state(&mut self, key: KeyId, now: Millis) -> KeyState {
         self.expire(now);
         match self.entries.get(&key) {
-            Some(entry) => entry.seen.clone(),
+            Some(entry) => entry.state.clone(),
             None if self.is_recovering(now) => KeyState::Indeterminate,
             None => KeyState::Unknown,
         }
     }
 
-    /// Whether this life has seen a key or was told of it.
+    /// Whether a key is stored: handled here, restored or reported by a router.
     #[must_use]
     pub fn contains(&self, key: KeyId) -> bool {
         self.entries.contains_key(&key)
     }
 
-    /// Whether keys that this life has not seen may have run in an earlier one.
+    /// Whether a key that is not stored may have run in an earlier incarnation.
     #[must_use]
     pub fn is_recovering(&self, now: Millis) -> bool {
-        self.doubt.is_pending(now)
+        self.recovery.is_pending(now)
     }
 
-    /// Whether a router's own key, which no other router can have sent, may have
-    /// been started in an earlier life.
+    /// Whether a key that only the given router can have sent may have been started
+    /// in an earlier incarnation.
     #[must_use]
     pub fn is_recovering_for(&self, origin: Incarnation, now: Millis) -> bool {
-        self.doubt.is_pending_for(origin, now)
+        self.recovery.is_pending_for(origin, now)
     }
 
-    /// Routers that have not told yet which keys they sent to earlier lives.
+    /// Number of routers that have not reported yet which keys they sent to earlier
+    /// incarnations.
     #[must_use]
     pub fn missing_reports(&self) -> usize {
-        self.doubt.missing_reports()
+        self.recovery.missing_reports()
     }
 
-    /// The earlier life's record was read.
-    pub fn restore(&mut self, past: &PriorRecord, now: Millis) {
-        if let PriorRecord::Closed(marks) = past {
-            for (key, mark) in marks {
-                self.take_over(*key, *mark, now);
+    /// Restores key states from the prior record.
+    pub fn restore(&mut self, prior: &PriorRecord, now: Millis) {
+        if let PriorRecord::Closed(states) = prior {
+            for (key, saved) in states {
+                self.restore_key(*key, *saved, now);
             }
         }
-        let doubtful = self.doubt.load(past);
-        self.suspect(&doubtful, now);
+        let indeterminate = self.recovery.load(prior);
+        self.add_indeterminate(&indeterminate, now);
     }
 
-    /// A router told the keys that it sent to earlier lives.
+    /// Takes a router's report of the keys it sent to earlier incarnations.
     pub fn add_sent_keys(
         &mut self,
         origin: Incarnation,
@@ -128,98 +130,103 @@
     ) {
         let room = MAX_KEYS.saturating_sub(self.entries.len());
         let complete = complete && keys.len() <= room;
-        let doubtful = self.doubt.add_sent_keys(origin, complete, keys);
-        self.suspect(&doubtful, now);
+        let indeterminate = self.recovery.add_sent_keys(origin, complete, keys);
+        self.add_indeterminate(&indeterminate, now);
     }
 
-    fn suspect(&mut self, keys: &[KeyId], now: Millis) {
+    fn add_indeterminate(&mut self, keys: &[KeyId], now: Millis) {
         for key in keys {
-            self.take_over(*key, SavedState::Indeterminate, now);
+            self.restore_key(*key, SavedState::Indeterminate, now);
         }
     }
 
-    fn take_over(&mut self, key: KeyId, mark: SavedState, now: Millis) {
-        let seen = match mark {
+    fn restore_key(&mut self, key: KeyId, saved: SavedState, now: Millis) {
+        let state = match saved {
             SavedState::Completed => KeyState::Completed(None),
             SavedState::Interrupted => KeyState::Interrupted,
             SavedState::Withdrawn => KeyState::Withdrawn,
             SavedState::Indeterminate => KeyState::Indeterminate,
         };
         if !self.entries.contains_key(&key) {
-            self.record(key, seen, now);
+            self.record(key, state, now);
         }
     }
 
-    /// What the next life has to know; `None` while it is not all known here.
+    /// Key states for the next incarnation; `None` during recovery, while they are
+    /// incomplete.
     #[must_use]
     pub fn saved_states(&self, now: Millis) -> Option<Vec<(KeyId, SavedState)>> {
         if self.is_recovering(now) {
             return None;
         }
-        let live = self.entries.iter().filter(|(_, entry)| entry.until > now);
-        let marks = live.map(|(key, entry)| (*key, entry.seen.mark()));
-        Some(marks.collect())
+        let live = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.expires_at > now);
+        let states = live.map(|(key, entry)| (*key, entry.state.to_saved()));
+        Some(states.collect())
     }
 
-    /// When there is room for another key: `None` for now.
+    /// When there may be room for another key; `None` if there is room now.
     pub fn full_until(&mut self, now: Millis) -> Option<Millis> {
         self.expire(now);
         if self.entries.len() < MAX_KEYS {
             return None;
         }
-        let next = self.expiry.front().map(|(until, _)| *until);
+        let next = self.expiry.front().map(|(expires_at, _)| *expires_at);
         Some(next.unwrap_or(now + self.retention_ms))
     }
 
-    /// Notes what became of a key.
-    pub fn record(&mut self, key: KeyId, seen: KeyState, now: Millis) {
-        let seen = self.bounded(seen);
-        let until = match seen {
+    /// Records the state of a key.
+    pub fn record(&mut self, key: KeyId, state: KeyState, now: Millis) {
+        let state = self.limit_response(state);
+        let expires_at = match state {
             KeyState::Running => Millis::MAX,
             _ => now + self.retention_ms,
         };
-        if until < Millis::MAX {
-            self.expiry.push_back((until, key));
+        if expires_at < Millis::MAX {
+            self.expiry.push_back((expires_at, key));
         }
-        let entry = Entry { seen, until };
+        let entry = Entry { state, expires_at };
         if let Some(old) = self.entries.insert(key, entry) {
-            self.answers -= size(&old.seen);
+            self.response_bytes -= response_size(&old.state);
         }
     }
 
-    /// Forgets a key whose request never reached the backend.
+    /// Removes a key whose request never reached the backend.
     pub fn remove(&mut self, key: KeyId) {
         if let Some(old) = self.entries.remove(&key) {
-            self.answers -= size(&old.seen);
+            self.response_bytes -= response_size(&old.state);
         }
     }
 
-    fn bounded(&mut self, seen: KeyState) -> KeyState {
-        let size = size(&seen);
-        if self.answers + size > MAX_ANSWERS {
+    /// Drops the response if the memory limit is reached.
+    fn limit_response(&mut self, state: KeyState) -> KeyState {
+        let size = response_size(&state);
+        if self.response_bytes + size > MAX_RESPONSE_BYTES {
             return KeyState::Completed(None);
         }
-        self.answers += size;
-        seen
+        self.response_bytes += size;
+        state
     }
 
     fn expire(&mut self, now: Millis) {
-        while let Some((until, key)) = self.expiry.front().copied() {
-            if until > now {
+        while let Some((expires_at, key)) = self.expiry.front().copied() {
+            if expires_at > now {
                 return;
             }
             self.expiry.pop_front();
             let entry = self.entries.get(&key);
-            let is_due = entry.is_some_and(|entry| {
-                entry.until <= now && !matches!(entry.seen, KeyState::Running)
+            let is_expired = entry.is_some_and(|entry| {
+                entry.expires_at <= now && !matches!(entry.state, KeyState::Running)
             });
-            if is_due {
+            if is_expired {
                 self.remove(key);
             }
         }
     }
 
-    /// What became of a key.
+    /// Outcome of the request with a key.
     pub fn outcome(&mut self, key: KeyId, now: Millis) -> Outcome {
         match self.state(key, now) {
             KeyState::Unknown | KeyState::Indeterminate => Outcome::Unknown,
@@ -231,9 +238,9 @@
     }
 }
 
-fn size(seen: &KeyState) -> usize {
-    match seen {
-        KeyState::Completed(Some(answer)) => answer.size(),
+fn response_size(state: &KeyState) -> usize {
+    match state {
+        KeyState::Completed(Some(response)) => response.size(),
         _ => 0,
     }
 }
