--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -1,7 +1,8 @@
-//! Which waiting request a server runs next, and the truth about each attempt.
+//! Admission control of one sidecar: which waiting request the server runs next,
+//! and the outcome of each attempt.
 //!
-//! [`Admission`] is the state of one sidecar. The role keeps it under one lock,
-//! so a start and a withdrawal exclude each other.
+//! [`Admission`] has to be guarded by a single lock, so that starting and
+//! withdrawing an attempt are mutually exclusive.
 
 mod admit;
 mod attempts;
@@ -33,8 +34,8 @@
 use grants::Reservation;
 use running::Running;
 
-/// The state of one sidecar: what waits at the routers linked to it, what is
-/// reserved, what runs, and what became of each attempt.
+/// Admission state of one sidecar: requests waiting at the linked routers,
+/// reserved slots, running requests and the outcome of each attempt.
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub(crate) setup: Setup,
@@ -43,7 +44,7 @@
     pub(crate) reporter: Reporter,
     pub(crate) links: SlotMap<LinkKey, Link>,
     pub(crate) collector: Option<LinkKey>,
-    /// By identity, so by the instant at which they lapse.
+    /// By grant number, hence in order of expiry.
     pub(crate) reservations: BTreeMap<u64, Reservation>,
     pub(crate) next_grant: u64,
     pub(crate) running: HashMap<Attempt, Running>,
@@ -51,16 +52,17 @@
     pub(crate) keys: Store,
     pub(crate) routers: Routers,
     pub(crate) stopping: bool,
-    pub(crate) leaving: bool,
-    /// Whether the backend cannot be reached.
-    pub(crate) down: bool,
+    /// Whether the configuration has the server draining or removed.
+    pub(crate) draining: bool,
+    /// Whether the backend is unreachable.
+    pub(crate) backend_down: bool,
     pub(crate) revision: Revision,
-    /// Links whose poll may have something to tell.
-    pub(crate) woken: Vec<LinkKey>,
+    /// Links whose poll may be due.
+    pub(crate) ready_links: Vec<LinkKey>,
 }
 
 impl Admission {
-    /// A sidecar without links, at the start of its life.
+    /// Admission state of a sidecar that has just started, without links.
     #[must_use]
     pub fn new(setup: Setup) -> Self {
         Self {
@@ -77,35 +79,35 @@
             keys: Store::new(setup.retention_ms, setup.started_at),
             routers: Routers::default(),
             stopping: false,
-            leaving: false,
-            down: false,
+            draining: false,
+            backend_down: false,
             revision: 0,
-            woken: Vec::new(),
+            ready_links: Vec::new(),
         }
     }
 
-    /// Accounts of the customers.
+    /// Customer accounts.
     #[must_use]
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Requests that run now.
+    /// Number of running requests.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Slots reserved now.
+    /// Number of reserved slots.
     #[must_use]
     pub fn reserved_count(&self) -> usize {
         self.reservations.len()
     }
 
-    /// Slots neither running nor reserved; none while the backend is down.
+    /// Number of slots neither in use nor reserved; zero while the backend is down.
     #[must_use]
     pub fn free_slots(&self) -> u32 {
-        if self.down {
+        if self.backend_down {
             return 0;
         }
         let used = self.running.len() + self.reservations.len();
@@ -113,13 +115,13 @@
             .saturating_sub(u32::try_from(used).unwrap_or(u32::MAX))
     }
 
-    /// Whether new work is refused.
+    /// Whether new requests are refused.
     #[must_use]
     pub fn is_draining(&self) -> bool {
-        self.stopping || self.leaving
+        self.stopping || self.draining
     }
 
-    /// The server's load and standing.
+    /// Current load and drain state, as sent to routers.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -133,33 +135,32 @@
         }
     }
 
-    /// Links whose poll may have something to tell since the last call.
+    /// Takes the links whose poll may have become due since the last call.
     pub fn take_ready_links(&mut self) -> Vec<LinkKey> {
-        std::mem::take(&mut self.woken)
+        std::mem::take(&mut self.ready_links)
     }
 
-    /// Refuses new work from now on: a planned stop.
+    /// Refuses new requests from now on, for a planned stop.
     pub fn stop(&mut self) {
         self.stopping = true;
-        self.take_back_untold();
-        self.woken.extend(self.links.keys());
+        self.revoke_unsent_grants();
+        self.ready_links.extend(self.links.keys());
     }
 
-    /// Notes whether the backend can be reached. Nothing is started while it
-    /// cannot.
-    pub fn set_backend_down(&mut self, down: bool, now: Millis) {
-        self.down = down;
-        self.expire(now);
-        self.fill(now);
+    /// Sets whether the backend is unreachable. No slot is granted while it is.
+    pub fn set_backend_down(&mut self, is_down: bool, now: Millis) {
+        self.backend_down = is_down;
+        self.expire_grants(now);
+        self.grant_free_slots(now);
     }
 
-    /// Whether the backend cannot be reached.
+    /// Whether the backend is unreachable.
     #[must_use]
     pub fn is_backend_down(&self) -> bool {
-        self.down
+        self.backend_down
     }
 
-    /// What became of an attempt or its key.
+    /// Outcome of an attempt, or of its key if the attempt is unknown.
     pub fn outcome(
         &mut self,
         attempt: Attempt,
--- a/crates/decide/src/admission/admit.rs
+++ b/crates/decide/src/admission/admit.rs
@@ -1,4 +1,4 @@
-//! Requests arriving, streaming and ending.
+//! Admission, metering and completion of requests.
 
 use mulberryyoke_model::{Attempt, Incarnation, KeyId, Kind, Millis, Outcome, Ticket};
 
@@ -7,42 +7,42 @@
 use crate::account::{AccountKey, Charge};
 use crate::key::KeyState;
 
-/// When to come back if the home record does not name the router yet, in
-/// milliseconds.
-const NAME_RETRY: Millis = 1_000;
+/// Retry delay while the record in the key-value service does not list the
+/// router, in milliseconds.
+const REGISTRATION_RETRY_MS: Millis = 1_000;
 
 impl Admission {
-    /// A request arrived. Unless the answer is [`Decision::Started`] it never runs
-    /// here under this attempt.
+    /// Decides on an arriving request. Unless the result is [`Decision::Started`],
+    /// this arrival does not run the request.
     pub fn admit(&mut self, ticket: &Ticket, now: Millis) -> Decision {
-        self.expire(now);
-        let arrival = self.decide(ticket, now);
-        if arrival == Decision::Started {
+        self.expire_grants(now);
+        let decision = self.decide(ticket, now);
+        if decision == Decision::Started {
             self.start(ticket, now);
-        } else if let Some(grant) = self.own_grant(ticket) {
+        } else if let Some(grant) = self.valid_grant(ticket) {
             self.release(grant);
         }
-        self.fill(now);
-        arrival
+        self.grant_free_slots(now);
+        decision
     }
 
     fn decide(&mut self, ticket: &Ticket, now: Millis) -> Decision {
-        if let Some(arrival) = self.refuse_attempt(ticket, now) {
-            return arrival;
+        if let Some(decision) = self.check_attempt(ticket, now) {
+            return decision;
         }
-        if let Some(arrival) = self.recall_key(ticket, now) {
-            return arrival;
+        if let Some(decision) = self.check_key(ticket, now) {
+            return decision;
         }
         if self.is_draining() {
             return Decision::Draining;
         }
-        if self.own_grant(ticket).is_none() && !self.may_start() {
+        if self.valid_grant(ticket).is_none() && !self.can_start() {
             return Decision::Busy;
         }
         Decision::Started
     }
 
-    fn refuse_attempt(&self, ticket: &Ticket, now: Millis) -> Option<Decision> {
+    fn check_attempt(&self, ticket: &Ticket, now: Millis) -> Option<Decision> {
         match self.attempts.record(ticket.attempt) {
             Some(Outcome::Running) => Some(Decision::Running),
             Some(Outcome::Ran) => Some(Decision::Completed),
@@ -53,27 +53,27 @@
         }
     }
 
-    fn recall_key(&mut self, ticket: &Ticket, now: Millis) -> Option<Decision> {
+    fn check_key(&mut self, ticket: &Ticket, now: Millis) -> Option<Decision> {
         let key = ticket.key?;
         let origin = ticket.attempt.origin;
         self.routers.touch(origin, now);
         match self.keys.state(key, now) {
-            KeyState::Unknown => self.refuse_key(origin, now),
-            KeyState::Indeterminate if self.is_proved_new(ticket, now) => {
-                self.refuse_key(origin, now)
+            KeyState::Unknown => self.check_new_key(origin, now),
+            KeyState::Indeterminate if self.is_provably_new(ticket, now) => {
+                self.check_new_key(origin, now)
             }
             KeyState::Indeterminate => Some(Decision::Indeterminate),
             KeyState::Withdrawn => Some(Decision::Withdrawn),
             KeyState::Running => Some(Decision::Running),
-            KeyState::Completed(Some(answer)) => Some(Decision::Replay(answer)),
+            KeyState::Completed(Some(response)) => Some(Decision::Replay(response)),
             KeyState::Completed(None) => Some(Decision::Completed),
             KeyState::Interrupted => Some(Decision::Interrupted),
         }
     }
 
-    /// Whether a key that an earlier life may have seen is surely new: its router
-    /// made it for this one request and has told all keys that it sent before.
-    fn is_proved_new(&self, ticket: &Ticket, now: Millis) -> bool {
+    /// Whether a key cannot have run in an earlier incarnation: its router generated
+    /// it for this request and has reported all keys sent earlier.
+    fn is_provably_new(&self, ticket: &Ticket, now: Millis) -> bool {
         let own = KeyId::of(ticket.customer, &ticket.attempt.request_id());
         let origin = ticket.attempt.origin;
         ticket.key == Some(own)
@@ -81,26 +81,26 @@
             && !self.keys.is_recovering_for(origin, now)
     }
 
-    /// Refuses a new key that could not be remembered, by this life or the next.
-    fn refuse_key(&mut self, origin: Incarnation, now: Millis) -> Option<Decision> {
+    /// Refuses a new key that this incarnation or the next could not store.
+    fn check_new_key(&mut self, origin: Incarnation, now: Millis) -> Option<Decision> {
         if !self.routers.contains(origin) {
-            return Some(Decision::RetryAt(now + NAME_RETRY));
+            return Some(Decision::RetryAt(now + REGISTRATION_RETRY_MS));
         }
         self.keys.full_until(now).map(Decision::RetryAt)
     }
 
-    /// The reserved slot that a ticket may use.
-    fn own_grant(&self, ticket: &Ticket) -> Option<u64> {
+    /// The grant of a ticket, if it is reserved for its router and customer.
+    fn valid_grant(&self, ticket: &Ticket) -> Option<u64> {
         let grant = ticket.grant?;
         let reservation = self.reservations.get(&grant)?;
         let link = self.links.get(reservation.link)?;
         let customer = self.ledger.account(reservation.account).customer;
-        let is_own = link.origin == Some(ticket.attempt.origin) && customer == ticket.customer;
-        is_own.then_some(grant)
+        let is_valid = link.origin == Some(ticket.attempt.origin) && customer == ticket.customer;
+        is_valid.then_some(grant)
     }
 
     fn start(&mut self, ticket: &Ticket, now: Millis) {
-        if let Some(grant) = self.own_grant(ticket) {
+        if let Some(grant) = self.valid_grant(ticket) {
             self.release(grant);
         }
         let account = self.ledger.get_or_open(ticket.customer);
@@ -120,7 +120,7 @@
         self.running.insert(ticket.attempt, running);
     }
 
-    /// Expected cost of a request, in tokens.
+    /// Estimated cost of a request, in tokens.
     pub(crate) fn estimate(&self, account: AccountKey, cost: u32) -> u64 {
         match self.setup.kind {
             Kind::Model => self.ledger.account(account).cost_correction.correct(cost),
@@ -128,41 +128,48 @@
         }
     }
 
-    /// Tokens of a running request streamed.
+    /// Meters tokens streamed by a running request.
     pub fn meter(&mut self, attempt: Attempt, tokens: u64) {
         let Some(running) = self.running.get_mut(&attempt) else {
             return;
         };
-        let more = running.charge.meter(tokens);
-        if more > 0 {
-            self.ledger.charge(running.account, more);
+        let excess = running.charge.meter(tokens);
+        if excess > 0 {
+            self.ledger.charge(running.account, excess);
         }
     }
 
-    /// A running request ended; its charge is settled. Returns its tokens.
-    pub fn end(&mut self, attempt: Attempt, ending: Termination, now: Millis) -> u64 {
+    /// Ends a running request and settles its charge. Returns its metered tokens.
+    pub fn end(&mut self, attempt: Attempt, termination: Termination, now: Millis) -> u64 {
         let Some(running) = self.running.remove(&attempt) else {
             return 0;
         };
         let surplus = running.charge.settle();
         let tokens = running.charge.metered();
         let is_model = self.setup.kind == Kind::Model;
-        let teaches = is_model && tokens > 0 && matches!(ending, Termination::Complete(_));
+        let updates_estimate =
+            is_model && tokens > 0 && matches!(termination, Termination::Complete(_));
         self.ledger.update(running.account, |account| {
             account.running -= 1;
             account.refund(surplus);
-            if teaches {
+            if updates_estimate {
                 account.cost_correction.observe(running.cost, tokens);
             }
         });
-        self.remember(attempt, &running, ending, now);
-        self.expire(now);
-        self.fill(now);
+        self.record_outcome(attempt, &running, termination, now);
+        self.expire_grants(now);
+        self.grant_free_slots(now);
         tokens
     }
 
-    fn remember(&mut self, attempt: Attempt, running: &Running, ending: Termination, now: Millis) {
-        let outcome = match ending {
+    fn record_outcome(
+        &mut self,
+        attempt: Attempt,
+        running: &Running,
+        termination: Termination,
+        now: Millis,
+    ) {
+        let outcome = match termination {
             Termination::Complete(_) => Outcome::Ran,
             Termination::Interrupted => Outcome::Cut,
             Termination::Unsent => Outcome::NotRun,
@@ -172,10 +179,10 @@
             return;
         };
         self.routers.touch(attempt.origin, now);
-        match ending {
-            Termination::Complete(answer) => {
+        match termination {
+            Termination::Complete(response) => {
                 self.keys
-                    .record(key, KeyState::Completed(answer.map(Into::into)), now);
+                    .record(key, KeyState::Completed(response.map(Into::into)), now);
             }
             Termination::Interrupted => self.keys.record(key, KeyState::Interrupted, now),
             Termination::Unsent => self.keys.remove(key),
--- a/crates/decide/src/admission/check.rs
+++ b/crates/decide/src/admission/check.rs
@@ -3,14 +3,14 @@
 use super::Admission;
 
 impl Admission {
-    /// Asserts what must hold after every event: no free slot beside a runnable
-    /// request, no more slots used than there are, every running request known
-    /// as such, and the customer served next behind no other by more than the
-    /// lead of urgent work.
+    /// Asserts the invariants that hold after every event: no slot is free while a
+    /// request is runnable, the slots in use and reserved do not exceed the limit,
+    /// every running request has a running attempt, and the virtual service of the
+    /// next customer exceeds no other by more than the lead of urgent requests.
     ///
     /// # Panics
     ///
-    /// When an invariant is broken.
+    /// If an invariant is violated.
     pub(crate) fn check(&self) {
         if !self.is_fair() {
             return;
@@ -18,17 +18,17 @@
         let may_grant = !self.is_draining() && self.free_slots() > 0;
         assert!(
             !(may_grant && self.ledger.is_backlogged()),
-            "a slot is free beside a runnable request"
+            "a slot is free while a request is runnable"
         );
         let used = self.running.len() + self.reservations.len();
         assert!(
             used <= self.setup.slots as usize,
-            "more slots are used than there are"
+            "slots in use and reserved exceed the limit"
         );
         assert_eq!(
             self.running.len(),
             self.attempts.running(),
-            "a running request is not remembered as such"
+            "running requests and running attempts differ"
         );
         self.ledger.check_invariants();
     }
--- a/crates/decide/src/admission/configure.rs
+++ b/crates/decide/src/admission/configure.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration, as far as it concerns one sidecar.
+//! Configuration updates.
 
 use std::collections::HashMap;
 
@@ -7,8 +7,8 @@
 use super::Admission;
 
 impl Admission {
-    /// Takes over shares, the number of servers of the pool, and whether this
-    /// server takes new work.
+    /// Applies customer shares, the number of active servers in the pool, and the
+    /// slots and state of this server.
     pub fn configure(&mut self, config: &Config, pool: &str, now: Millis) {
         self.revision = config.revision;
         let shares = config.customers();
@@ -23,21 +23,21 @@
         let own = config
             .servers()
             .find(|server| ServerId::of(&server.name) == id);
-        self.apply_own(own, now);
+        self.apply_server(own, now);
     }
 
-    fn apply_own(&mut self, own: Option<&Server>, now: Millis) {
+    fn apply_server(&mut self, own: Option<&Server>, now: Millis) {
         let Some(own) = own else {
             return;
         };
         self.slots = self.setup.slots.min(own.slots);
-        let leaving = own.state != State::Active;
-        if leaving != self.leaving {
-            self.leaving = leaving;
-            self.take_back_untold();
-            self.woken.extend(self.links.keys());
+        let draining = own.state != State::Active;
+        if draining != self.draining {
+            self.draining = draining;
+            self.revoke_unsent_grants();
+            self.ready_links.extend(self.links.keys());
         }
-        self.expire(now);
-        self.fill(now);
+        self.expire_grants(now);
+        self.grant_free_slots(now);
     }
 }
--- a/crates/decide/src/admission/decision.rs
+++ b/crates/decide/src/admission/decision.rs
@@ -1,4 +1,4 @@
-//! Answers to arriving requests, and how requests end.
+//! Admission decisions and how requests end.
 
 use std::sync::Arc;
 
@@ -6,40 +6,41 @@
 
 use crate::key::Response;
 
-/// What becomes of an arriving request.
+/// Admission decision for an arriving request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It runs now; its end has to be told.
+    /// Admitted: the request is running and its end must be reported.
     Started,
-    /// A request with the same key ran; this was its answer.
+    /// A request with the same key completed with this response.
     Replay(Arc<Response>),
     /// No slot is free.
     Busy,
-    /// The server is leaving.
+    /// The server is draining.
     Draining,
     /// The attempt or its key was withdrawn.
     Withdrawn,
     /// The deadline has passed.
     DeadlineExceeded,
-    /// The key cannot be remembered before the instant.
+    /// The key cannot be stored before the given time.
     RetryAt(Millis),
-    /// The key may have run in an earlier life.
+    /// The key may have run in an earlier incarnation.
     Indeterminate,
-    /// The attempt, or a request with the same key, runs now.
+    /// The attempt, or a request with the same key, is running.
     Running,
-    /// The attempt, or a request with the same key, ran; the answer is not kept.
+    /// The attempt, or a request with the same key, completed; the response is not
+    /// stored.
     Completed,
-    /// A request with the same key was cut off.
+    /// The attempt, or a request with the same key, was interrupted.
     Interrupted,
 }
 
 /// How a request ended on the server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Termination {
-    /// The answer was whole; kept for repeats of the key when small.
+    /// The response was complete; included if small enough to replay.
     Complete(Option<Response>),
-    /// The answer was cut off.
+    /// The response was interrupted.
     Interrupted,
-    /// Nothing reached the server.
+    /// The request never reached the server.
     Unsent,
 }
--- a/crates/decide/src/admission/grants.rs
+++ b/crates/decide/src/admission/grants.rs
@@ -1,4 +1,4 @@
-//! Giving out free slots.
+//! Grants: free slots reserved for waiting requests.
 
 use mulberryyoke_model::{Grant, Interest, Millis};
 
@@ -6,39 +6,39 @@
 use super::{Admission, Scheduling};
 use crate::account::{AccountKey, Charge, Demand, VirtualService};
 
-/// How long a slot stays reserved for a request, in milliseconds.
+/// Time until an unused grant expires, in milliseconds.
 pub const GRANT_TTL: Millis = 1_000;
 
-/// A slot reserved for one customer's request at one link.
+/// A slot reserved for a request of one customer at one link.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) account: AccountKey,
     pub(crate) link: LinkKey,
-    pub(crate) until: Millis,
-    /// Expected cost, in tokens.
+    pub(crate) expires_at: Millis,
+    /// Estimated cost, in tokens.
     pub(crate) estimate: u64,
-    /// Rank of the class that it was reserved for.
+    /// Rank of the class for which the slot is reserved.
     pub(crate) class: usize,
 }
 
 impl Admission {
-    /// Takes over what waits at a link's router; `full` replaces all that it
-    /// declared before.
+    /// Applies a router's declaration of its waiting requests. A full declaration
+    /// replaces all earlier ones.
     pub fn declare(&mut self, link: LinkKey, full: bool, interest: &[Interest], now: Millis) {
-        self.expire(now);
-        self.show_life(link);
+        self.expire_grants(now);
+        self.mark_alive(link);
         if full {
             self.clear_demands(link);
         }
-        // The order in which a router names its customers must not matter.
+        // One floor for all, so that the order of the customers does not matter.
         let floor = self.ledger.floor();
         for interest in interest {
-            self.declare_one(link, interest, floor);
+            self.declare_customer(link, interest, floor);
         }
-        self.fill(now);
+        self.grant_free_slots(now);
     }
 
-    fn declare_one(&mut self, link: LinkKey, interest: &Interest, floor: VirtualService) {
+    fn declare_customer(&mut self, link: LinkKey, interest: &Interest, floor: VirtualService) {
         let Some(entry) = self.links.get_mut(link) else {
             return;
         };
@@ -47,93 +47,93 @@
         if interest.total() > 0 {
             self.ledger.lift_to(account, floor);
         }
-        self.change_demand(account, link, |demand| demand.update(interest));
+        self.update_demand(account, link, |demand| demand.update(interest));
     }
 
-    /// Gives back reserved slots that found no request.
+    /// Releases grants for which the router has no request.
     pub fn decline(&mut self, link: LinkKey, grants: &[u64], now: Millis) {
-        self.expire(now);
-        self.show_life(link);
+        self.expire_grants(now);
+        self.mark_alive(link);
         for grant in grants {
             let is_own = self.reservations.get(grant).is_some_and(|r| r.link == link);
             if is_own {
                 self.release(*grant);
             }
         }
-        self.fill(now);
+        self.grant_free_slots(now);
     }
 
-    /// Time passes: reserved slots that were not used lapse.
+    /// Expires unused grants.
     pub fn tick(&mut self, now: Millis) {
-        self.expire(now);
-        self.fill(now);
+        self.expire_grants(now);
+        self.grant_free_slots(now);
     }
 
-    /// When the next reserved slot lapses.
+    /// When the next grant expires.
     #[must_use]
     pub fn next_grant_expiry(&self) -> Option<Millis> {
         let first = self.reservations.first_key_value();
-        first.map(|(_, reservation)| reservation.until)
+        first.map(|(_, reservation)| reservation.expires_at)
     }
 
-    pub(crate) fn expire(&mut self, now: Millis) {
+    pub(crate) fn expire_grants(&mut self, now: Millis) {
         while let Some((grant, reservation)) = self.reservations.first_key_value() {
-            if reservation.until > now {
+            if reservation.expires_at > now {
                 return;
             }
             let (grant, link) = (*grant, reservation.link);
             self.release(grant);
-            self.suspend(link, true);
+            self.set_suspended(link, true);
         }
     }
 
-    /// Frees a reserved slot. A router that never learnt of it still has the
-    /// request waiting.
+    /// Releases a reserved slot. If the grant was not sent, the request counts as
+    /// waiting again.
     pub(crate) fn release(&mut self, grant: u64) -> Option<Reservation> {
         let reservation = self.reservations.remove(&grant)?;
         let account = reservation.account;
         self.ledger.unreserve(account, reservation.estimate);
         let link = self.links.get_mut(reservation.link);
-        let untold = link.and_then(|link| {
-            let index = link.grants.iter().position(|untold| untold.id == grant)?;
+        let unsent = link.and_then(|link| {
+            let index = link.grants.iter().position(|unsent| unsent.id == grant)?;
             link.accounts.insert(account);
             Some(link.grants.swap_remove(index))
         });
-        if untold.is_some() {
-            self.change_demand(account, reservation.link, |demand| {
+        if unsent.is_some() {
+            self.update_demand(account, reservation.link, |demand| {
                 demand.release_one(reservation.class);
             });
         }
         Some(reservation)
     }
 
-    /// Takes back reserved slots that no router knows of.
-    pub(crate) fn take_back_untold(&mut self) {
-        let untold = self.links.values().flat_map(|link| &link.grants);
-        let untold: Vec<u64> = untold.map(|grant| grant.id).collect();
-        for grant in untold {
+    /// Releases grants that have not been sent to a router.
+    pub(crate) fn revoke_unsent_grants(&mut self) {
+        let unsent = self.links.values().flat_map(|link| &link.grants);
+        let unsent: Vec<u64> = unsent.map(|grant| grant.id).collect();
+        for grant in unsent {
             self.release(grant);
         }
     }
 
-    /// Reserves free slots while any request is runnable; without order, a slot for
-    /// each.
-    pub(crate) fn fill(&mut self, now: Millis) {
+    /// Reserves slots while one is free and a request is runnable; under
+    /// [`Scheduling::Immediate`], a slot for every waiting request.
+    pub(crate) fn grant_free_slots(&mut self, now: Millis) {
         if !self.is_draining() {
-            while self.may_start() && self.reserve(now) {}
+            while self.can_start() && self.reserve_next(now) {}
         }
         self.check();
     }
 
-    /// Whether the backend can be given another request.
-    pub(crate) fn may_start(&self) -> bool {
+    /// Whether another request may start.
+    pub(crate) fn can_start(&self) -> bool {
         match self.setup.scheduling {
             Scheduling::Fair => self.free_slots() > 0,
-            Scheduling::Immediate => !self.down,
+            Scheduling::Immediate => !self.backend_down,
         }
     }
 
-    fn reserve(&mut self, now: Millis) -> bool {
+    fn reserve_next(&mut self, now: Millis) -> bool {
         let Some(account) = self.ledger.next_customer() else {
             return false;
         };
@@ -155,20 +155,20 @@
         let reservation = Reservation {
             account,
             link,
-            until: grant.until,
+            expires_at: grant.until,
             estimate,
             class,
         };
         self.reservations.insert(grant.id, reservation);
         self.ledger.reserve(account, estimate);
-        self.change_demand(account, link, Demand::reserve_one);
+        self.update_demand(account, link, Demand::reserve_one);
         self.links[link].grants.push(grant);
-        self.woken.push(link);
+        self.ready_links.push(link);
         true
     }
 
-    /// Changes what waits for a customer at a link.
-    pub(crate) fn change_demand(
+    /// Updates the demand of a customer at a link; removes it if it becomes empty.
+    pub(crate) fn update_demand(
         &mut self,
         account: AccountKey,
         link: LinkKey,
@@ -204,7 +204,7 @@
         };
         let accounts: Vec<AccountKey> = entry.accounts.iter().copied().collect();
         for account in accounts {
-            self.change_demand(account, link, Demand::clear);
+            self.update_demand(account, link, Demand::clear);
         }
     }
 }
--- a/crates/decide/src/admission/link.rs
+++ b/crates/decide/src/admission/link.rs
@@ -1,4 +1,4 @@
-//! One router's control link.
+//! Control links to routers.
 
 use std::collections::HashSet;
 
@@ -13,30 +13,30 @@
     pub struct LinkKey;
 }
 
-/// One router's control link.
+/// A control link to one router.
 #[derive(Clone, Debug, Default)]
 pub struct Link {
-    /// The router's life, once it has told it.
+    /// Incarnation of the router, once known.
     pub origin: Option<Incarnation>,
-    /// Customers with a declaration or a reserved slot here.
+    /// Customers with waiting requests or a reserved slot at this link.
     pub(crate) accounts: HashSet<AccountKey>,
-    /// Grants not yet told.
+    /// Grants not sent yet.
     pub(crate) grants: Vec<Grant>,
-    /// What the last answered poll told of the load.
-    pub(crate) told: Option<Told>,
-    /// Whether a grant lapsed and no sign of life came since.
+    /// Load in the last poll response.
+    pub(crate) reported: Option<ReportedLoad>,
+    /// Whether a grant has expired since the last message.
     pub(crate) suspended: bool,
 }
 
-/// What a link knows of the load.
+/// Load as last sent on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Told {
+pub(crate) struct ReportedLoad {
     pub(crate) is_idle: bool,
     pub(crate) draining: bool,
     pub(crate) at: Millis,
 }
 
 /// Rendezvous weight of a router as collector of a sidecar.
-pub(crate) fn weight(sidecar: Incarnation, router: Incarnation) -> u64 {
+pub(crate) fn collector_weight(sidecar: Incarnation, router: Incarnation) -> u64 {
     xxh3_64_with_seed(&router.0.to_le_bytes(), sidecar.0)
 }
--- a/crates/decide/src/admission/poll.rs
+++ b/crates/decide/src/admission/poll.rs
@@ -1,33 +1,32 @@
-//! Links and their long polls.
+//! Control links and their long polls.
 
 use mulberryyoke_model::{Grant, Incarnation, Millis, Report, Usage};
 
 use super::Admission;
-use super::link::{Link, LinkKey, Told, weight};
+use super::link::{Link, LinkKey, ReportedLoad, collector_weight};
 
-/// Least time between two polls answered only because the load changed, in
+/// Minimum time between two poll responses sent only because the load changed, in
 /// milliseconds.
-const LOAD_INTERVAL: Millis = 200;
+const MIN_LOAD_INTERVAL: Millis = 200;
 
-/// When a link's poll is to be answered.
+/// When to respond to a link's poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
-    /// At once.
+    /// Immediately.
     Now,
-    /// At an instant, unless something comes up before.
+    /// At the given time, or earlier if the state changes.
     At(Millis),
-    /// When something comes up.
+    /// When the state changes.
     Idle,
 }
 
 impl Admission {
-    /// A router's control link came up.
+    /// Adds a control link.
     pub fn connect(&mut self) -> LinkKey {
         self.links.insert(Link::default())
     }
 
-    /// A router's control link closed: what it declared and the slots reserved
-    /// for it are dropped.
+    /// Removes a control link, with its declared requests and reserved slots.
     pub fn disconnect(&mut self, link: LinkKey, now: Millis) {
         let reserved = self.reservations.iter();
         let reserved = reserved.filter(|(_, reservation)| reservation.link == link);
@@ -40,7 +39,7 @@
         self.elect_collector(now);
     }
 
-    /// Learns whose link it is.
+    /// Sets the router incarnation of a link.
     pub fn identify_router(&mut self, link: LinkKey, origin: Incarnation, now: Millis) {
         let Some(entry) = self.links.get_mut(link) else {
             return;
@@ -58,7 +57,7 @@
             .links
             .iter()
             .filter_map(|(key, link)| Some((key, link.origin?)));
-        let best = known.max_by_key(|(key, origin)| (weight(sidecar, *origin), *key));
+        let best = known.max_by_key(|(key, origin)| (collector_weight(sidecar, *origin), *key));
         let collector = best.map(|(key, _)| key);
         if collector != self.collector {
             self.collector = collector;
@@ -66,12 +65,13 @@
                 self.ledger.change_collector();
                 self.reporter.change_collector(now);
             }
-            self.woken.extend(collector);
+            self.ready_links.extend(collector);
         }
     }
 
-    /// A poll came in: takes over what it tells. Only the collector's counts are
-    /// used; `heard` is the instant up to which they have peers' service.
+    /// Applies the counts in a poll; only those of the collector are used. `counted`
+    /// is the last report included in them, `heard` the time up to which they
+    /// include service reported by peers.
     pub fn poll(
         &mut self,
         link: LinkKey,
@@ -80,8 +80,8 @@
         heard: Millis,
         now: Millis,
     ) {
-        self.expire(now);
-        self.show_life(link);
+        self.expire_grants(now);
+        self.mark_alive(link);
         if self.collector == Some(link) {
             self.reporter.set_lag(now.saturating_sub(heard));
             self.reporter.catch_up(&mut self.ledger, now);
@@ -91,24 +91,24 @@
             let settling = self.reporter.is_settling(now);
             self.ledger.apply_fleet_totals(own, settling);
         }
-        self.fill(now);
+        self.grant_free_slots(now);
     }
 
-    /// When the poll of a link is to be answered, besides at its own instant.
+    /// When to respond to the poll of a link, apart from its own timeout.
     #[must_use]
     pub fn due(&self, link: LinkKey, now: Millis) -> Due {
         let Some(entry) = self.links.get(link) else {
             return Due::Now;
         };
-        let Some(told) = entry.told else {
+        let Some(reported) = entry.reported else {
             return Due::Now;
         };
-        if !entry.grants.is_empty() || told.draining != self.is_draining() {
+        if !entry.grants.is_empty() || reported.draining != self.is_draining() {
             return Due::Now;
         }
         let mut due = Millis::MAX;
-        if told.is_idle != self.is_idle() {
-            due = told.at + LOAD_INTERVAL;
+        if reported.is_idle != self.is_idle() {
+            due = reported.at + MIN_LOAD_INTERVAL;
         }
         if self.collector == Some(link) && self.ledger.needs_report() {
             due = due.min(self.reporter.next_at());
@@ -120,9 +120,9 @@
         }
     }
 
-    /// What to answer a link's poll with.
+    /// Takes the grants and the report for a poll response.
     pub fn poll_response(&mut self, link: LinkKey, now: Millis) -> (Vec<Grant>, Option<Report>) {
-        let told = Told {
+        let reported = ReportedLoad {
             is_idle: self.is_idle(),
             draining: self.is_draining(),
             at: now,
@@ -131,7 +131,7 @@
         let Some(entry) = self.links.get_mut(link) else {
             return (Vec::new(), None);
         };
-        entry.told = Some(told);
+        entry.reported = Some(reported);
         let grants = std::mem::take(&mut entry.grants);
         let report = is_collector.then(|| self.reporter.next_report(&mut self.ledger, now));
         (grants, report.flatten())
@@ -141,13 +141,13 @@
         self.free_slots() > 0
     }
 
-    /// A link showed a sign of life.
-    pub(crate) fn show_life(&mut self, link: LinkKey) {
-        self.suspend(link, false);
+    /// Resumes granting to a link that sent a message.
+    pub(crate) fn mark_alive(&mut self, link: LinkKey) {
+        self.set_suspended(link, false);
     }
 
-    /// Leaves out, or takes back in, what waits at a link.
-    pub(crate) fn suspend(&mut self, link: LinkKey, suspended: bool) {
+    /// Excludes the requests waiting at a link from scheduling, or includes them again.
+    pub(crate) fn set_suspended(&mut self, link: LinkKey, suspended: bool) {
         let Some(entry) = self.links.get_mut(link) else {
             return;
         };
@@ -157,7 +157,7 @@
         entry.suspended = suspended;
         let accounts: Vec<_> = entry.accounts.iter().copied().collect();
         for account in accounts {
-            self.change_demand(account, link, |_| ());
+            self.update_demand(account, link, |_| ());
         }
     }
 }
--- a/crates/decide/src/admission/record.rs
+++ b/crates/decide/src/admission/record.rs
@@ -1,4 +1,4 @@
-//! The home record of the server's idempotency keys.
+//! State shared with the record of idempotency keys in the key-value service.
 
 use mulberryyoke_model::{Incarnation, KeyId, Millis};
 
@@ -6,30 +6,29 @@
 use crate::key::{PriorRecord, SavedState};
 
 impl Admission {
-    /// The record of the earlier life was read and taken over; it names the
-    /// routers of that life on.
-    pub fn restore_record(&mut self, past: &PriorRecord, routers: &[Incarnation], now: Millis) {
-        self.keys.restore(past, now);
+    /// Restores key states from the prior record, and the routers that it lists.
+    pub fn restore_record(&mut self, prior: &PriorRecord, routers: &[Incarnation], now: Millis) {
+        self.keys.restore(prior, now);
         for origin in routers {
             self.routers.register(*origin, now);
         }
     }
 
-    /// The home record names routers now.
+    /// Registers routers that the record now lists.
     pub fn register_routers(&mut self, routers: &[Incarnation], now: Millis) {
         for origin in routers {
             self.routers.register(*origin, now);
         }
     }
 
-    /// Whether the home record names a router.
+    /// Whether the record lists a router.
     #[must_use]
     pub fn is_registered(&self, origin: Incarnation) -> bool {
         self.routers.contains(origin)
     }
 
-    /// Routers that the home record has to go on naming. Those without a link
-    /// for the retention time are forgotten: keys that they sent are, too.
+    /// Routers that the record must continue to list. Removes those without a link or
+    /// a running key for the retention time, after which their keys have expired.
     pub fn refresh_routers(&mut self, now: Millis) -> Vec<Incarnation> {
         let linked = self.links.values().filter_map(|link| link.origin);
         let keyed = self
@@ -45,18 +44,18 @@
         self.routers.iter().collect()
     }
 
-    /// Whether the home record can name another router.
+    /// Whether the record has room for another router.
     #[must_use]
     pub fn can_register_router(&self) -> bool {
         self.routers.has_room()
     }
 
-    /// Another life has taken over the home record: no new key is run.
+    /// Stops accepting new keys, since another incarnation owns the record.
     pub fn abandon_record(&mut self) {
         self.routers.clear();
     }
 
-    /// A router told the keys that it sent to earlier lives.
+    /// Takes a router's report of the keys it sent to earlier incarnations.
     pub fn add_sent_keys(
         &mut self,
         origin: Incarnation,
@@ -67,20 +66,21 @@
         self.keys.add_sent_keys(origin, complete, keys, now);
     }
 
-    /// Whether an earlier life may have run keys that this one has not seen.
+    /// Whether an earlier incarnation may have run keys unknown to this one.
     #[must_use]
     pub fn is_recovering(&self, now: Millis) -> bool {
         self.keys.is_recovering(now)
     }
 
-    /// Routers that have not told yet which keys they sent to earlier lives.
+    /// Number of routers that have not reported yet which keys they sent to earlier
+    /// incarnations.
     #[must_use]
     pub fn missing_reports(&self) -> usize {
         self.keys.missing_reports()
     }
 
-    /// What a record at a planned stop tells the next life; `None` while not all
-    /// is known here. No key is run or barred from now on.
+    /// Stops accepting and withdrawing keys, for a planned stop. Returns the key
+    /// states for the next incarnation; `None` while recovery is incomplete.
     pub fn close_record(&mut self, now: Millis) -> Option<Vec<(KeyId, SavedState)>> {
         self.routers.clear();
         self.keys.saved_states(now)
--- a/crates/decide/src/admission/setup.rs
+++ b/crates/decide/src/admission/setup.rs
@@ -1,33 +1,33 @@
-//! What a sidecar's decisions are opened with.
+//! Parameters of the admission state.
 
 use mulberryyoke_model::{Incarnation, Kind, Millis, PoolId, ServerId};
 
-/// In what order a server's capacity is given out.
+/// Scheduling policy for waiting requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scheduling {
-    /// By weighted service; no more requests run than there are slots.
+    /// Weighted fair order, with at most one running request per slot.
     Fair,
-    /// At once, without order; queues form inside the engine.
+    /// Every request starts immediately and queues in the backend.
     Immediate,
 }
 
-/// Fixed facts of one sidecar life.
+/// Parameters fixed for one sidecar incarnation.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// The server.
+    /// Server of the sidecar.
     pub server: ServerId,
-    /// Its pool.
+    /// Pool of the server.
     pub pool: PoolId,
-    /// What the backend is.
+    /// Kind of backend.
     pub kind: Kind,
-    /// The sidecar's life.
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// When that life began.
+    /// Start time of the incarnation.
     pub started_at: Millis,
-    /// Requests that the backend runs at once.
+    /// Number of requests that the backend runs concurrently.
     pub slots: u32,
-    /// In what order they are given out.
+    /// Scheduling policy.
     pub scheduling: Scheduling,
-    /// How long keys and attempts are remembered, in milliseconds.
+    /// Retention time of keys and attempts, in milliseconds.
     pub retention_ms: Millis,
 }
--- a/crates/decide/src/admission/withdraw.rs
+++ b/crates/decide/src/admission/withdraw.rs
@@ -1,4 +1,4 @@
-//! Withdrawals.
+//! Withdrawal of attempts and keys.
 
 use mulberryyoke_model::{Attempt, Incarnation, KeyId, Millis, Outcome};
 
@@ -6,10 +6,10 @@
 use crate::key::KeyState;
 
 impl Admission {
-    /// Makes sure that an attempt, and with `key` any request with that key,
-    /// never starts here unless it already has. Returns what had become of it,
-    /// and whether an earlier life may have started it. The bar on a key has to
-    /// outlast this life, so only a router that the home record names can set it.
+    /// Prevents an attempt, and any request with `key`, from starting here unless it
+    /// already has. Returns its outcome, and whether an earlier incarnation may have
+    /// started it. Since the withdrawal of a key has to survive a restart, only a
+    /// router listed in the record can withdraw one.
     pub fn withdraw(
         &mut self,
         attempt: Attempt,
@@ -21,7 +21,9 @@
             return (outcome, self.keys.is_recovering(now));
         };
         match self.keys.state(key, now) {
-            KeyState::Unknown if !self.can_bar(attempt.origin, now) => (Outcome::Unknown, true),
+            KeyState::Unknown if !self.can_withdraw_key(attempt.origin, now) => {
+                (Outcome::Unknown, true)
+            }
             KeyState::Unknown => {
                 self.keys.record(key, KeyState::Withdrawn, now);
                 (Outcome::NotRun, false)
@@ -34,7 +36,7 @@
         }
     }
 
-    fn can_bar(&mut self, origin: Incarnation, now: Millis) -> bool {
+    fn can_withdraw_key(&mut self, origin: Incarnation, now: Millis) -> bool {
         self.routers.touch(origin, now);
         self.routers.contains(origin) && self.keys.full_until(now).is_none()
     }
