--- a/crates/decide/examples/memory.rs
+++ b/crates/decide/examples/memory.rs
@@ -1,5 +1,5 @@
-//! Memory of a sidecar's decisions: resident bytes for each customer, each
-//! declaration of a link, and each remembered key. Prints one JSON object.
+//! Memory use of the admission state: resident bytes per customer, per declaration
+//! of a link and per stored key. Prints one JSON object.
 //!
 //! `cargo run --release -p mulberryyoke-decide --example memory`
 
@@ -12,38 +12,38 @@
 
 const LINKS: u64 = 20;
 
-/// Sidecars measured together, so that pages do not matter.
+/// Several sidecars, to keep the rounding to pages small.
 const SIDECARS: usize = 20;
 
 const KEYS: u64 = 60_000;
 
 fn main() {
-    let empty = resident();
+    let baseline = resident_bytes();
     let mut sidecars: Vec<Admission> = (0..SIDECARS).map(|_| open()).collect();
     for sidecar in &mut sidecars {
         declare(sidecar, 1);
     }
-    let one = resident();
+    let one = resident_bytes();
     for sidecar in &mut sidecars {
         for link in 2..=LINKS {
             declare(sidecar, link);
         }
     }
-    let all = resident();
+    let all = resident_bytes();
     let mut keys = Store::new(600_000, 0);
     keys.restore(&PriorRecord::Absent, 0);
     for key in 0..KEYS {
         keys.record(KeyId(key), KeyState::Completed(None), 1);
     }
-    let kept = resident();
+    let with_keys = resident_bytes();
     let customers = u64::from(CUSTOMERS) * SIDECARS as u64;
     println!(
         "{}",
         json!({
-            "bytes_per_customer_with_one_declaration": (one - empty) / customers,
+            "bytes_per_customer_with_one_declaration": (one - baseline) / customers,
             "bytes_per_further_declaration": (all - one) / (customers * (LINKS - 1)),
-            "bytes_per_key": (kept - all) / KEYS,
-            "bytes_of_a_sidecar_with_6200_customers_and_20_links": (all - empty) / SIDECARS as u64,
+            "bytes_per_key": (with_keys - all) / KEYS,
+            "bytes_of_a_sidecar_with_6200_customers_and_20_links": (all - baseline) / SIDECARS as u64,
         })
     );
 }
@@ -75,8 +75,8 @@
     link
 }
 
-/// Resident memory of this process, in bytes.
-fn resident() -> u64 {
+/// Resident set size of this process.
+fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("a Linux system");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -52,7 +52,7 @@
     pub(crate) keys: Store,
     pub(crate) routers: Routers,
     pub(crate) stopping: bool,
-    /// Whether the configuration has the server draining or removed.
+    /// Whether the configured state of the server is not active.
     pub(crate) draining: bool,
     /// Whether the backend is unreachable.
     pub(crate) backend_down: bool,
--- a/crates/decide/tests/admission/long.rs
+++ b/crates/decide/tests/admission/long.rs
@@ -1,106 +1,114 @@
-//! Several sidecars in virtual time; the invariants are asserted inside them.
+//! Simulations of several sidecars, which assert the invariants themselves.
 
 use googletest::prelude::*;
 
-use crate::world::{Gap, Shape, World};
+use crate::simulation::{Gap, Params, Simulation};
 
 const EVENTS: u64 = 60_000;
 
-/// Largest cost of a request in these runs, in tokens.
+/// Maximum cost of a simulated request, in tokens.
 const MAX_COST: f64 = 4_000.0;
 
-/// Tokens a second of one slot.
+/// Tokens per second of one slot.
 const RATE: f64 = 50.0;
 
-/// Largest mean gap of windows of 20 seconds, as a part of the service in them. In
-/// such a window a slot runs two or three requests.
-const MEAN_PART: f64 = 1.0;
+/// Maximum mean relative gap over windows of 20 seconds, in which a slot runs two or
+/// three requests.
+const MAX_MEAN_RELATIVE_GAP: f64 = 1.0;
 
-fn shape(seed: u64) -> Shape {
-    Shape {
+fn params(seed: u64) -> Params {
+    Params {
         seed,
         servers: 6,
         slots: 8,
         routers: 3,
         customers: 16,
-        subset: 6,
-        reach: 6,
-        assumed: 1_000,
-        lag: 1_000,
-        faults: 0.0,
-        only: None,
-        cheats: false,
+        links_per_router: 6,
+        configured_servers: 6,
+        assumed_lag: 1_000,
+        exchange_interval: 1_000,
+        faults_per_million: 0.0,
+        fault_kind: None,
+        underestimates: false,
     }
 }
 
-fn run(shape: Shape) -> (World, Gap) {
-    let mut world = World::open(shape);
-    let mut gap = Gap::open(shape.customers);
+fn run(params: Params) -> (Simulation, Gap) {
+    let mut simulation = Simulation::new(params);
+    let mut gap = Gap::new(params.customers);
     let mut next = 20_000;
     for _ in 0..EVENTS {
-        if world.step() >= next {
+        if simulation.step() >= next {
             next += 1_000;
-            gap.sample(&world.service);
+            gap.sample(&simulation.service);
         }
     }
-    (world, gap)
+    (simulation, gap)
 }
 
-/// The gap bound of `docs/design/fairness.md`, in tokens for each unit of share,
-/// for the least share of 1: the largest request of each of the two ahead or
-/// behind, and what the fleet gives within the age of the counts.
-fn bound(shape: Shape) -> f64 {
-    let slots = f64::from(shape.slots) * f64::from(u32::try_from(shape.servers).expect("few"));
-    let age = f64::from(u32::try_from(shape.lag).expect("short")) / 1_000.0 + 1.0;
+/// Gap bound of `docs/design/fairness.md`, in tokens per unit of share, for a
+/// share of 1: the largest request of each of two customers, and the service of
+/// the whole fleet within the age of the counts.
+fn bound(params: Params) -> f64 {
+    let slots = f64::from(params.slots) * f64::from(u32::try_from(params.servers).expect("few"));
+    let age = f64::from(u32::try_from(params.exchange_interval).expect("short")) / 1_000.0 + 1.0;
     2.0 * MAX_COST + slots * RATE * age
 }
 
 #[gtest]
 fn gap_stays_within_the_bound() {
     for seed in 1..=3 {
-        let (world, gap) = run(shape(seed));
-        expect_that!(gap.largest().0, le(bound(shape(seed))), "seed {seed}");
-        expect_that!(gap.mean_part(20), le(MEAN_PART), "seed {seed}");
-        expect_that!(world.busy().0, ge(world.busy().1 - 8), "seed {seed}");
+        let (simulation, gap) = run(params(seed));
+        expect_that!(gap.largest().0, le(bound(params(seed))), "seed {seed}");
+        expect_that!(
+            gap.mean_relative_gap(20),
+            le(MAX_MEAN_RELATIVE_GAP),
+            "seed {seed}"
+        );
+        expect_that!(
+            simulation.slot_usage().0,
+            ge(simulation.slot_usage().1 - 8),
+            "seed {seed}"
+        );
     }
 }
 
 #[gtest]
-fn low_hints_gain_nothing() {
-    let cheats = Shape {
-        cheats: true,
-        ..shape(4)
+fn underestimating_costs_gains_nothing() {
+    let underestimated = Params {
+        underestimates: true,
+        ..params(4)
     };
-    let (_, gap) = run(cheats);
-    expect_that!(gap.largest().0, le(bound(cheats)));
+    let (_, gap) = run(underestimated);
+    expect_that!(gap.largest().0, le(bound(underestimated)));
 }
 
 #[gtest]
 fn invariants_hold_under_faults() {
     for seed in 1..=4 {
-        let faulty = Shape {
-            faults: 500.0,
-            ..shape(seed)
+        let faulty = Params {
+            faults_per_million: 500.0,
+            ..params(seed)
         };
-        let (world, _) = run(faulty);
-        expect_that!(world.faults, gt(10), "seed {seed}");
-        let least = world.service.iter().min();
+        let (simulation, _) = run(faulty);
+        expect_that!(simulation.faults, gt(10), "seed {seed}");
+        let least = simulation.service.iter().min();
         expect_that!(least, some(gt(&0)), "seed {seed}");
     }
 }
 
-/// A million events for each of several seeds: `cargo test -- --ignored`.
+/// One million events per seed: `cargo test -- --ignored`.
 #[gtest]
 #[ignore = "takes long; run by hand"]
 fn invariants_hold_under_faults_for_long() {
     for seed in 1..=20 {
-        let faulty = Shape {
-            faults: 500.0,
-            ..shape(seed)
+        let faulty = Params {
+            faults_per_million: 500.0,
+            ..params(seed)
         };
-        let mut world = World::open(faulty);
+        let mut simulation = Simulation::new(faulty);
         for _ in 0..1_000_000 {
-            world.step();
+            simulation.step();
         }
     }
 }
--- a/crates/decide/tests/admission/main.rs
+++ b/crates/decide/tests/admission/main.rs
@@ -1,8 +1,8 @@
-//! Decisions of one sidecar.
+//! Admission tests.
 
 mod golden;
 mod long;
 mod random;
 mod session;
+mod simulation;
 mod table;
-mod world;
--- a/crates/decide/tests/admission/random/mod.rs
+++ b/crates/decide/tests/admission/random/mod.rs
@@ -1,4 +1,4 @@
-//! Random sessions of one sidecar against what must hold of every attempt and key.
+//! Random sessions of one sidecar, checked against a model.
 
 mod model;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn random_sessions_keep_their_word() {
+fn random_sessions_match_the_model() {
     let config = Config {
         cases: 60,
         failure_persistence: None,
@@ -36,11 +36,11 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let sessions = prop::collection::vec(op(), 1..1_500);
     let result = runner.run(&sessions, |ops| {
-        let mut model = Model::open();
+        let mut model = Model::new();
         for op in &ops {
             model.apply(op);
         }
         Ok(())
     });
-    result.expect("every session keeps its word");
+    result.expect("every session matches the model");
 }
--- a/crates/decide/tests/admission/random/model.rs
+++ b/crates/decide/tests/admission/random/model.rs
@@ -1,4 +1,4 @@
-//! What must hold of every attempt and key.
+//! Model of the guarantees for attempts and keys.
 
 use std::collections::{HashMap, HashSet};
 
@@ -16,7 +16,7 @@
 const SLOTS: u32 = 3;
 const RETENTION: Millis = 5_000;
 
-/// An event.
+/// Operation of a session.
 #[derive(Clone, Debug)]
 pub enum Op {
     Wait(u16),
@@ -54,7 +54,7 @@
     Down(bool),
 }
 
-/// A sidecar and what it has promised.
+/// A sidecar and the outcomes that it has returned.
 pub struct Model {
     admission: Admission,
     now: Millis,
@@ -63,15 +63,15 @@
     next: Vec<u64>,
     running: Vec<(Attempt, Option<KeyId>)>,
     started: HashSet<Attempt>,
-    barred: HashSet<Attempt>,
-    /// Keys that reached the backend, by when they may be forgotten.
+    withdrawn: HashSet<Attempt>,
+    /// Keys that reached the backend, with their expiry.
     keys: HashMap<KeyId, Millis>,
-    /// Keys told as not run, by until when they must not start.
-    bars: HashMap<KeyId, Millis>,
+    /// Withdrawn keys, with the end of the withdrawal.
+    withdrawn_keys: HashMap<KeyId, Millis>,
 }
 
 impl Model {
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         let setup = Setup {
             server: ServerId(1),
             pool: PoolId(1),
@@ -93,9 +93,9 @@
             next: vec![0; LINKS],
             running: Vec::new(),
             started: HashSet::new(),
-            barred: HashSet::new(),
+            withdrawn: HashSet::new(),
             keys: HashMap::new(),
-            bars: HashMap::new(),
+            withdrawn_keys: HashMap::new(),
         };
         for link in 0..LINKS {
             let key = model.connect(link);
@@ -195,14 +195,14 @@
         }
         assert!(self.started.insert(attempt), "{attempt:?} started twice");
         assert!(
-            !self.barred.contains(&attempt),
+            !self.withdrawn.contains(&attempt),
             "{attempt:?} started after its withdrawal"
         );
         if let Some(key) = ticket.key {
-            assert!(!is_held(&self.keys, key, self.now), "{key:?} started twice");
+            assert!(!is_live(&self.keys, key, self.now), "{key:?} started twice");
             assert!(
-                !is_held(&self.bars, key, self.now),
-                "{key:?} started after all"
+                !is_live(&self.withdrawn_keys, key, self.now),
+                "{key:?} started after its withdrawal"
             );
             self.keys.insert(key, Millis::MAX);
         }
@@ -234,26 +234,29 @@
             number: 0,
         };
         let key = key.map(KeyId);
-        let (outcome, doubtful) = self.admission.withdraw(attempt, key, self.now);
-        assert!(!doubtful, "nothing is in doubt in this life");
+        let (outcome, is_indeterminate) = self.admission.withdraw(attempt, key, self.now);
+        assert!(
+            !is_indeterminate,
+            "the first incarnation has no indeterminate keys"
+        );
         if outcome != Outcome::NotRun {
             return;
         }
-        self.barred.insert(attempt);
+        self.withdrawn.insert(attempt);
         let Some(key) = key else {
             return;
         };
         assert!(
-            !is_held(&self.keys, key, self.now),
-            "{key:?} told as not run"
+            !is_live(&self.keys, key, self.now),
+            "{key:?} withdrawn after its start"
         );
-        if !is_held(&self.bars, key, self.now) {
-            self.bars.insert(key, self.now + RETENTION);
+        if !is_live(&self.withdrawn_keys, key, self.now) {
+            self.withdrawn_keys.insert(key, self.now + RETENTION);
         }
     }
 }
 
-fn is_held(until: &HashMap<KeyId, Millis>, key: KeyId, now: Millis) -> bool {
+fn is_live(until: &HashMap<KeyId, Millis>, key: KeyId, now: Millis) -> bool {
     until.get(&key).is_some_and(|until| *until > now)
 }
 
--- a/crates/decide/tests/admission/session/mod.rs
+++ b/crates/decide/tests/admission/session/mod.rs
@@ -1,5 +1,4 @@
-//! Whole sessions of one sidecar as text: a line for each event, then what came
-//! of it.
+//! Text sessions of one sidecar: one line per event, followed by its results.
 
 mod read;
 
@@ -15,18 +14,18 @@
 
 use read::{Words, attempt, ending, interest, origin, server, ticket};
 
-/// Runs a session and returns it with what comes of each event.
+/// Runs a session and returns it with the results of each event.
 pub fn run(text: &str) -> String {
-    let mut session = Session::open();
+    let mut session = Session::new();
     let mut log = String::new();
     let events = text.lines().filter(|line| !line.starts_with('>'));
     for line in events {
-        writeln!(log, "{line}").expect("text grows");
+        writeln!(log, "{line}").expect("writing to a string succeeds");
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
         for outcome in session.event(line) {
-            writeln!(log, "> {outcome}").expect("text grows");
+            writeln!(log, "> {outcome}").expect("writing to a string succeeds");
         }
     }
     log
@@ -40,7 +39,7 @@
 }
 
 impl Session {
-    fn open() -> Self {
+    fn new() -> Self {
         let setup = Setup {
             server: ServerId::of("m1"),
             pool: PoolId::of("llama"),
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Takes one event: time, word, arguments.
+    /// Applies one event: time, name, arguments.
     fn event(&mut self, line: &str) -> Vec<String> {
         let words = Words::read(line);
         self.now = words.plain[0].parse().expect("time");
@@ -109,14 +108,14 @@
                 return vec![format!("{:?}", admission.outcome(attempt(name), key, now))];
             }
             "poll" => return self.poll(name, words),
-            "home" => admission.restore_record(
+            "restore" => admission.restore_record(
                 &PriorRecord::Open(vec![origin(name)]),
                 &[origin(name)],
                 now,
             ),
-            "first" => admission.restore_record(&PriorRecord::Absent, &[], now),
-            "name" => admission.register_routers(&[origin(name)], now),
-            "recall" => {
+            "new" => admission.restore_record(&PriorRecord::Absent, &[], now),
+            "register" => admission.register_routers(&[origin(name)], now),
+            "sent" => {
                 let keys: Vec<KeyId> = words.number("key").map(KeyId).into_iter().collect();
                 admission.add_sent_keys(origin(name), true, &keys, now);
             }
@@ -124,13 +123,13 @@
                 let ledger = admission.ledger();
                 let account = ledger.find(CustomerId::of(name)).expect("known");
                 let service = ledger.virtual_service(account) / 256;
-                return vec![format!("{service} tokens for each unit of share")];
+                return vec![format!("{service} tokens per unit of share")];
             }
             "tick" => admission.tick(now),
             "down" => admission.set_backend_down(true, now),
             "up" => admission.set_backend_down(false, now),
             "stop" => admission.stop(),
-            other => panic!("no such event: {other}"),
+            other => panic!("unknown event: {other}"),
         }
         Vec::new()
     }
@@ -157,19 +156,19 @@
             load.free, load.draining
         )];
         if due == Due::Now {
-            lines.extend(self.answer(name));
+            lines.extend(self.respond(name));
         }
         lines
     }
 
-    /// Answers the polls of links that have grants.
+    /// Responds to the polls of all links.
     fn grants(&mut self) -> Vec<String> {
         self.admission.take_ready_links();
         let names: Vec<String> = self.links.keys().cloned().collect();
-        names.iter().flat_map(|name| self.answer(name)).collect()
+        names.iter().flat_map(|name| self.respond(name)).collect()
     }
 
-    fn answer(&mut self, name: &str) -> Vec<String> {
+    fn respond(&mut self, name: &str) -> Vec<String> {
         let (grants, report) = self.admission.poll_response(self.links[name], self.now);
         let grants = grants.iter().map(|grant| {
             let customer = self.customer(grant.customer);
--- a/crates/decide/tests/admission/session/read.rs
+++ b/crates/decide/tests/admission/session/read.rs
@@ -1,4 +1,4 @@
-//! Reading the lines of a session.
+//! Parser of session lines.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
     Attempt, Class, CustomerId, Incarnation, Interest, KeyId, Server, State, Ticket,
 };
 
-/// The words of a line; `name=value` words by name.
+/// Words of a line, with `name=value` pairs by name.
 pub struct Words<'a> {
     pub plain: Vec<&'a str>,
     pub named: BTreeMap<&'a str, &'a str>,
--- a/crates/decide/tests/admission/world/exchange.rs
+++ b/crates/decide/tests/admission/simulation/exchange.rs
@@ -1,34 +1,34 @@
-//! Counting of service at the routers.
+//! Service counts of the routers.
 
 use mulberryyoke_model::{CustomerId, Incarnation, PoolId, Report, Usage};
 
-use super::shape::{POOL, name};
-use super::{Event, World};
+use super::params::{POOL, name};
+use super::{Event, Simulation};
 
-impl World {
-    /// A poll tells the fleet-wide counts.
+impl Simulation {
+    /// Polls a sidecar with the fleet-wide counts of a router.
     pub(super) fn poll(&mut self, router: usize, server: usize) {
-        let node = &self.nodes[server];
-        let Some(link) = node.links.get(&router).copied() else {
+        let sidecar = &self.sidecars[server];
+        let Some(link) = sidecar.links.get(&router).copied() else {
             return;
         };
-        let counted = node.counted[&router];
+        let counted = sidecar.counted[&router];
         let counts = &self.routers[router].counts;
         let total = |index: u32| counts.values().map(|c| c[index as usize]).sum();
-        let customers = 0..self.shape.customers;
+        let customers = 0..self.params.customers;
         let fleet = customers.map(|index| Usage {
             pool: PoolId::of(POOL),
             customer: CustomerId::of(&name(index)),
             tokens: total(index),
         });
         let fleet: Vec<Usage> = fleet.collect();
-        let heard = self.now.saturating_sub(self.shape.assumed);
-        let admission = &mut self.nodes[server].admission;
+        let heard = self.now.saturating_sub(self.params.assumed_lag);
+        let admission = &mut self.sidecars[server].admission;
         admission.poll(link, counted, &fleet, heard, self.now);
-        self.flush(server);
+        self.deliver(server);
     }
 
-    /// Counts what grew since the report before, if it was this router's.
+    /// Adds the growth since the previous report, if this router received that one.
     pub(super) fn collect(&mut self, router: usize, sidecar: Incarnation, report: &Report) {
         let customers = self.customers.clone();
         let router = &mut self.routers[router];
@@ -48,12 +48,14 @@
 
     pub(super) fn exchange(&mut self) {
         let each = self.routers.iter();
-        let told: Vec<_> = each
-            .map(|router| (router.cut, router.counts.clone()))
+        let shared: Vec<_> = each
+            .map(|router| (router.partitioned, router.counts.clone()))
             .collect();
         for router in &mut self.routers {
-            let heard = told.iter().filter(|(cut, _)| *cut == router.cut);
-            for (origin, counts) in heard.flat_map(|(_, counts)| counts) {
+            let received = shared
+                .iter()
+                .filter(|(partitioned, _)| *partitioned == router.partitioned);
+            for (origin, counts) in received.flat_map(|(_, counts)| counts) {
                 let held = router
                     .counts
                     .entry(*origin)
@@ -63,11 +65,11 @@
                 }
             }
         }
-        // Time passes at every sidecar, too.
-        for server in 0..self.nodes.len() {
-            self.nodes[server].admission.tick(self.now);
-            self.flush(server);
+        // Sidecars also expire grants here.
+        for server in 0..self.sidecars.len() {
+            self.sidecars[server].admission.tick(self.now);
+            self.deliver(server);
         }
-        self.at(self.shape.lag, Event::Exchange);
+        self.schedule(self.params.exchange_interval, Event::Exchange);
     }
 }
--- a/crates/decide/tests/admission/world/gap.rs
+++ b/crates/decide/tests/admission/simulation/gap.rs
@@ -1,29 +1,28 @@
-//! The fairness gap of a run.
+//! Fairness gap of a simulation.
 
 use super::share;
 
 #[expect(clippy::cast_precision_loss, reason = "counts far below 2^52")]
-fn real(count: u64) -> f64 {
+fn to_f64(count: u64) -> f64 {
     count as f64
 }
 
-/// Service per share of each customer over time.
+/// Service per unit of share of each customer over time.
 pub struct Gap {
     first: Vec<f64>,
     last: Vec<f64>,
-    /// All samples.
-    all: Vec<Vec<f64>>,
-    /// Of each pair, the lowest and highest difference.
+    samples: Vec<Vec<f64>>,
+    /// Lowest and highest difference of each pair of customers.
     pairs: Vec<(f64, f64)>,
 }
 
 impl Gap {
-    pub fn open(customers: u32) -> Self {
+    pub fn new(customers: u32) -> Self {
         let customers = customers as usize;
         Self {
             first: Vec::new(),
             last: Vec::new(),
-            all: Vec::new(),
+            samples: Vec::new(),
             pairs: vec![(f64::MAX, f64::MIN); customers * customers],
         }
     }
@@ -32,7 +31,7 @@
         let share = |index: usize| f64::from(share(u32::try_from(index).expect("few")));
         let each = service.iter().enumerate();
         let now: Vec<f64> = each
-            .map(|(index, tokens)| real(*tokens) / share(index))
+            .map(|(index, tokens)| to_f64(*tokens) / share(index))
             .collect();
         for (a, one) in now.iter().enumerate() {
             for (b, other) in now.iter().enumerate() {
@@ -43,12 +42,12 @@
         if self.first.is_empty() {
             self.first = now.clone();
         }
-        self.all.push(now.clone());
+        self.samples.push(now.clone());
         self.last = now;
     }
 
-    /// The largest difference over any window, in tokens for each unit of share,
-    /// and as a part of the mean service in the whole run.
+    /// Largest gap between two customers over any window, in tokens per unit of
+    /// share, and relative to the mean service in the whole run.
     pub fn largest(&self) -> (f64, f64) {
         let widths = self.pairs.iter().map(|(low, high)| high - low);
         let widest = widths.fold(0.0, f64::max);
@@ -57,21 +56,21 @@
             .iter()
             .zip(&self.first)
             .map(|(last, first)| last - first);
-        let mean = given.sum::<f64>() / real(self.last.len() as u64);
+        let mean = given.sum::<f64>() / to_f64(self.last.len() as u64);
         (widest, widest / mean)
     }
 
-    /// The mean over all windows of a number of samples of the largest difference
-    /// as a part of the mean service in that window.
-    pub fn mean_part(&self, samples: usize) -> f64 {
-        let windows = self.all.iter().zip(self.all.iter().skip(samples));
-        let parts = windows.map(|(from, to)| {
+    /// Mean over all windows of `window` samples of the largest gap relative to the
+    /// mean service in the window.
+    pub fn mean_relative_gap(&self, window: usize) -> f64 {
+        let windows = self.samples.iter().zip(self.samples.iter().skip(window));
+        let gaps = windows.map(|(from, to)| {
             let given = to.iter().zip(from).map(|(to, from)| to - from);
-            let most = given.clone().fold(f64::MIN, f64::max);
-            let least = given.clone().fold(f64::MAX, f64::min);
-            (most - least) * real(from.len() as u64) / given.sum::<f64>()
+            let max = given.clone().fold(f64::MIN, f64::max);
+            let min = given.clone().fold(f64::MAX, f64::min);
+            (max - min) * to_f64(from.len() as u64) / given.sum::<f64>()
         });
-        let parts: Vec<f64> = parts.collect();
-        parts.iter().sum::<f64>() / real(parts.len().max(1) as u64)
+        let gaps: Vec<f64> = gaps.collect();
+        gaps.iter().sum::<f64>() / to_f64(gaps.len().max(1) as u64)
     }
 }
--- a/crates/decide/tests/admission/world/mod.rs
+++ b/crates/decide/tests/admission/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! A few sidecars and routers in virtual time, for long runs of the decisions
-//! with faults. Everything is drawn from one seed.
+//! Deterministic simulation of sidecars and routers in virtual time, with fault
+//! injection, from one seed.
 
 mod exchange;
 mod fault;
 mod gap;
+mod params;
 mod request;
-mod shape;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -18,17 +18,17 @@
 use rand_chacha::ChaCha8Rng;
 
 pub use gap::Gap;
-pub use shape::Shape;
-use shape::{POOL, config, name, share};
+pub use params::Params;
+use params::{POOL, config, name, share};
 
-/// Time of a message between two nodes, in milliseconds.
-const HOP: Millis = 1;
+/// One-way latency of a message, in milliseconds.
+const HOP_MS: Millis = 1;
 
-/// Time of one token, in milliseconds.
-const TOKEN: Millis = 20;
+/// Time per token, in milliseconds.
+const TOKEN_MS: Millis = 20;
 
-/// Time between two readings of a running request, in milliseconds.
-const METER: Millis = 200;
+/// Metering interval of a running request, in milliseconds.
+const METER_MS: Millis = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -49,150 +49,150 @@
     Exchange,
 }
 
-struct Node {
+struct Sidecar {
     admission: Admission,
     links: BTreeMap<usize, LinkKey>,
     counted: HashMap<usize, u64>,
     incarnation: Incarnation,
-    /// Customer and tokens left of each running request.
-    left: HashMap<Attempt, (u32, u64)>,
+    /// Customer and remaining tokens of each running request.
+    remaining: HashMap<Attempt, (u32, u64)>,
 }
 
 struct Router {
     incarnation: Incarnation,
-    /// Service by the router life that collected it.
+    /// Service by the incarnation of the collecting router.
     counts: BTreeMap<Incarnation, Vec<u64>>,
-    /// The last report of each sidecar life.
+    /// Last report of each sidecar incarnation.
     reports: HashMap<Incarnation, (u64, HashMap<CustomerId, u64>)>,
-    /// Whether its exchange is cut off.
-    cut: bool,
+    /// Whether the router is partitioned from the others.
+    partitioned: bool,
     next: u64,
 }
 
-/// The run.
-pub struct World {
-    pub shape: Shape,
+/// Simulation state.
+pub struct Simulation {
+    pub params: Params,
     rng: ChaCha8Rng,
     now: Millis,
     events: BinaryHeap<Reverse<(Millis, u64, Event)>>,
     sequence: u64,
     customers: HashMap<CustomerId, u32>,
-    nodes: Vec<Node>,
+    sidecars: Vec<Sidecar>,
     routers: Vec<Router>,
-    /// Tokens given to each customer.
+    /// Tokens served to each customer.
     pub service: Vec<u64>,
     pub started: u64,
     pub declined: u64,
     pub faults: u64,
-    lives: u64,
+    incarnations: u64,
 }
 
-impl World {
-    pub fn open(shape: Shape) -> Self {
-        let mut world = Self {
-            shape,
-            rng: ChaCha8Rng::seed_from_u64(shape.seed),
+impl Simulation {
+    pub fn new(params: Params) -> Self {
+        let mut simulation = Self {
+            params,
+            rng: ChaCha8Rng::seed_from_u64(params.seed),
             now: 1_000,
             events: BinaryHeap::new(),
             sequence: 0,
-            customers: (0..shape.customers)
+            customers: (0..params.customers)
                 .map(|c| (CustomerId::of(&name(c)), c))
                 .collect(),
-            nodes: Vec::new(),
+            sidecars: Vec::new(),
             routers: Vec::new(),
-            service: vec![0; shape.customers as usize],
+            service: vec![0; params.customers as usize],
             started: 0,
             declined: 0,
             faults: 0,
-            lives: 0,
+            incarnations: 0,
         };
-        for _ in 0..shape.routers {
-            let router = world.router();
-            world.routers.push(router);
+        for _ in 0..params.routers {
+            let router = simulation.new_router();
+            simulation.routers.push(router);
         }
-        for index in 0..shape.servers {
-            let node = world.node(index);
-            world.nodes.push(node);
+        for index in 0..params.servers {
+            let sidecar = simulation.new_sidecar(index);
+            simulation.sidecars.push(sidecar);
         }
-        for router in 0..shape.routers {
-            world.link_router(router);
+        for router in 0..params.routers {
+            simulation.link_router(router);
         }
-        world.at(shape.lag, Event::Exchange);
-        world
+        simulation.schedule(params.exchange_interval, Event::Exchange);
+        simulation
     }
 
-    fn life(&mut self) -> Incarnation {
-        self.lives += 1;
-        Incarnation(self.lives)
+    fn next_incarnation(&mut self) -> Incarnation {
+        self.incarnations += 1;
+        Incarnation(self.incarnations)
     }
 
-    fn router(&mut self) -> Router {
-        let incarnation = self.life();
+    fn new_router(&mut self) -> Router {
+        let incarnation = self.next_incarnation();
         Router {
             incarnation,
             counts: BTreeMap::new(),
             reports: HashMap::new(),
-            cut: false,
+            partitioned: false,
             next: 0,
         }
     }
 
-    fn node(&mut self, index: usize) -> Node {
-        let incarnation = self.life();
+    fn new_sidecar(&mut self, index: usize) -> Sidecar {
+        let incarnation = self.next_incarnation();
         let setup = Setup {
             server: ServerId(u32::try_from(index).expect("few")),
             pool: PoolId::of(POOL),
             kind: Kind::Model,
             incarnation,
             started_at: self.now,
-            slots: self.shape.slots,
+            slots: self.params.slots,
             scheduling: Scheduling::Fair,
             retention_ms: 600_000,
         };
         let mut admission = Admission::new(setup);
-        admission.configure(&config(self.shape), POOL, self.now);
-        Node {
+        admission.configure(&config(self.params), POOL, self.now);
+        Sidecar {
             admission,
             links: BTreeMap::new(),
             counted: HashMap::new(),
             incarnation,
-            left: HashMap::new(),
+            remaining: HashMap::new(),
         }
     }
 
     fn link_router(&mut self, router: usize) {
-        for offset in 0..self.shape.subset.min(self.shape.servers) {
-            let spread = router * self.shape.servers / self.shape.routers;
-            self.link(router, (spread + offset) % self.shape.servers);
+        for offset in 0..self.params.links_per_router.min(self.params.servers) {
+            let spread = router * self.params.servers / self.params.routers;
+            self.link(router, (spread + offset) % self.params.servers);
         }
     }
 
     fn link(&mut self, router: usize, server: usize) {
         let interest = self.interest(router);
-        let node = &mut self.nodes[server];
-        let link = node.admission.connect();
+        let sidecar = &mut self.sidecars[server];
+        let link = sidecar.admission.connect();
         let origin = self.routers[router].incarnation;
-        node.admission.identify_router(link, origin, self.now);
-        node.links.insert(router, link);
-        node.counted.insert(router, 0);
-        node.admission.declare(link, true, &interest, self.now);
-        self.flush(server);
-        self.at(HOP, Event::Poll { router, server });
+        sidecar.admission.identify_router(link, origin, self.now);
+        sidecar.links.insert(router, link);
+        sidecar.counted.insert(router, 0);
+        sidecar.admission.declare(link, true, &interest, self.now);
+        self.deliver(server);
+        self.schedule(HOP_MS, Event::Poll { router, server });
     }
 
     fn unlink(&mut self, router: usize, server: usize) {
-        if let Some(link) = self.nodes[server].links.remove(&router) {
-            self.nodes[server].admission.disconnect(link, self.now);
-            self.flush(server);
+        if let Some(link) = self.sidecars[server].links.remove(&router) {
+            self.sidecars[server].admission.disconnect(link, self.now);
+            self.deliver(server);
         }
     }
 
-    /// Every customer always has waiting work at a third of the routers.
+    /// Every customer always has waiting requests at a third of the routers.
     fn interest(&self, router: usize) -> Vec<Interest> {
         let here = |customer: &u32| {
-            (*customer as usize * 7 + router).is_multiple_of(3) || self.shape.routers < 3
+            (*customer as usize * 7 + router).is_multiple_of(3) || self.params.routers < 3
         };
-        let customers = (0..self.shape.customers).filter(here);
+        let customers = (0..self.params.customers).filter(here);
         customers
             .map(|customer| self.interest_of(customer))
             .collect()
@@ -208,17 +208,17 @@
     }
 
     fn hint(&self, customer: u32, cost: u32) -> u32 {
-        let low = self.shape.cheats && customer % 2 == 1;
+        let low = self.params.underestimates && customer % 2 == 1;
         if low { cost / 10 } else { cost }
     }
 
-    fn at(&mut self, delay: Millis, event: Event) {
+    fn schedule(&mut self, delay: Millis, event: Event) {
         self.sequence += 1;
         let at = self.now + delay;
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Takes one step; returns the time.
+    /// Processes the next event and returns its time.
     pub fn step(&mut self) -> Millis {
         let Some(Reverse((at, _, event))) = self.events.pop() else {
             return self.now;
@@ -237,24 +237,31 @@
             Event::Poll { router, server } => self.poll(router, server),
             Event::Exchange => self.exchange(),
         }
-        if self.rng.random_bool(self.shape.faults / 1_000_000.0) {
+        if self
+            .rng
+            .random_bool(self.params.faults_per_million / 1_000_000.0)
+        {
             self.fault();
         }
         self.now
     }
 
-    /// Hands grants to the routers, which answer a hop later.
-    fn flush(&mut self, server: usize) {
-        let node = &mut self.nodes[server];
-        node.admission.take_ready_links();
-        let links: Vec<(usize, LinkKey)> = node.links.iter().map(|(r, l)| (*r, *l)).collect();
+    /// Delivers grants and reports to the routers, which respond one hop later.
+    fn deliver(&mut self, server: usize) {
+        let sidecar = &mut self.sidecars[server];
+        sidecar.admission.take_ready_links();
+        let links: Vec<(usize, LinkKey)> = sidecar.links.iter().map(|(r, l)| (*r, *l)).collect();
         for (router, link) in links {
-            let (grants, report) = self.nodes[server].admission.poll_response(link, self.now);
+            let (grants, report) = self.sidecars[server]
+                .admission
+                .poll_response(link, self.now);
             if let Some(report) = report {
-                let incarnation = self.nodes[server].incarnation;
+                let incarnation = self.sidecars[server].incarnation;
                 self.collect(router, incarnation, &report);
-                self.nodes[server].counted.insert(router, report.sequence);
-                self.at(2 * HOP, Event::Poll { router, server });
+                self.sidecars[server]
+                    .counted
+                    .insert(router, report.sequence);
+                self.schedule(2 * HOP_MS, Event::Poll { router, server });
             }
             for grant in grants {
                 self.grant(router, server, grant);
@@ -265,8 +272,8 @@
     fn grant(&mut self, router: usize, server: usize, grant: Grant) {
         let customer = self.customers[&grant.customer];
         let (server_event, grant) = (server, grant.id);
-        self.at(
-            2 * HOP,
+        self.schedule(
+            2 * HOP_MS,
             Event::Arrive {
                 router,
                 server: server_event,
@@ -276,13 +283,13 @@
         );
     }
 
-    /// Slots in use, and all.
-    pub fn busy(&self) -> (u64, u64) {
-        let busy = self
-            .nodes
+    /// Number of slots in use, and of all slots.
+    pub fn slot_usage(&self) -> (u64, u64) {
+        let in_use = self
+            .sidecars
             .iter()
-            .map(|node| node.admission.running_count() as u64);
-        let slots = self.shape.servers as u64 * u64::from(self.shape.slots);
-        (busy.sum(), slots)
+            .map(|sidecar| sidecar.admission.running_count() as u64);
+        let slots = self.params.servers as u64 * u64::from(self.params.slots);
+        (in_use.sum(), slots)
     }
 }
--- a/crates/decide/tests/admission/world/shape.rs
+++ b/crates/decide/tests/admission/simulation/params.rs
@@ -1,31 +1,31 @@
-//! Sizes of a run and what is configured in it.
+//! Simulation parameters and the configuration built from them.
 
 use mulberryyoke_model::{Change, Class, Config, Customer, Millis, Object, Server, State};
 
 pub const POOL: &str = "llama";
 
-/// Sizes and faults of a run.
+/// Simulation parameters.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct Params {
     pub seed: u64,
     pub servers: usize,
     pub slots: u32,
     pub routers: usize,
     pub customers: u32,
-    /// Servers that each router is linked to.
-    pub subset: usize,
-    /// Servers that the sidecars take for the pool's.
-    pub reach: usize,
-    /// How late the sidecars take peers' counts to be, in milliseconds.
-    pub assumed: Millis,
-    /// Time between two exchanges of the routers, in milliseconds.
-    pub lag: Millis,
-    /// Faults in each million events.
-    pub faults: f64,
-    /// The only kind of fault, if not all.
-    pub only: Option<u32>,
-    /// Whether every other customer hints a tenth of its cost.
-    pub cheats: bool,
+    /// Number of servers linked to each router.
+    pub links_per_router: usize,
+    /// Number of servers in the configuration of the pool.
+    pub configured_servers: usize,
+    /// Age of peer counts as told to the sidecars, in milliseconds.
+    pub assumed_lag: Millis,
+    /// Interval of the exchanges between routers, in milliseconds.
+    pub exchange_interval: Millis,
+    /// Mean number of faults per million events.
+    pub faults_per_million: f64,
+    /// Restricts faults to one kind.
+    pub fault_kind: Option<u32>,
+    /// Whether every other customer hints a tenth of its actual cost.
+    pub underestimates: bool,
 }
 
 pub fn share(customer: u32) -> u32 {
@@ -36,7 +36,7 @@
     format!("c{customer}")
 }
 
-pub fn config(shape: Shape) -> Config {
+pub fn config(params: Params) -> Config {
     let mut config = Config::default();
     let mut put = |object: Object| {
         let revision = config.revision + 1;
@@ -46,7 +46,7 @@
             object: Some(object),
         });
     };
-    for customer in 0..shape.customers {
+    for customer in 0..params.customers {
         put(Object::Customer(Customer {
             name: name(customer),
             share: share(customer),
@@ -55,7 +55,7 @@
             queue: None,
         }));
     }
-    for server in 0..shape.reach {
+    for server in 0..params.configured_servers {
         let any = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
         put(Object::Server(Server {
             name: format!("s{server}"),
@@ -64,7 +64,7 @@
             zone: "z".to_owned(),
             control: any,
             data: any,
-            slots: shape.slots,
+            slots: params.slots,
             state: State::Active,
             added_at: 1,
             changed_at: 1,
--- a/crates/decide/tests/admission/world/request.rs
+++ b/crates/decide/tests/admission/simulation/request.rs
@@ -1,23 +1,25 @@
-//! Requests of a run.
+//! Simulated requests.
 
 use mulberryyoke_decide::admission::{Decision, Termination};
 use mulberryyoke_model::{Attempt, Class, Ticket};
 use rand::RngExt;
 
-use super::{Event, METER, TOKEN, World};
+use super::{Event, METER_MS, Simulation, TOKEN_MS};
 
-impl World {
+impl Simulation {
     pub(super) fn arrive(&mut self, router: usize, server: usize, customer: u32, grant: u64) {
-        let Some(link) = self.nodes[server].links.get(&router).copied() else {
+        let Some(link) = self.sidecars[server].links.get(&router).copied() else {
             return;
         };
         let interest = self.interest_of(customer);
         if self.rng.random_bool(0.02) {
             self.declined += 1;
-            let node = &mut self.nodes[server];
-            node.admission.declare(link, false, &[interest], self.now);
-            node.admission.decline(link, &[grant], self.now);
-            return self.flush(server);
+            let sidecar = &mut self.sidecars[server];
+            sidecar
+                .admission
+                .declare(link, false, &[interest], self.now);
+            sidecar.admission.decline(link, &[grant], self.now);
+            return self.deliver(server);
         }
         let cost = self.cost();
         let origin = &mut self.routers[router];
@@ -37,17 +39,21 @@
             grant: Some(grant),
             key: None,
         };
-        let node = &mut self.nodes[server];
-        node.admission.declare(link, false, &[interest], self.now);
-        if node.admission.admit(&ticket, self.now) == Decision::Started {
-            node.left.insert(attempt, (customer, u64::from(cost)));
+        let sidecar = &mut self.sidecars[server];
+        sidecar
+            .admission
+            .declare(link, false, &[interest], self.now);
+        if sidecar.admission.admit(&ticket, self.now) == Decision::Started {
+            sidecar
+                .remaining
+                .insert(attempt, (customer, u64::from(cost)));
             self.started += 1;
-            self.at(METER, Event::Progress { server, attempt });
+            self.schedule(METER_MS, Event::Progress { server, attempt });
         }
-        self.flush(server);
+        self.deliver(server);
     }
 
-    /// Log-normal with a mean near 430 tokens.
+    /// Approximately log-normal with a mean of about 430 tokens.
     fn cost(&mut self) -> u32 {
         let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
         let cost = (5.7 + 0.85 * normal).exp();
@@ -61,21 +67,22 @@
     }
 
     pub(super) fn progress(&mut self, server: usize, attempt: Attempt) {
-        let node = &mut self.nodes[server];
-        let Some((customer, left)) = node.left.get_mut(&attempt) else {
+        let sidecar = &mut self.sidecars[server];
+        let Some((customer, remaining)) = sidecar.remaining.get_mut(&attempt) else {
             return;
         };
-        let tokens = (METER / TOKEN).min(*left);
-        *left -= tokens;
+        let tokens = (METER_MS / TOKEN_MS).min(*remaining);
+        *remaining -= tokens;
         self.service[*customer as usize] += tokens;
-        let done = *left == 0;
-        node.admission.meter(attempt, tokens);
+        let done = *remaining == 0;
+        sidecar.admission.meter(attempt, tokens);
         if !done {
-            return self.at(METER, Event::Progress { server, attempt });
+            return self.schedule(METER_MS, Event::Progress { server, attempt });
         }
-        node.left.remove(&attempt);
-        node.admission
+        sidecar.remaining.remove(&attempt);
+        sidecar
+            .admission
             .end(attempt, Termination::Complete(None), self.now);
-        self.flush(server);
+        self.deliver(server);
     }
 }
--- a/crates/decide/tests/admission/table.rs
+++ b/crates/decide/tests/admission/table.rs
@@ -1,4 +1,4 @@
-//! Small decisions in tables.
+//! Table-driven tests.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::account::{CHARGE_LEAD, Charge, CostCorrection};
@@ -7,9 +7,8 @@
 use mulberryyoke_model::{CustomerId, Incarnation, Interest, KeyId, Kind, PoolId, ServerId};
 
 #[gtest]
-fn charge_keeps_ahead_of_the_stream_up_to_the_estimate() {
-    // Estimate, streamed parts, charged at the start, on top in all, given back at
-    // the end.
+fn charge_leads_the_stream_up_to_the_estimate() {
+    // Estimate, streamed parts, initial charge, additional charge, refund.
     let cases: [(u64, &[u64], u64, u64, u64); 6] = [
         (100, &[], 100, 0, 100),
         (100, &[40, 60], 100, 0, 0),
@@ -28,7 +27,7 @@
 }
 
 #[gtest]
-fn hints_that_are_always_off_are_corrected() {
+fn constant_hint_error_is_corrected() {
     for (hint, cost) in [(43, 430), (4_300, 430), (430, 430)] {
         let mut learnt = CostCorrection::default();
         for _ in 0..100 {
@@ -39,14 +38,14 @@
 }
 
 #[gtest]
-fn what_is_known_of_a_key_by_what_the_earlier_life_left() {
+fn key_state_after_restart_by_prior_record() {
     let router = Incarnation(7);
     let key = KeyId(1);
     let closed = PriorRecord::Closed(vec![
         (key, SavedState::Completed),
         (KeyId(2), SavedState::Withdrawn),
     ]);
-    // What was left, whether the router has told, what is known of the key.
+    // Prior record, whether the router has reported, expected key state.
     let cases = [
         (None, false, KeyState::Indeterminate),
         (Some(PriorRecord::Absent), false, KeyState::Unknown),
@@ -69,67 +68,67 @@
         ),
         (Some(PriorRecord::Unreadable), true, KeyState::Indeterminate),
     ];
-    for (past, told, seen) in cases {
-        let mut memory = Store::new(1_000, 0);
-        if let Some(past) = &past {
-            memory.restore(past, 1);
+    for (prior, reported, state) in cases {
+        let mut store = Store::new(1_000, 0);
+        if let Some(prior) = &prior {
+            store.restore(prior, 1);
         }
-        if told {
-            memory.add_sent_keys(router, true, &[KeyId(3)], 2);
+        if reported {
+            store.add_sent_keys(router, true, &[KeyId(3)], 2);
         }
-        expect_that!(memory.state(key, 3), eq(&seen), "{past:?} {told}");
+        expect_that!(store.state(key, 3), eq(&state), "{prior:?} {reported}");
         expect_that!(
-            memory.state(KeyId(9), 1_002),
+            store.state(KeyId(9), 1_002),
             eq(&KeyState::Unknown),
-            "{past:?} {told}"
+            "{prior:?} {reported}"
         );
     }
 }
 
 #[gtest]
-fn router_that_cannot_tell_all_leaves_doubt() {
-    let mut memory = Store::new(1_000, 0);
-    memory.add_sent_keys(Incarnation(7), false, &[], 1);
-    memory.restore(&PriorRecord::Open(vec![Incarnation(7)]), 2);
-    expect_that!(memory.state(KeyId(1), 3), eq(&KeyState::Indeterminate));
-    expect_that!(memory.saved_states(3), none());
+fn incomplete_report_keeps_recovery_pending() {
+    let mut store = Store::new(1_000, 0);
+    store.add_sent_keys(Incarnation(7), false, &[], 1);
+    store.restore(&PriorRecord::Open(vec![Incarnation(7)]), 2);
+    expect_that!(store.state(KeyId(1), 3), eq(&KeyState::Indeterminate));
+    expect_that!(store.saved_states(3), none());
 }
 
 #[gtest]
-fn memory_of_keys_is_bounded() {
-    let mut memory = Store::new(1_000, 0);
-    memory.restore(&PriorRecord::Absent, 0);
+fn key_count_is_bounded() {
+    let mut store = Store::new(1_000, 0);
+    store.restore(&PriorRecord::Absent, 0);
     let mut count = 0;
-    while memory.full_until(5).is_none() {
+    while store.full_until(5).is_none() {
         count += 1;
-        memory.record(KeyId(count), KeyState::Interrupted, 5);
+        store.record(KeyId(count), KeyState::Interrupted, 5);
     }
     expect_that!(count, eq(65_536));
-    expect_that!(memory.full_until(5), some(eq(1_005)));
-    expect_that!(memory.full_until(1_005), none());
+    expect_that!(store.full_until(5), some(eq(1_005)));
+    expect_that!(store.full_until(1_005), none());
 }
 
 #[gtest]
-fn memory_of_answers_is_bounded() {
-    let mut memory = Store::new(1_000, 0);
-    memory.restore(&PriorRecord::Absent, 0);
-    let answer = Response {
+fn response_memory_is_bounded() {
+    let mut store = Store::new(1_000, 0);
+    store.restore(&PriorRecord::Absent, 0);
+    let response = Response {
         body: vec![0; 60_000],
         ..Response::default()
     };
     for key in 0..1_000 {
-        memory.record(
+        store.record(
             KeyId(key),
-            KeyState::Completed(Some(answer.clone().into())),
+            KeyState::Completed(Some(response.clone().into())),
             5,
         );
     }
-    let kept = (0..1_000).filter(|key| memory.state(KeyId(*key), 6) != KeyState::Completed(None));
-    expect_that!(kept.count(), all![gt(200), lt(300)]);
+    let stored = (0..1_000).filter(|key| store.state(KeyId(*key), 6) != KeyState::Completed(None));
+    expect_that!(stored.count(), all![gt(200), lt(300)]);
 }
 
 #[gtest]
-fn without_order_all_that_waits_starts_at_once() {
+fn immediate_scheduling_grants_every_waiting_request() {
     let mut admission = Admission::new(Setup {
         server: ServerId(1),
         pool: PoolId(1),
