--- a/crates/decide/tests/admission/session/mod.rs
+++ b/crates/decide/tests/admission/session/mod.rs
@@ -12,7 +12,7 @@
     Object, PoolId, ServerId, Usage,
 };
 
-use read::{Words, attempt, ending, interest, origin, server, ticket};
+use read::{Words, attempt, interest, origin, server, termination, ticket};
 
 /// Runs a session and returns it with the results of each event.
 pub fn run(text: &str) -> String {
@@ -24,7 +24,7 @@
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        for outcome in session.event(line) {
+        for outcome in session.apply(line) {
             writeln!(log, "> {outcome}").expect("writing to a string succeeds");
         }
     }
@@ -59,15 +59,15 @@
     }
 
     /// Applies one event: time, name, arguments.
-    fn event(&mut self, line: &str) -> Vec<String> {
+    fn apply(&mut self, line: &str) -> Vec<String> {
         let words = Words::read(line);
         self.now = words.plain[0].parse().expect("time");
-        let mut outcomes = self.act(&words);
-        outcomes.extend(self.grants());
+        let mut outcomes = self.run_event(&words);
+        outcomes.extend(self.respond_all());
         outcomes
     }
 
-    fn act(&mut self, words: &Words) -> Vec<String> {
+    fn run_event(&mut self, words: &Words) -> Vec<String> {
         let now = self.now;
         let name = words.plain.get(2).copied().unwrap_or_default();
         let admission = &mut self.admission;
@@ -93,10 +93,10 @@
             "arrive" => return vec![format!("{:?}", admission.admit(&ticket(words), now))],
             "meter" => admission.meter(attempt(name), words.number("tokens").expect("tokens")),
             "end" => {
-                let ending = ending(words);
+                let termination = termination(words);
                 return vec![format!(
                     "{} tokens",
-                    admission.end(attempt(name), ending, now)
+                    admission.end(attempt(name), termination, now)
                 )];
             }
             "withdraw" => {
@@ -162,7 +162,7 @@
     }
 
     /// Responds to the polls of all links.
-    fn grants(&mut self) -> Vec<String> {
+    fn respond_all(&mut self) -> Vec<String> {
         self.admission.take_ready_links();
         let names: Vec<String> = self.links.keys().cloned().collect();
         names.iter().flat_map(|name| self.respond(name)).collect()
--- a/crates/decide/tests/admission/session/read.rs
+++ b/crates/decide/tests/admission/session/read.rs
@@ -45,15 +45,15 @@
 }
 
 pub fn server(name: String, words: &Words) -> Server {
-    let any = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
+    let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let draining = words.plain.contains(&"draining");
     Server {
         name,
         pool: "llama".to_owned(),
         region: String::new(),
         zone: "z".to_owned(),
-        control: any,
-        data: any,
+        control: address,
+        data: address,
         slots: words.number("slots").unwrap_or(2),
         state: if draining {
             State::Draining
@@ -93,7 +93,7 @@
     }
 }
 
-pub fn ending(words: &Words) -> Termination {
+pub fn termination(words: &Words) -> Termination {
     match words.plain.get(3).copied().unwrap_or("whole") {
         "cut" => Termination::Interrupted,
         "unsent" => Termination::Unsent,
--- a/crates/decide/tests/admission/simulation/exchange.rs
+++ b/crates/decide/tests/admission/simulation/exchange.rs
@@ -32,23 +32,23 @@
     pub(super) fn collect(&mut self, router: usize, sidecar: Incarnation, report: &Report) {
         let customers = self.customers.clone();
         let router = &mut self.routers[router];
-        let (sequence, held) = router.reports.entry(sidecar).or_default();
-        let follows = report.sequence == *sequence + 1;
+        let (sequence, last) = router.reports.entry(sidecar).or_default();
+        let is_consecutive = report.sequence == *sequence + 1;
         *sequence = report.sequence;
         let none = vec![0; customers.len()];
         let counts = router.counts.entry(router.incarnation).or_insert(none);
         for usage in &report.usage {
-            let held = held.entry(usage.customer).or_default();
-            if follows {
-                counts[customers[&usage.customer] as usize] += usage.tokens - *held;
+            let last = last.entry(usage.customer).or_default();
+            if is_consecutive {
+                counts[customers[&usage.customer] as usize] += usage.tokens - *last;
             }
-            *held = usage.tokens;
+            *last = usage.tokens;
         }
     }
 
     pub(super) fn exchange(&mut self) {
-        let each = self.routers.iter();
-        let shared: Vec<_> = each
+        let routers = self.routers.iter();
+        let shared: Vec<_> = routers
             .map(|router| (router.partitioned, router.counts.clone()))
             .collect();
         for router in &mut self.routers {
@@ -56,12 +56,12 @@
                 .iter()
                 .filter(|(partitioned, _)| *partitioned == router.partitioned);
             for (origin, counts) in received.flat_map(|(_, counts)| counts) {
-                let held = router
+                let current = router
                     .counts
                     .entry(*origin)
                     .or_insert_with(|| counts.clone());
-                for (held, count) in held.iter_mut().zip(counts) {
-                    *held = (*held).max(*count);
+                for (current, count) in current.iter_mut().zip(counts) {
+                    *current = (*current).max(*count);
                 }
             }
         }
--- a/crates/decide/tests/admission/simulation/fault.rs
+++ b/crates/decide/tests/admission/simulation/fault.rs
@@ -5,7 +5,7 @@
 use super::{Sidecar, Simulation};
 
 impl Simulation {
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         self.faults += 1;
         let server = self.rng.random_range(0..self.params.servers);
         let router = self.rng.random_range(0..self.params.routers);
--- a/crates/decide/tests/admission/simulation/gap.rs
+++ b/crates/decide/tests/admission/simulation/gap.rs
@@ -49,15 +49,15 @@
     /// Largest gap between two customers over any window, in tokens per unit of
     /// share, and relative to the mean service in the whole run.
     pub fn largest(&self) -> (f64, f64) {
-        let widths = self.pairs.iter().map(|(low, high)| high - low);
-        let widest = widths.fold(0.0, f64::max);
-        let given = self
+        let gaps = self.pairs.iter().map(|(low, high)| high - low);
+        let largest = gaps.fold(0.0, f64::max);
+        let served = self
             .last
             .iter()
             .zip(&self.first)
             .map(|(last, first)| last - first);
-        let mean = given.sum::<f64>() / to_f64(self.last.len() as u64);
-        (widest, widest / mean)
+        let mean = served.sum::<f64>() / to_f64(self.last.len() as u64);
+        (largest, largest / mean)
     }
 
     /// Mean over all windows of `window` samples of the largest gap relative to the
@@ -65,10 +65,10 @@
     pub fn mean_relative_gap(&self, window: usize) -> f64 {
         let windows = self.samples.iter().zip(self.samples.iter().skip(window));
         let gaps = windows.map(|(from, to)| {
-            let given = to.iter().zip(from).map(|(to, from)| to - from);
-            let max = given.clone().fold(f64::MIN, f64::max);
-            let min = given.clone().fold(f64::MAX, f64::min);
-            (max - min) * to_f64(from.len() as u64) / given.sum::<f64>()
+            let served = to.iter().zip(from).map(|(to, from)| to - from);
+            let max = served.clone().fold(f64::MIN, f64::max);
+            let min = served.clone().fold(f64::MAX, f64::min);
+            (max - min) * to_f64(from.len() as u64) / served.sum::<f64>()
         });
         let gaps: Vec<f64> = gaps.collect();
         gaps.iter().sum::<f64>() / to_f64(gaps.len().max(1) as u64)
--- a/crates/decide/tests/admission/simulation/mod.rs
+++ b/crates/decide/tests/admission/simulation/mod.rs
@@ -241,7 +241,7 @@
             .rng
             .random_bool(self.params.faults_per_million / 1_000_000.0)
         {
-            self.fault();
+            self.inject_fault();
         }
         self.now
     }
--- a/crates/decide/tests/admission/simulation/params.rs
+++ b/crates/decide/tests/admission/simulation/params.rs
@@ -56,14 +56,14 @@
         }));
     }
     for server in 0..params.configured_servers {
-        let any = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
+        let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
         put(Object::Server(Server {
             name: format!("s{server}"),
             pool: POOL.to_owned(),
             region: String::new(),
             zone: "z".to_owned(),
-            control: any,
-            data: any,
+            control: address,
+            data: address,
             slots: params.slots,
             state: State::Active,
             added_at: 1,
