--- a/crates/decide/src/key.rs
+++ b/crates/decide/src/key.rs
@@ -1,19 +1,19 @@
-//! Idempotency keys at their home: what this life of the sidecar has seen, and
-//! what an earlier life may have.
+//! Idempotency keys at the server responsible for them: the keys that this
+//! sidecar has handled, and those that an earlier incarnation may have started.
 //!
-//! A key runs once because its memory is in the process that starts it. What an
-//! earlier life started is known from the record that it left in the key-value
-//! service at a planned stop, or else from the routers that sent it keys:
-//! [`Doubt`] keeps count. `docs/design/outcomes.md` has the cases.
+//! Each key runs at most once because its state is kept in the process that
+//! starts the request. After a restart, [`Recovery`] collects the keys started
+//! earlier: from the record that a planned stop leaves in the key-value service,
+//! or else from the routers that sent them. See `docs/design/outcomes.md`.
 
-mod answer;
-mod doubt;
-mod mark;
-mod memory;
+mod recovery;
+mod response;
 mod routers;
+mod saved_state;
+mod store;
 
-pub use answer::Answer;
-pub use doubt::{Doubt, Past};
-pub use mark::Mark;
-pub use memory::{Memory, Seen};
+pub use recovery::{PriorRecord, Recovery};
+pub use response::Response;
 pub use routers::Routers;
+pub use saved_state::SavedState;
+pub use store::{KeyState, Store};
--- a/crates/decide/tests/admission/random/model.rs
+++ b/crates/decide/tests/admission/random/model.rs
@@ -1,9 +1,11 @@
-//! What must hold of every attempt and key.
+//! Model of the guarantees for attempts and keys.
 
 use std::collections::{HashMap, HashSet};
 
-use mulberryyoke_decide::admission::{Admission, Arrival, Ending, LinkKey, Setup, Sharing};
-use mulberryyoke_decide::key::Past;
+use mulberryyoke_decide::admission::{
+    Admission, Decision, LinkKey, Scheduling, Setup, Termination,
+};
+use mulberryyoke_decide::key::PriorRecord;
 use mulberryyoke_model::{
     Attempt, Class, CustomerId, Grant, Incarnation, Interest, KeyId, Kind, Millis, Outcome, PoolId,
     ServerId, Ticket,
@@ -14,7 +16,7 @@
 const SLOTS: u32 = 3;
 const RETENTION: Millis = 5_000;
 
-/// An event.
+/// Operation of a session.
 #[derive(Clone, Debug)]
 pub enum Op {
     Wait(u16),
@@ -52,7 +54,7 @@
     Down(bool),
 }
 
-/// A sidecar and what it has promised.
+/// A sidecar and the outcomes that it has returned.
 pub struct Model {
     admission: Admission,
     now: Millis,
@@ -61,15 +63,15 @@
     next: Vec<u64>,
     running: Vec<(Attempt, Option<KeyId>)>,
     started: HashSet<Attempt>,
-    barred: HashSet<Attempt>,
-    /// Keys that reached the backend, by when they may be forgotten.
+    withdrawn: HashSet<Attempt>,
+    /// Keys that reached the backend, with their expiry.
     keys: HashMap<KeyId, Millis>,
-    /// Keys told as not run, by until when they must not start.
-    bars: HashMap<KeyId, Millis>,
+    /// Withdrawn keys, with the end of the withdrawal.
+    withdrawn_keys: HashMap<KeyId, Millis>,
 }
 
 impl Model {
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         let setup = Setup {
             server: ServerId(1),
             pool: PoolId(1),
@@ -77,12 +79,12 @@
             incarnation: Incarnation(1),
             started_at: 0,
             slots: SLOTS,
-            sharing: Sharing::Fair,
+            scheduling: Scheduling::Fair,
             retention_ms: RETENTION,
         };
-        let mut admission = Admission::open(setup);
+        let mut admission = Admission::new(setup);
         let routers: Vec<Incarnation> = (0..LINKS).map(origin).collect();
-        admission.open_home(&Past::None, &routers, 0);
+        admission.restore_record(&PriorRecord::Absent, &routers, 0);
         let mut model = Self {
             admission,
             now: 1,
@@ -91,9 +93,9 @@
             next: vec![0; LINKS],
             running: Vec::new(),
             started: HashSet::new(),
-            barred: HashSet::new(),
+            withdrawn: HashSet::new(),
             keys: HashMap::new(),
-            bars: HashMap::new(),
+            withdrawn_keys: HashMap::new(),
         };
         for link in 0..LINKS {
             let key = model.connect(link);
@@ -104,7 +106,7 @@
 
     fn connect(&mut self, link: usize) -> LinkKey {
         let key = self.admission.connect();
-        self.admission.introduce(key, origin(link), self.now);
+        self.admission.identify_router(key, origin(link), self.now);
         self.grants[link].clear();
         key
     }
@@ -150,18 +152,18 @@
             }
             Op::End { index, how } => self.end(index, how),
             Op::Withdraw { link, ahead, key } => self.withdraw(link, ahead, key),
-            Op::Down(down) => self.admission.set_down(down, self.now),
+            Op::Down(down) => self.admission.set_backend_down(down, self.now),
         }
         self.collect();
-        assert_eq!(self.admission.running(), self.running.len());
-        let used = self.admission.running() + self.admission.reserved();
+        assert_eq!(self.admission.running_count(), self.running.len());
+        let used = self.admission.running_count() + self.admission.reserved_count();
         assert!(used <= SLOTS as usize);
     }
 
     fn collect(&mut self) {
-        self.admission.take_woken();
+        self.admission.take_ready_links();
         for (link, key) in self.links.iter().enumerate() {
-            let (grants, _) = self.admission.answer(*key, self.now);
+            let (grants, _) = self.admission.poll_response(*key, self.now);
             self.grants[link].extend(grants);
         }
     }
@@ -188,19 +190,19 @@
             grant: grant.map(|grant| grant.id),
             key: key.map(KeyId),
         };
-        if self.admission.arrive(&ticket, self.now) != Arrival::Started {
+        if self.admission.admit(&ticket, self.now) != Decision::Started {
             return;
         }
         assert!(self.started.insert(attempt), "{attempt:?} started twice");
         assert!(
-            !self.barred.contains(&attempt),
+            !self.withdrawn.contains(&attempt),
             "{attempt:?} started after its withdrawal"
         );
         if let Some(key) = ticket.key {
-            assert!(!is_held(&self.keys, key, self.now), "{key:?} started twice");
+            assert!(!is_live(&self.keys, key, self.now), "{key:?} started twice");
             assert!(
-                !is_held(&self.bars, key, self.now),
-                "{key:?} started after all"
+                !is_live(&self.withdrawn_keys, key, self.now),
+                "{key:?} started after its withdrawal"
             );
             self.keys.insert(key, Millis::MAX);
         }
@@ -213,9 +215,9 @@
         };
         self.running.retain(|(running, _)| *running != attempt);
         let ending = match how {
-            0 => Ending::Unsent,
-            1 => Ending::Cut,
-            _ => Ending::Whole(None),
+            0 => Termination::Unsent,
+            1 => Termination::Interrupted,
+            _ => Termination::Complete(None),
         };
         if let Some(key) = key {
             let until = if how == 0 { 0 } else { self.now + RETENTION };
@@ -232,26 +234,29 @@
             number: 0,
         };
         let key = key.map(KeyId);
-        let (outcome, doubtful) = self.admission.withdraw(attempt, key, self.now);
-        assert!(!doubtful, "nothing is in doubt in this life");
+        let (outcome, is_indeterminate) = self.admission.withdraw(attempt, key, self.now);
+        assert!(
+            !is_indeterminate,
+            "the first incarnation has no indeterminate keys"
+        );
         if outcome != Outcome::NotRun {
             return;
         }
-        self.barred.insert(attempt);
+        self.withdrawn.insert(attempt);
         let Some(key) = key else {
             return;
         };
         assert!(
-            !is_held(&self.keys, key, self.now),
-            "{key:?} told as not run"
+            !is_live(&self.keys, key, self.now),
+            "{key:?} withdrawn after its start"
         );
-        if !is_held(&self.bars, key, self.now) {
-            self.bars.insert(key, self.now + RETENTION);
+        if !is_live(&self.withdrawn_keys, key, self.now) {
+            self.withdrawn_keys.insert(key, self.now + RETENTION);
         }
     }
 }
 
-fn is_held(until: &HashMap<KeyId, Millis>, key: KeyId, now: Millis) -> bool {
+fn is_live(until: &HashMap<KeyId, Millis>, key: KeyId, now: Millis) -> bool {
     until.get(&key).is_some_and(|until| *until > now)
 }
 
--- a/crates/decide/tests/admission/session/mod.rs
+++ b/crates/decide/tests/admission/session/mod.rs
@@ -1,32 +1,31 @@
-//! Whole sessions of one sidecar as text: a line for each event, then what came
-//! of it.
+//! Text sessions of one sidecar: one line per event, followed by its results.
 
 mod read;
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use mulberryyoke_decide::admission::{Admission, Due, LinkKey, Setup, Sharing};
-use mulberryyoke_decide::key::Past;
+use mulberryyoke_decide::admission::{Admission, Due, LinkKey, Scheduling, Setup};
+use mulberryyoke_decide::key::PriorRecord;
 use mulberryyoke_model::{
     Change, Class, Config, Customer, CustomerId, Incarnation, Interest, KeyId, Kind, Millis,
     Object, PoolId, ServerId, Usage,
 };
 
-use read::{Words, attempt, ending, interest, origin, server, ticket};
+use read::{Words, attempt, interest, origin, server, termination, ticket};
 
-/// Runs a session and returns it with what comes of each event.
+/// Runs a session and returns it with the results of each event.
 pub fn run(text: &str) -> String {
-    let mut session = Session::open();
+    let mut session = Session::new();
     let mut log = String::new();
     let events = text.lines().filter(|line| !line.starts_with('>'));
     for line in events {
-        writeln!(log, "{line}").expect("text grows");
+        writeln!(log, "{line}").expect("writing to a string succeeds");
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        for outcome in session.event(line) {
-            writeln!(log, "> {outcome}").expect("text grows");
+        for outcome in session.apply(line) {
+            writeln!(log, "> {outcome}").expect("writing to a string succeeds");
         }
     }
     log
@@ -40,7 +39,7 @@
 }
 
 impl Session {
-    fn open() -> Self {
+    fn new() -> Self {
         let setup = Setup {
             server: ServerId::of("m1"),
             pool: PoolId::of("llama"),
@@ -48,27 +47,27 @@
             incarnation: Incarnation(1),
             started_at: 0,
             slots: 2,
-            sharing: Sharing::Fair,
+            scheduling: Scheduling::Fair,
             retention_ms: 10_000,
         };
         Self {
-            admission: Admission::open(setup),
+            admission: Admission::new(setup),
             links: BTreeMap::new(),
             config: Config::default(),
             now: 0,
         }
     }
 
-    /// Takes one event: time, word, arguments.
-    fn event(&mut self, line: &str) -> Vec<String> {
+    /// Applies one event: time, name, arguments.
+    fn apply(&mut self, line: &str) -> Vec<String> {
         let words = Words::read(line);
         self.now = words.plain[0].parse().expect("time");
-        let mut outcomes = self.act(&words);
-        outcomes.extend(self.grants());
+        let mut outcomes = self.run_event(&words);
+        outcomes.extend(self.respond_all());
         outcomes
     }
 
-    fn act(&mut self, words: &Words) -> Vec<String> {
+    fn run_event(&mut self, words: &Words) -> Vec<String> {
         let now = self.now;
         let name = words.plain.get(2).copied().unwrap_or_default();
         let admission = &mut self.admission;
@@ -76,7 +75,7 @@
             "customer" | "server" => self.configure(words),
             "connect" => {
                 let link = admission.connect();
-                admission.introduce(link, origin(name), now);
+                admission.identify_router(link, origin(name), now);
                 self.links.insert(name.to_owned(), link);
             }
             "disconnect" => {
@@ -91,13 +90,13 @@
                 let grant = words.number("grant").expect("grant");
                 admission.decline(self.links[name], &[grant], now);
             }
-            "arrive" => return vec![format!("{:?}", admission.arrive(&ticket(words), now))],
+            "arrive" => return vec![format!("{:?}", admission.admit(&ticket(words), now))],
             "meter" => admission.meter(attempt(name), words.number("tokens").expect("tokens")),
             "end" => {
-                let ending = ending(words);
+                let termination = termination(words);
                 return vec![format!(
                     "{} tokens",
-                    admission.end(attempt(name), ending, now)
+                    admission.end(attempt(name), termination, now)
                 )];
             }
             "withdraw" => {
@@ -109,24 +108,28 @@
                 return vec![format!("{:?}", admission.outcome(attempt(name), key, now))];
             }
             "poll" => return self.poll(name, words),
-            "home" => admission.open_home(&Past::Open(vec![origin(name)]), &[origin(name)], now),
-            "first" => admission.open_home(&Past::None, &[], now),
-            "name" => admission.name_routers(&[origin(name)], now),
-            "recall" => {
+            "restore" => admission.restore_record(
+                &PriorRecord::Open(vec![origin(name)]),
+                &[origin(name)],
+                now,
+            ),
+            "new" => admission.restore_record(&PriorRecord::Absent, &[], now),
+            "register" => admission.register_routers(&[origin(name)], now),
+            "sent" => {
                 let keys: Vec<KeyId> = words.number("key").map(KeyId).into_iter().collect();
-                admission.recall(origin(name), true, &keys, now);
+                admission.add_sent_keys(origin(name), true, &keys, now);
             }
             "show" => {
                 let ledger = admission.ledger();
                 let account = ledger.find(CustomerId::of(name)).expect("known");
                 let service = ledger.virtual_service(account) / 256;
-                return vec![format!("{service} tokens for each unit of share")];
+                return vec![format!("{service} tokens per unit of share")];
             }
             "tick" => admission.tick(now),
-            "down" => admission.set_down(true, now),
-            "up" => admission.set_down(false, now),
+            "down" => admission.set_backend_down(true, now),
+            "up" => admission.set_backend_down(false, now),
             "stop" => admission.stop(),
-            other => panic!("no such event: {other}"),
+            other => panic!("unknown event: {other}"),
         }
         Vec::new()
     }
@@ -153,20 +156,20 @@
             load.free, load.draining
         )];
         if due == Due::Now {
-            lines.extend(self.answer(name));
+            lines.extend(self.respond(name));
         }
         lines
     }
 
-    /// Answers the polls of links that have grants.
-    fn grants(&mut self) -> Vec<String> {
-        self.admission.take_woken();
+    /// Responds to the polls of all links.
+    fn respond_all(&mut self) -> Vec<String> {
+        self.admission.take_ready_links();
         let names: Vec<String> = self.links.keys().cloned().collect();
-        names.iter().flat_map(|name| self.answer(name)).collect()
+        names.iter().flat_map(|name| self.respond(name)).collect()
     }
 
-    fn answer(&mut self, name: &str) -> Vec<String> {
-        let (grants, report) = self.admission.answer(self.links[name], self.now);
+    fn respond(&mut self, name: &str) -> Vec<String> {
+        let (grants, report) = self.admission.poll_response(self.links[name], self.now);
         let grants = grants.iter().map(|grant| {
             let customer = self.customer(grant.customer);
             format!(
--- a/crates/decide/tests/admission/session/read.rs
+++ b/crates/decide/tests/admission/session/read.rs
@@ -1,14 +1,14 @@
-//! Reading the lines of a session.
+//! Parser of session lines.
 
 use std::collections::BTreeMap;
 
-use mulberryyoke_decide::admission::Ending;
-use mulberryyoke_decide::key::Answer;
+use mulberryyoke_decide::admission::Termination;
+use mulberryyoke_decide::key::Response;
 use mulberryyoke_model::{
     Attempt, Class, CustomerId, Incarnation, Interest, KeyId, Server, State, Ticket,
 };
 
-/// The words of a line; `name=value` words by name.
+/// Words of a line, with `name=value` pairs by name.
 pub struct Words<'a> {
     pub plain: Vec<&'a str>,
     pub named: BTreeMap<&'a str, &'a str>,
@@ -45,15 +45,15 @@
 }
 
 pub fn server(name: String, words: &Words) -> Server {
-    let any = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
+    let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let draining = words.plain.contains(&"draining");
     Server {
         name,
         pool: "llama".to_owned(),
         region: String::new(),
         zone: "z".to_owned(),
-        control: any,
-        data: any,
+        control: address,
+        data: address,
         slots: words.number("slots").unwrap_or(2),
         state: if draining {
             State::Draining
@@ -93,11 +93,11 @@
     }
 }
 
-pub fn ending(words: &Words) -> Ending {
+pub fn termination(words: &Words) -> Termination {
     match words.plain.get(3).copied().unwrap_or("whole") {
-        "cut" => Ending::Cut,
-        "unsent" => Ending::Unsent,
-        _ => Ending::Whole(words.named.get("answer").map(|text| Answer {
+        "cut" => Termination::Interrupted,
+        "unsent" => Termination::Unsent,
+        _ => Termination::Complete(words.named.get("answer").map(|text| Response {
             status: 200,
             headers: Vec::new(),
             body: text.as_bytes().to_vec(),
--- a/crates/decide/tests/admission/table.rs
+++ b/crates/decide/tests/admission/table.rs
@@ -1,15 +1,14 @@
-//! Small decisions in tables.
+//! Table-driven tests.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::account::{CHARGE_LEAD, Charge, CostCorrection};
-use mulberryyoke_decide::admission::{Admission, Setup, Sharing};
-use mulberryyoke_decide::key::{Answer, Mark, Memory, Past, Seen};
+use mulberryyoke_decide::admission::{Admission, Scheduling, Setup};
+use mulberryyoke_decide::key::{KeyState, PriorRecord, Response, SavedState, Store};
 use mulberryyoke_model::{CustomerId, Incarnation, Interest, KeyId, Kind, PoolId, ServerId};
 
 #[gtest]
-fn charge_keeps_ahead_of_the_stream_up_to_the_estimate() {
-    // Estimate, streamed parts, charged at the start, on top in all, given back at
-    // the end.
+fn charge_leads_the_stream_up_to_the_estimate() {
+    // Estimate, streamed parts, initial charge, additional charge, refund.
     let cases: [(u64, &[u64], u64, u64, u64); 6] = [
         (100, &[], 100, 0, 100),
         (100, &[40, 60], 100, 0, 0),
@@ -28,7 +27,7 @@
 }
 
 #[gtest]
-fn hints_that_are_always_off_are_corrected() {
+fn constant_hint_error_is_corrected() {
     for (hint, cost) in [(43, 430), (4_300, 430), (430, 430)] {
         let mut learnt = CostCorrection::default();
         for _ in 0..100 {
@@ -39,90 +38,105 @@
 }
 
 #[gtest]
-fn what_is_known_of_a_key_by_what_the_earlier_life_left() {
+fn key_state_after_restart_by_prior_record() {
     let router = Incarnation(7);
     let key = KeyId(1);
-    let closed = Past::Closed(vec![(key, Mark::Ran), (KeyId(2), Mark::Barred)]);
-    // What was left, whether the router has told, what is known of the key.
+    let closed = PriorRecord::Closed(vec![
+        (key, SavedState::Completed),
+        (KeyId(2), SavedState::Withdrawn),
+    ]);
+    // Prior record, whether the router has reported, expected key state.
     let cases = [
-        (None, false, Seen::Doubtful),
-        (Some(Past::None), false, Seen::Unknown),
-        (Some(closed), false, Seen::Ran(None)),
-        (Some(Past::Open(vec![])), false, Seen::Unknown),
-        (Some(Past::Open(vec![router])), false, Seen::Doubtful),
-        (Some(Past::Open(vec![router])), true, Seen::Unknown),
+        (None, false, KeyState::Indeterminate),
+        (Some(PriorRecord::Absent), false, KeyState::Unknown),
+        (Some(closed), false, KeyState::Completed(None)),
+        (Some(PriorRecord::Open(vec![])), false, KeyState::Unknown),
         (
-            Some(Past::Open(vec![router, Incarnation(8)])),
+            Some(PriorRecord::Open(vec![router])),
+            false,
+            KeyState::Indeterminate,
+        ),
+        (
+            Some(PriorRecord::Open(vec![router])),
+            true,
+            KeyState::Unknown,
+        ),
+        (
+            Some(PriorRecord::Open(vec![router, Incarnation(8)])),
             true,
-            Seen::Doubtful,
+            KeyState::Indeterminate,
         ),
-        (Some(Past::Unreadable), true, Seen::Doubtful),
+        (Some(PriorRecord::Unreadable), true, KeyState::Indeterminate),
     ];
-    for (past, told, seen) in cases {
-        let mut memory = Memory::open(1_000, 0);
-        if let Some(past) = &past {
-            memory.read(past, 1);
+    for (prior, reported, state) in cases {
+        let mut store = Store::new(1_000, 0);
+        if let Some(prior) = &prior {
+            store.restore(prior, 1);
         }
-        if told {
-            memory.recall(router, true, &[KeyId(3)], 2);
+        if reported {
+            store.add_sent_keys(router, true, &[KeyId(3)], 2);
         }
-        expect_that!(memory.seen(key, 3), eq(&seen), "{past:?} {told}");
+        expect_that!(store.state(key, 3), eq(&state), "{prior:?} {reported}");
         expect_that!(
-            memory.seen(KeyId(9), 1_002),
-            eq(&Seen::Unknown),
-            "{past:?} {told}"
+            store.state(KeyId(9), 1_002),
+            eq(&KeyState::Unknown),
+            "{prior:?} {reported}"
         );
     }
 }
 
 #[gtest]
-fn router_that_cannot_tell_all_leaves_doubt() {
-    let mut memory = Memory::open(1_000, 0);
-    memory.recall(Incarnation(7), false, &[], 1);
-    memory.read(&Past::Open(vec![Incarnation(7)]), 2);
-    expect_that!(memory.seen(KeyId(1), 3), eq(&Seen::Doubtful));
-    expect_that!(memory.marks(3), none());
+fn incomplete_report_keeps_recovery_pending() {
+    let mut store = Store::new(1_000, 0);
+    store.add_sent_keys(Incarnation(7), false, &[], 1);
+    store.restore(&PriorRecord::Open(vec![Incarnation(7)]), 2);
+    expect_that!(store.state(KeyId(1), 3), eq(&KeyState::Indeterminate));
+    expect_that!(store.saved_states(3), none());
 }
 
 #[gtest]
-fn memory_of_keys_is_bounded() {
-    let mut memory = Memory::open(1_000, 0);
-    memory.read(&Past::None, 0);
+fn key_count_is_bounded() {
+    let mut store = Store::new(1_000, 0);
+    store.restore(&PriorRecord::Absent, 0);
     let mut count = 0;
-    while memory.room_at(5).is_none() {
+    while store.full_until(5).is_none() {
         count += 1;
-        memory.note(KeyId(count), Seen::Cut, 5);
+        store.record(KeyId(count), KeyState::Interrupted, 5);
     }
     expect_that!(count, eq(65_536));
-    expect_that!(memory.room_at(5), some(eq(1_005)));
-    expect_that!(memory.room_at(1_005), none());
+    expect_that!(store.full_until(5), some(eq(1_005)));
+    expect_that!(store.full_until(1_005), none());
 }
 
 #[gtest]
-fn memory_of_answers_is_bounded() {
-    let mut memory = Memory::open(1_000, 0);
-    memory.read(&Past::None, 0);
-    let answer = Answer {
+fn response_memory_is_bounded() {
+    let mut store = Store::new(1_000, 0);
+    store.restore(&PriorRecord::Absent, 0);
+    let response = Response {
         body: vec![0; 60_000],
-        ..Answer::default()
+        ..Response::default()
     };
     for key in 0..1_000 {
-        memory.note(KeyId(key), Seen::Ran(Some(answer.clone().into())), 5);
+        store.record(
+            KeyId(key),
+            KeyState::Completed(Some(response.clone().into())),
+            5,
+        );
     }
-    let kept = (0..1_000).filter(|key| memory.seen(KeyId(*key), 6) != Seen::Ran(None));
-    expect_that!(kept.count(), all![gt(200), lt(300)]);
+    let stored = (0..1_000).filter(|key| store.state(KeyId(*key), 6) != KeyState::Completed(None));
+    expect_that!(stored.count(), all![gt(200), lt(300)]);
 }
 
 #[gtest]
-fn without_order_all_that_waits_starts_at_once() {
-    let mut admission = Admission::open(Setup {
+fn immediate_scheduling_grants_every_waiting_request() {
+    let mut admission = Admission::new(Setup {
         server: ServerId(1),
         pool: PoolId(1),
         kind: Kind::Service,
         incarnation: Incarnation(1),
         started_at: 0,
         slots: 1,
-        sharing: Sharing::Open,
+        scheduling: Scheduling::Immediate,
         retention_ms: 1_000,
     });
     let link = admission.connect();
@@ -133,5 +147,5 @@
         since: 0,
     };
     admission.declare(link, true, &[interest], 1);
-    expect_that!(admission.answer(link, 1).0.len(), eq(5));
+    expect_that!(admission.poll_response(link, 1).0.len(), eq(5));
 }
