--- a/crates/decide/src/quarantine/record.rs
+++ b/crates/decide/src/quarantine/record.rs
@@ -1,138 +1,137 @@
-//! What is known of one request.
+//! Crash history of a single request.
 
 use mulberryyoke_model::{Digest, Millis, ServerId};
 use smallvec::SmallVec;
 
-use super::lives::Lives;
+use super::crashes::Crashes;
 use super::{Crash, Suspect, Verdict};
 
-/// Lives of servers under whose ends a request is convicted. Two are met by requests that only
-/// stood beside one that ends servers and went on elsewhere with it; a third, run apart from
-/// other suspects, is not.
+/// Number of server crashes at which a request is quarantined. A request that merely ran beside
+/// the culprit, and was retried on another server together with it, can see two; suspects are
+/// then isolated from each other, so it does not see a third.
 pub const CONVICTION_THRESHOLD: u32 = 3;
 
-/// Ends that are remembered of one request; later ones are its last ones again and again.
-const ENDS: usize = 8;
+/// Maximum number of crashes kept per request; the oldest is evicted first.
+const MAX_CRASHES: usize = 8;
 
-/// Time for which a convicted request reaches no server, in milliseconds. It doubles with each
-/// end after that. A wrong conviction costs its caller this time, a wrong acquittal one server.
-const SENTENCE_MS: u64 = 60_000;
+/// Initial quarantine time, in milliseconds. It doubles with each further crash. A false
+/// positive costs the caller this time, a false negative costs one server.
+const BASE_QUARANTINE_MS: u64 = 60_000;
 
-/// Longest such time, in milliseconds.
-const LONGEST_MS: u64 = 480_000;
+/// Maximum quarantine time, in milliseconds.
+const MAX_QUARANTINE_MS: u64 = 480_000;
 
-/// Time after its last end in which a request under suspicion is remembered, in milliseconds.
-pub(super) const REMEMBERED_MS: u64 = 600_000;
+/// Time for which a record is kept after its last crash or success, in milliseconds.
+pub(super) const RETENTION_MS: u64 = 600_000;
 
-/// What is known of one request.
+/// Crash history of a single request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
-    /// Lives that ended under it, oldest first, and when. Those before the last run that ended
-    /// well stay, so that what is heard late of them counts for nothing.
+    /// Server instances that crashed while running the request, and when; oldest first. Crashes
+    /// before the last success are kept, so that a late report of them is recognised as known.
     crashes: SmallVec<[(ServerId, Millis); 4]>,
-    survived_at: Option<Millis>,
+    succeeded_at: Option<Millis>,
     changed_at: Millis,
-    /// Since and until when one copy has the servers for itself.
-    trial: Option<(Millis, Millis)>,
+    /// Start and expiry of the exclusive probe that lets one copy of the request run.
+    probe: Option<(Millis, Millis)>,
 }
 
 impl Record {
-    /// Notes the end of a life at an instant; `false` if it was known.
-    pub(super) fn end(&mut self, server: ServerId, at: Millis, now: Millis) -> bool {
+    /// Records that a server instance crashed at `at`; returns `false` if that was known.
+    pub(super) fn record_crash(&mut self, server: ServerId, at: Millis, now: Millis) -> bool {
         if self.crashes.iter().any(|(known, _)| *known == server) {
             return false;
         }
-        if self.crashes.len() == ENDS {
+        if self.crashes.len() == MAX_CRASHES {
             self.crashes.remove(0);
         }
         self.crashes.push((server, at));
-        // An end before the trial is that of another copy.
-        self.trial = self.trial.filter(|(since, _)| at < *since);
+        // A crash before the probe started was caused by another copy.
+        self.probe = self.probe.filter(|(since, _)| at < *since);
         self.crashes.sort_by_key(|(_, at)| *at);
         self.changed_at = now;
         true
     }
 
-    /// Notes that a run ended well at an instant; `false` if a later one was known.
-    pub(super) fn survive(&mut self, at: Millis, now: Millis) -> bool {
-        if self.survived_at >= Some(at) {
+    /// Records that the request succeeded at `at`; returns `false` if a later success is known.
+    pub(super) fn record_success(&mut self, at: Millis, now: Millis) -> bool {
+        if self.succeeded_at >= Some(at) {
             return false;
         }
-        self.survived_at = Some(at);
-        self.trial = None;
+        self.succeeded_at = Some(at);
+        self.probe = None;
         self.changed_at = now;
         true
     }
 
-    /// Gives one copy the servers for itself until an instant; `false` if another has them.
-    pub(super) fn try_for(&mut self, until: Millis, now: Millis) -> bool {
-        if self.trial.is_some_and(|(_, until)| until > now) {
+    /// Starts an exclusive probe that expires at `until`; returns `false` while another one is
+    /// in progress.
+    pub(super) fn start_probe(&mut self, until: Millis, now: Millis) -> bool {
+        if self.probe.is_some_and(|(_, until)| until > now) {
             return false;
         }
-        self.trial = Some((now, until));
+        self.probe = Some((now, until));
         true
     }
 
-    /// What the request may do. An end counts unless servers ended in numbers at that moment
-    /// that did not run it.
-    pub(super) fn verdict(&self, lives: &Lives, now: Millis) -> Verdict {
-        let since = self.survived_at.unwrap_or(0);
+    /// Returns the verdict on the request. A crash that was part of a mass crash of servers
+    /// which did not run the request does not count.
+    pub(super) fn verdict(&self, all: &Crashes, now: Millis) -> Verdict {
+        let since = self.succeeded_at.unwrap_or(0);
         let is_own = |server| self.crashes.iter().any(|(own, _)| *own == server);
-        let ends = self.crashes.iter().filter(|(_, at)| *at > since);
-        let mut ends = ends.filter(|(_, at)| !lives.is_kill(*at, is_own));
-        let ended = u32::try_from(ends.clone().count()).unwrap_or(u32::MAX);
-        let Some((_, last)) = ends.next_back() else {
+        let counted = self.crashes.iter().filter(|(_, at)| *at > since);
+        let mut counted = counted.filter(|(_, at)| !all.is_mass_crash(*at, is_own));
+        let crashes = u32::try_from(counted.clone().count()).unwrap_or(u32::MAX);
+        let Some((_, last)) = counted.next_back() else {
             return Verdict::Clear;
         };
-        let until = last.saturating_add(sentence_ms(ended));
-        if ended >= CONVICTION_THRESHOLD && now < until {
-            return Verdict::Convicted {
-                crashes: ended,
-                until,
-            };
+        let until = last.saturating_add(quarantine_ms(crashes));
+        if crashes >= CONVICTION_THRESHOLD && now < until {
+            return Verdict::Convicted { crashes, until };
         }
-        Verdict::Suspect { crashes: ended }
+        Verdict::Suspect { crashes }
     }
 
-    pub(super) fn tell(&self, digest: Digest, now: Millis) -> Suspect {
-        let ends = self.crashes.iter().map(|&(server, at)| Crash {
+    pub(super) fn snapshot(&self, digest: Digest, now: Millis) -> Suspect {
+        let crashes = self.crashes.iter().map(|&(server, at)| Crash {
             server,
             age_ms: now.saturating_sub(at),
         });
         Suspect {
             digest,
-            crashes: ends.collect(),
-            success_age_ms: self.survived_at.map(|at| now.saturating_sub(at)),
+            crashes: crashes.collect(),
+            success_age_ms: self.succeeded_at.map(|at| now.saturating_sub(at)),
         }
     }
 
-    /// Takes in what another gateway knows; `true` if that changed something.
+    /// Merges a report from another gateway; returns `true` if that changed the record.
     pub(super) fn merge(&mut self, suspect: &Suspect, now: Millis) -> bool {
         let mut is_changed = false;
-        for end in &suspect.crashes {
-            is_changed |= self.end(end.server, now.saturating_sub(end.age_ms), now);
+        for crash in &suspect.crashes {
+            is_changed |= self.record_crash(crash.server, now.saturating_sub(crash.age_ms), now);
         }
         if let Some(age_ms) = suspect.success_age_ms {
-            is_changed |= self.hear_survived(now.saturating_sub(age_ms), now);
+            is_changed |= self.merge_success(now.saturating_sub(age_ms), now);
         }
         is_changed
     }
 
-    /// Notes that another gateway saw a run end well. What clears nothing is no change: as
-    /// messages take time, one instant looks a little later each time that it is told.
-    fn hear_survived(&mut self, at: Millis, now: Millis) -> bool {
-        let known = self.survived_at.unwrap_or(0);
-        let mut ends = self.crashes.iter();
-        let clears = ends.any(|(_, end)| *end > known && *end <= at);
+    /// Merges a success that another gateway reported. It is a change only if it clears a crash:
+    /// message delay shifts the reported time a little with each relay, so that two gateways
+    /// would otherwise repeat the same success to each other forever.
+    fn merge_success(&mut self, at: Millis, now: Millis) -> bool {
+        let known = self.succeeded_at.unwrap_or(0);
+        let mut crashes = self.crashes.iter();
+        let clears = crashes.any(|(_, crash)| *crash > known && *crash <= at);
         if clears {
-            return self.survive(at, now);
+            return self.record_success(at, now);
         }
-        self.survived_at = self.survived_at.max(Some(at));
+        self.succeeded_at = self.succeeded_at.max(Some(at));
         false
     }
 
-    /// What it would cost to forget it: the more ends, and the later they were learnt, the more.
-    pub(super) fn weight(&self) -> (usize, Millis) {
+    /// Eviction priority; the record with the lowest one is evicted first.
+    pub(super) fn priority(&self) -> (usize, Millis) {
         (self.crashes.len(), self.changed_at)
     }
 
@@ -140,18 +139,20 @@
         self.changed_at
     }
 
-    /// Whether it is too old to matter.
-    pub(super) fn is_over(&self, now: Millis) -> bool {
+    /// Returns whether the retention time has passed.
+    pub(super) fn is_expired(&self, now: Millis) -> bool {
         let last = self.crashes.last().map_or(0, |(_, at)| *at);
-        let last = last.max(self.survived_at.unwrap_or(0));
-        now.saturating_sub(last) >= REMEMBERED_MS
+        let last = last.max(self.succeeded_at.unwrap_or(0));
+        now.saturating_sub(last) >= RETENTION_MS
     }
 }
 
-/// Time for which a request reaches no server after so many ends, in milliseconds.
-fn sentence_ms(ended: u32) -> u64 {
-    let doubled = ended
+/// Quarantine time after this many crashes, in milliseconds.
+fn quarantine_ms(crashes: u32) -> u64 {
+    let doubled = crashes
         .saturating_sub(CONVICTION_THRESHOLD)
         .min(u64::BITS - 1);
-    SENTENCE_MS.saturating_mul(1 << doubled).min(LONGEST_MS)
+    BASE_QUARANTINE_MS
+        .saturating_mul(1 << doubled)
+        .min(MAX_QUARANTINE_MS)
 }
--- a/crates/decide/src/quarantine/suspect.rs
+++ b/crates/decide/src/quarantine/suspect.rs
@@ -1,31 +1,31 @@
-//! What gateways tell each other of a request under suspicion.
+//! Report on a suspect request, exchanged between gateways.
 
 use mulberryyoke_model::{Digest, ServerId};
 use serde::{Deserialize, Serialize};
 
-/// What a gateway knows of a request that ended servers. Ages are told and not times, so that
-/// clocks need not agree; to hear a thing twice changes nothing.
+/// What a gateway knows about a request that may crash servers. Times are sent as ages, so that
+/// clocks need not agree. Merging a report is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// The request.
     pub digest: Digest,
-    /// Lives of servers that ended under it.
+    /// Server instances that crashed while running it.
     pub crashes: Vec<Crash>,
-    /// Time since a run of it last ended well, in milliseconds.
+    /// Time since it last succeeded, in milliseconds.
     pub success_age_ms: Option<u64>,
 }
 
-/// A life of a server that ended under a request.
+/// Crash of a server instance that was running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The life.
+    /// The server instance.
     pub server: ServerId,
-    /// Time since its end, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
 }
 
 impl Suspect {
-    /// One of which nothing is known.
+    /// Creates an empty report.
     #[must_use]
     pub const fn new(digest: Digest) -> Self {
         Self {
--- a/crates/decide/src/quarantine/verdict.rs
+++ b/crates/decide/src/quarantine/verdict.rs
@@ -1,28 +1,28 @@
-//! What a request may do.
+//! Verdict on a request: whether it may be sent to a server.
 
 use mulberryyoke_model::Millis;
 
-/// What a request may do.
+/// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is held against it.
+    /// No crashes count against the request.
     Clear,
-    /// Servers ended under it: one copy at a time may run.
+    /// Servers crashed while running the request; one copy at a time may run.
     Suspect {
-        /// Lives of servers that ended under it since a run of it last crashes well.
+        /// Crashes since the request last succeeded.
         crashes: u32,
     },
-    /// It ends servers: it reaches none.
+    /// The request is quarantined and not sent to any server.
     Convicted {
-        /// As for suspects.
+        /// Crashes since the request last succeeded.
         crashes: u32,
-        /// When one copy may be tried again.
+        /// When the quarantine ends and one copy may be tried.
         until: Millis,
     },
 }
 
 impl Verdict {
-    /// Lives of servers that ended under it since a run of it last crashes well.
+    /// Returns the number of crashes since the request last succeeded.
     #[must_use]
     pub const fn crashes(self) -> u32 {
         match self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -1,57 +1,57 @@
-//! The budget of retries: a token bucket filled by first attempts.
+//! Retry budget: a token bucket filled by first attempts.
 
-/// Retries that may be made at once after a quiet time.
+/// Initial capacity, in retries.
 const BURST: u32 = 10;
 
-/// Hundredths of a retry.
-const WHOLE: u64 = 100;
+/// Tokens that one retry costs: a token is a hundredth of a retry.
+const RETRY_COST: u64 = 100;
 
-/// A budget of retries. Each first attempt adds a stated fraction of a retry,
-/// so that a fault costs at most that much extra load.
+/// Retry budget. Each first attempt deposits a fraction of a retry, which bounds the extra load
+/// that retries cause during an outage.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     percent: u64,
-    /// Most that may be saved up, in hundredths of a retry.
-    full: u64,
-    hundredths: u64,
+    /// Maximum number of tokens.
+    capacity: u64,
+    tokens: u64,
 }
 
 impl Budget {
-    /// A full budget that allows `percent` retries per hundred first attempts.
+    /// Creates a full budget that allows `percent` retries per hundred first attempts.
     #[must_use]
     pub fn new(percent: u32) -> Self {
         let burst = if percent == 0 { 0 } else { BURST };
-        let full = u64::from(burst) * WHOLE;
+        let capacity = u64::from(burst) * RETRY_COST;
         Self {
             percent: u64::from(percent),
-            full,
-            hundredths: full,
+            capacity,
+            tokens: capacity,
         }
     }
 
-    /// Bounds what may be saved up, in hundredths of a retry.
+    /// Sets the maximum number of saved-up retries, in hundredths of a retry.
     pub fn set_capacity(&mut self, hundredths: u64) {
-        self.full = hundredths;
-        self.hundredths = self.hundredths.min(hundredths);
+        self.capacity = hundredths;
+        self.tokens = self.tokens.min(hundredths);
     }
 
     /// Counts a first attempt.
     pub fn deposit(&mut self) {
-        self.hundredths = (self.hundredths + self.percent).min(self.full);
+        self.tokens = (self.tokens + self.percent).min(self.capacity);
     }
 
-    /// Spends a retry; `false` when none is left.
+    /// Withdraws one retry; returns `false` if the budget is exhausted.
     pub fn try_withdraw(&mut self) -> bool {
-        let Some(rest) = self.hundredths.checked_sub(WHOLE) else {
+        let Some(rest) = self.tokens.checked_sub(RETRY_COST) else {
             return false;
         };
-        self.hundredths = rest;
+        self.tokens = rest;
         true
     }
 
-    /// Whole retries that could be spent now.
+    /// Returns the number of whole retries available.
     #[must_use]
     pub const fn available(&self) -> u64 {
-        self.hundredths / WHOLE
+        self.tokens / RETRY_COST
     }
 }
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held to end servers, replayed without servers.
+//! Detection and quarantine of poison requests, simulated without servers.
 
 use std::collections::HashSet;
 
@@ -11,13 +11,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const BAD: Digest = Digest(1);
+const POISON: Digest = Digest(1);
 
-/// First time for which a convicted request reaches no server, in milliseconds.
-const SENTENCE_MS: u64 = 60_000;
+/// Initial quarantine time, in milliseconds.
+const BASE_QUARANTINE_MS: u64 = 60_000;
 
-/// Has a server end with these requests; the time goes on by 100 ms.
-fn end(quarantine: &mut Quarantine, server: u32, requests: &[Digest], now: &mut u64) {
+/// Crashes a server that is running these requests and advances the time by 100 ms.
+fn crash(quarantine: &mut Quarantine, server: u32, requests: &[Digest], now: &mut u64) {
     for digest in requests {
         quarantine.record_failure(ServerId(server), *digest, *now);
     }
@@ -26,21 +26,21 @@
 }
 
 #[gtest]
-fn a_third_end_convicts_and_a_broken_answer_alone_is_no_evidence() {
+fn the_third_crash_convicts_and_a_failure_without_a_crash_is_no_evidence() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
     for server in 0..9 {
-        quarantine.record_failure(ServerId(100 + server), BAD, now);
+        quarantine.record_failure(ServerId(100 + server), POISON, now);
     }
-    expect_that!(quarantine.verdict(BAD, now), eq(Verdict::Clear));
-    for ended in 1..CONVICTION_THRESHOLD {
-        end(&mut quarantine, ended, &[BAD], &mut now);
+    expect_that!(quarantine.verdict(POISON, now), eq(Verdict::Clear));
+    for crashes in 1..CONVICTION_THRESHOLD {
+        crash(&mut quarantine, crashes, &[POISON], &mut now);
         expect_that!(
-            quarantine.verdict(BAD, now),
-            eq(Verdict::Suspect { crashes: ended })
+            quarantine.verdict(POISON, now),
+            eq(Verdict::Suspect { crashes })
         );
     }
-    end(&mut quarantine, CONVICTION_THRESHOLD, &[BAD], &mut now);
-    let verdict = quarantine.verdict(BAD, now);
+    crash(&mut quarantine, CONVICTION_THRESHOLD, &[POISON], &mut now);
+    let verdict = quarantine.verdict(POISON, now);
     let is_convicted = matches!(
         verdict,
         Verdict::Convicted {
@@ -49,39 +49,39 @@
         }
     );
     expect_that!(is_convicted, eq(true));
-    expect_that!(quarantine.admit(BAD, now), eq(false));
+    expect_that!(quarantine.admit(POISON, now), eq(false));
 }
 
 #[gtest]
-fn a_run_that_ends_well_clears_and_what_is_told_late_of_earlier_ends_counts_no_more() {
-    let (mut one, mut other, mut now) = (Quarantine::default(), Quarantine::default(), 1_000);
-    end(&mut one, 1, &[BAD], &mut now);
-    end(&mut one, 2, &[BAD], &mut now);
-    let early = one.snapshot(BAD, now);
-    other.merge(&early, now);
-    expect_that!(other.verdict(BAD, now).crashes(), eq(2));
+fn a_success_clears_and_late_reports_of_earlier_crashes_do_not_count() {
+    let (mut local, mut remote, mut now) = (Quarantine::default(), Quarantine::default(), 1_000);
+    crash(&mut local, 1, &[POISON], &mut now);
+    crash(&mut local, 2, &[POISON], &mut now);
+    let early = local.snapshot(POISON, now);
+    remote.merge(&early, now);
+    expect_that!(remote.verdict(POISON, now).crashes(), eq(2));
     now += 500;
-    expect_that!(one.record_success(BAD, now), eq(2));
-    other.merge(&one.snapshot(BAD, now), now);
-    other.merge(&early, now + 49);
+    expect_that!(local.record_success(POISON, now), eq(2));
+    remote.merge(&local.snapshot(POISON, now), now);
+    remote.merge(&early, now + 49);
     now += 50;
-    expect_that!(other.verdict(BAD, now), eq(Verdict::Clear));
-    end(&mut other, 3, &[BAD], &mut now);
-    expect_that!(other.verdict(BAD, now).crashes(), eq(1));
+    expect_that!(remote.verdict(POISON, now), eq(Verdict::Clear));
+    crash(&mut remote, 3, &[POISON], &mut now);
+    expect_that!(remote.verdict(POISON, now).crashes(), eq(1));
 }
 
 #[gtest]
-fn a_popular_request_that_stands_beside_many_ends_is_not_convicted() {
+fn a_popular_request_that_succeeds_between_crashes_is_not_convicted() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
     for server in 0..200 {
-        end(&mut quarantine, server, &[BAD], &mut now);
-        quarantine.record_success(BAD, now);
-        expect_that!(quarantine.verdict(BAD, now), eq(Verdict::Clear));
+        crash(&mut quarantine, server, &[POISON], &mut now);
+        quarantine.record_success(POISON, now);
+        expect_that!(quarantine.verdict(POISON, now), eq(Verdict::Clear));
     }
 }
 
 #[gtest]
-fn a_kill_of_many_servers_at_once_is_no_evidence() {
+fn a_mass_crash_is_no_evidence() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
     for kill in 0..5 {
         let at = now;
@@ -99,91 +99,91 @@
 }
 
 #[gtest]
-fn one_copy_at_a_time_runs_under_suspicion() {
+fn one_copy_of_a_suspect_runs_at_a_time() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
-    end(&mut quarantine, 1, &[BAD], &mut now);
-    expect_that!(quarantine.admit(BAD, now), eq(true));
-    expect_that!(quarantine.admit(BAD, now), eq(false));
+    crash(&mut quarantine, 1, &[POISON], &mut now);
+    expect_that!(quarantine.admit(POISON, now), eq(true));
+    expect_that!(quarantine.admit(POISON, now), eq(false));
     expect_that!(quarantine.admit(Digest(2), now), eq(true));
-    // That another copy had ended a server before is learnt late, and frees nothing.
+    // A late report of a crash caused by another copy does not end the probe.
     let mut other = Quarantine::default();
-    end(&mut other, 2, &[BAD], &mut (now - 50));
-    quarantine.merge(&other.snapshot(BAD, now), now);
-    expect_that!(quarantine.admit(BAD, now), eq(false));
-    // The copy that runs ends one itself.
-    end(&mut quarantine, 3, &[BAD], &mut now);
-    expect_that!(quarantine.verdict(BAD, now).crashes(), eq(3));
-    quarantine.record_success(BAD, now);
-    expect_that!(quarantine.admit(BAD, now), eq(true));
-    expect_that!(quarantine.admit(BAD, now), eq(true));
+    crash(&mut other, 2, &[POISON], &mut (now - 50));
+    quarantine.merge(&other.snapshot(POISON, now), now);
+    expect_that!(quarantine.admit(POISON, now), eq(false));
+    // The probing copy crashes a server itself.
+    crash(&mut quarantine, 3, &[POISON], &mut now);
+    expect_that!(quarantine.verdict(POISON, now).crashes(), eq(3));
+    quarantine.record_success(POISON, now);
+    expect_that!(quarantine.admit(POISON, now), eq(true));
+    expect_that!(quarantine.admit(POISON, now), eq(true));
 }
 
 #[gtest]
-fn a_copy_whose_server_ended_beside_it_may_go_on_at_once() {
+fn a_copy_whose_server_crashed_may_be_retried_at_once() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
-    end(&mut quarantine, 1, &[BAD], &mut now);
-    expect_that!(quarantine.admit(BAD, now), eq(true));
-    end(&mut quarantine, 2, &[BAD], &mut now);
-    expect_that!(quarantine.admit(BAD, now), eq(true));
-    expect_that!(quarantine.admit(BAD, now), eq(false));
+    crash(&mut quarantine, 1, &[POISON], &mut now);
+    expect_that!(quarantine.admit(POISON, now), eq(true));
+    crash(&mut quarantine, 2, &[POISON], &mut now);
+    expect_that!(quarantine.admit(POISON, now), eq(true));
+    expect_that!(quarantine.admit(POISON, now), eq(false));
 }
 
 #[gtest]
-fn a_conviction_ends_with_one_copy_and_the_next_lasts_twice_as_long() {
+fn quarantine_ends_with_one_probe_and_doubles_if_that_crashes() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
     for server in 0..CONVICTION_THRESHOLD {
-        end(&mut quarantine, server, &[BAD], &mut now);
+        crash(&mut quarantine, server, &[POISON], &mut now);
     }
-    now += SENTENCE_MS;
-    expect_that!(quarantine.admit(BAD, now), eq(true));
-    expect_that!(quarantine.admit(BAD, now), eq(false));
-    end(&mut quarantine, CONVICTION_THRESHOLD, &[BAD], &mut now);
-    now += 2 * SENTENCE_MS - 1_000;
-    expect_that!(quarantine.admit(BAD, now), eq(false));
-    expect_that!(quarantine.admit(BAD, now + 1_000), eq(true));
+    now += BASE_QUARANTINE_MS;
+    expect_that!(quarantine.admit(POISON, now), eq(true));
+    expect_that!(quarantine.admit(POISON, now), eq(false));
+    crash(&mut quarantine, CONVICTION_THRESHOLD, &[POISON], &mut now);
+    now += 2 * BASE_QUARANTINE_MS - 1_000;
+    expect_that!(quarantine.admit(POISON, now), eq(false));
+    expect_that!(quarantine.admit(POISON, now + 1_000), eq(true));
 }
 
 #[gtest]
-fn what_is_told_twice_or_in_another_order_is_the_same() {
+fn merging_is_idempotent_and_commutative() {
     let mut now = 1_000;
     let mut sources = [(); 3].map(|()| Quarantine::default());
     for (server, source) in (0..).zip(&mut sources) {
-        end(source, server, &[BAD], &mut now);
+        crash(source, server, &[POISON], &mut now);
     }
-    let told: Vec<Suspect> = sources
+    let reports: Vec<Suspect> = sources
         .iter()
-        .map(|source| source.snapshot(BAD, now))
+        .map(|source| source.snapshot(POISON, now))
         .collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 1, 0]] {
-        let mut hearer = Quarantine::default();
+        let mut receiver = Quarantine::default();
         for index in order.into_iter().chain([2, 0]) {
-            hearer.merge(&told[index], now);
+            receiver.merge(&reports[index], now);
         }
-        expect_that!(hearer.verdict(BAD, now).crashes(), eq(3), "{order:?}");
-        expect_that!(hearer.updates(now), len(eq(1)));
+        expect_that!(receiver.verdict(POISON, now).crashes(), eq(3), "{order:?}");
+        expect_that!(receiver.updates(now), len(eq(1)));
     }
 }
 
 #[gtest]
-fn what_is_known_and_told_stays_bounded_under_a_flood_of_different_requests() {
+fn memory_and_updates_are_bounded_under_a_flood_of_distinct_requests() {
     let (mut quarantine, mut now) = (Quarantine::default(), 1_000);
     for server in 0..CONVICTION_THRESHOLD {
-        end(&mut quarantine, server, &[BAD], &mut now);
+        crash(&mut quarantine, server, &[POISON], &mut now);
     }
     for server in 0..100 {
         let first = 1_000 + u128::from(server) * 64;
         let requests: Vec<Digest> = (first..first + 64).map(Digest).collect();
-        end(&mut quarantine, 10 + server, &requests, &mut now);
+        crash(&mut quarantine, 10 + server, &requests, &mut now);
     }
     expect_that!(quarantine.len(), le(4_096));
     expect_that!(quarantine.updates(now), len(le(64)));
-    expect_that!(quarantine.verdict(BAD, now).crashes(), eq(3));
+    expect_that!(quarantine.verdict(POISON, now).crashes(), eq(3));
     quarantine.expire(now + 600_000);
     expect_that!(quarantine.is_empty(), eq(true));
 }
 
 #[gtest]
-fn gateways_that_know_the_same_agree_on_who_decides() {
+fn gateways_with_the_same_members_agree_on_the_arbiter() {
     let names = ["a", "b", "c", "d"];
     let mut chosen = HashSet::new();
     for subject in 0..100 {
@@ -195,36 +195,36 @@
     expect_that!(chosen.len(), eq(4));
 }
 
-/// A request at a server of a replay.
+/// A request running on a simulated server.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     digest: Digest,
     until: u64,
-    is_apart: bool,
+    is_isolated: bool,
 }
 
-/// A server for one under suspicion: one without another such, if there is one.
-fn choose(servers: &[Vec<Run>], is_apart: bool, rng: &mut ChaCha8Rng) -> usize {
+/// Chooses a random server; for an isolated request one without another such, if possible.
+fn choose(servers: &[Vec<Run>], is_isolated: bool, rng: &mut ChaCha8Rng) -> usize {
     let all: Vec<usize> = (0..servers.len()).collect();
-    let has_none = |index: &&usize| servers[**index].iter().all(|run| !run.is_apart);
-    let free: Vec<usize> = all.iter().filter(has_none).copied().collect();
-    let among = if is_apart && !free.is_empty() {
-        &free
+    let has_no_isolated = |index: &&usize| servers[**index].iter().all(|run| !run.is_isolated);
+    let eligible: Vec<usize> = all.iter().filter(has_no_isolated).copied().collect();
+    let among = if is_isolated && !eligible.is_empty() {
+        &eligible
     } else {
         &all
     };
     *among.choose(rng).expect("a server")
 }
 
-/// Ten seconds of a pool of twelve servers with forty requests each, of which one more ends
-/// whatever runs it and comes four times a second. What breaks off goes on at another server,
-/// from the second end on apart from others. Requests run for one to five seconds. Returned are
-/// the servers that ended and the requests convicted beside the bad one.
-fn replay(seed: u64) -> (u32, usize) {
+/// Simulates a pool of twelve servers with forty requests each for ten seconds, while a poison
+/// request arrives four times a second. Requests run for one to five seconds; after a crash they
+/// are retried on another server, and isolated from the second crash on. Returns the number of
+/// crashes and of wrongly convicted requests.
+fn simulate(seed: u64) -> (u32, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
     let mut servers: Vec<Vec<Run>> = vec![Vec::new(); 12];
-    let (mut now, mut next, mut ends) = (1_000, 1_000, 0);
+    let (mut now, mut next, mut crashes) = (1_000, 1_000, 0);
     for step in 0..400 {
         now += 25;
         for server in &mut servers {
@@ -236,28 +236,28 @@
                 server.push(Run {
                     digest: Digest(next),
                     until: now + rng.random_range(1_000..5_000),
-                    is_apart: false,
+                    is_isolated: false,
                 });
             }
         }
-        if step % 10 != 0 || !quarantine.admit(BAD, now) {
+        if step % 10 != 0 || !quarantine.admit(POISON, now) {
             continue;
         }
-        let is_apart = quarantine.verdict(BAD, now).crashes() >= 2;
-        let index = choose(&servers, is_apart, &mut rng);
-        let beside: Vec<Digest> = servers[index].drain(..).map(|run| run.digest).collect();
-        ends += 1;
-        let broken: Vec<Digest> = beside.iter().copied().chain([BAD]).collect();
-        end(&mut quarantine, ends, &broken, &mut now);
-        for digest in beside {
+        let is_isolated = quarantine.verdict(POISON, now).crashes() >= 2;
+        let index = choose(&servers, is_isolated, &mut rng);
+        let neighbours: Vec<Digest> = servers[index].drain(..).map(|run| run.digest).collect();
+        crashes += 1;
+        let failed: Vec<Digest> = neighbours.iter().copied().chain([POISON]).collect();
+        crash(&mut quarantine, crashes, &failed, &mut now);
+        for digest in neighbours {
             if quarantine.admit(digest, now) {
-                let is_apart = quarantine.verdict(digest, now).crashes() >= 2;
-                let index = choose(&servers, is_apart, &mut rng);
+                let is_isolated = quarantine.verdict(digest, now).crashes() >= 2;
+                let index = choose(&servers, is_isolated, &mut rng);
                 let until = now + rng.random_range(1_000..5_000);
                 servers[index].push(Run {
                     digest,
                     until,
-                    is_apart,
+                    is_isolated,
                 });
             }
         }
@@ -266,14 +266,14 @@
         let verdict = quarantine.verdict(Digest(*digest), now);
         matches!(verdict, Verdict::Convicted { .. })
     };
-    (ends, (1_001..=next).filter(is_convicted).count())
+    (crashes, (1_001..=next).filter(is_convicted).count())
 }
 
 #[gtest]
-fn few_are_convicted_that_only_stood_beside_a_request_that_ends_servers() {
-    let replays: Vec<(u32, usize)> = (0..100).map(replay).collect();
-    let most = replays.iter().map(|(ends, _)| *ends).max();
+fn few_innocent_requests_are_convicted() {
+    let runs: Vec<(u32, usize)> = (0..100).map(simulate).collect();
+    let most = runs.iter().map(|(crashes, _)| *crashes).max();
     expect_that!(most, some(le(CONVICTION_THRESHOLD)));
-    let innocent: usize = replays.iter().map(|(_, convicted)| convicted).sum();
-    expect_that!(innocent, le(3), "convicted in 100 replays");
+    let innocent: usize = runs.iter().map(|(_, convicted)| convicted).sum();
+    expect_that!(innocent, le(3), "convicted in 100 runs");
 }
