--- a/crates/daemon/src/operator/store.rs
+++ b/crates/daemon/src/operator/store.rs
@@ -134,7 +134,7 @@
             });
         }
         Outcome::Unknown if doubt => refusal.code = Code::Unknown,
-        Outcome::Superseded | Outcome::NotApplied | Outcome::Unknown => {}
+        Outcome::Conflict | Outcome::NotApplied | Outcome::Unknown => {}
     }
     Err(refusal)
 }
--- a/crates/decide/src/cas.rs
+++ b/crates/decide/src/cas.rs
@@ -22,7 +22,7 @@
     /// It has not taken effect; the same compare-and-swap may be sent again.
     NotApplied,
     /// Another write took its place; it did not take effect and never will.
-    Superseded,
+    Conflict,
     /// The kept writes do not reach back far enough.
     Unknown,
 }
@@ -68,7 +68,7 @@
         None => entry.earlier.len() < MAX_HISTORY,
     };
     if whole {
-        Outcome::Superseded
+        Outcome::Conflict
     } else {
         Outcome::Unknown
     }
--- a/crates/decide/tests/cas.rs
+++ b/crates/decide/tests/cas.rs
@@ -35,8 +35,8 @@
         (Some(4), &[(1, 4), (MINE, 5)], written(5, None)),
         (Some(4), &[(1, 4), (MINE, 5), (2, 9)], written(5, Some(9))),
         (Some(4), &[(1, 4)], Outcome::NotApplied),
-        (Some(4), &[(1, 4), (2, 9)], Outcome::Superseded),
-        (None, &[(2, 9), (3, 10)], Outcome::Superseded),
+        (Some(4), &[(1, 4), (2, 9)], Outcome::Conflict),
+        (None, &[(2, 9), (3, 10)], Outcome::Conflict),
         // Older contents: what was expected was never there.
         (Some(4), &[(1, 3)], Outcome::Unknown),
     ];
