--- a/crates/decide/src/pushback.rs
+++ b/crates/decide/src/pushback.rs
@@ -1,64 +1,63 @@
-//! The time in which a server wants no requests from a router, and how they begin again after it.
+//! Server pushback: a server asks a router to send it no requests for some time.
 //!
-//! The load that it answers: servers that turn everything away are idle, so that they are the best
-//! choice for each request. Once the time is over one request at a time is tried, until the server
-//! has answered one: what waited meanwhile does not meet it at once.
+//! A server that rejects everything is idle, and would otherwise look like the best choice for
+//! every request. Once the delay has passed, single probe requests are sent until the server
+//! responds to one, so that the accumulated backlog does not hit it all at once.
 
 use mulberryyoke_model::{Millis, whole_u32};
 
-/// Longest rest that is granted, in milliseconds: a server that asks for more is tried once in so
-/// long, so that a faulty one is not out for good.
+/// Maximum delay that is honoured, in milliseconds, so that a faulty server is probed eventually.
 pub const MAX_DELAY_MS: u64 = 120_000;
 
-/// Time between two requests that are tried after a rest, in milliseconds: a server that takes
-/// them answers within it.
+/// Time between probe requests after the delay, in milliseconds. A server that accepts requests
+/// responds within this time.
 pub const PROBE_INTERVAL_MS: u64 = 500;
 
-/// Time over which requests come back in any case that were refused for rest, in milliseconds.
-const SPREAD_MS: f64 = 500.0;
+/// Minimum jitter of retries, in milliseconds.
+const MIN_JITTER_MS: f64 = 500.0;
 
-/// When a request comes back that is refused because every server rests, the first for `wait_ms`
-/// milliseconds more; `drawn` is from 0 to 1. Those refused in a rest come back over as long a
-/// time after it.
+/// Returns the time after which a caller should retry a request that was refused because all
+/// servers push back, the first of them for another `wait_ms` milliseconds. `drawn` is a random
+/// number from 0 to 1; it spreads the retries over a period as long as the wait.
 #[must_use]
 pub fn retry_after_ms(wait_ms: u64, drawn: f64) -> u32 {
     let wait_ms = f64::from(u32::try_from(wait_ms).unwrap_or(u32::MAX));
-    whole_u32(wait_ms + (wait_ms + SPREAD_MS) * drawn)
+    whole_u32(wait_ms + (wait_ms + MIN_JITTER_MS) * drawn)
 }
 
-/// Whether a server wants requests.
+/// Pushback state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Pushback {
-    /// It takes them.
+    /// The server accepts requests.
     #[default]
     Inactive,
-    /// It has asked for rest, and has answered no request since.
+    /// The server has pushed back and not responded to a request since.
     Active {
-        /// When the rest is over.
+        /// When the delay ends.
         until: Millis,
-        /// When the next request may be tried.
+        /// When the next probe request may be sent.
         next_probe: Millis,
     },
 }
 
 impl Pushback {
-    /// Notes that the server asks for so much rest from now on. It may lengthen a rest, and does
-    /// not shorten one.
-    pub fn extend(&mut self, rest_ms: u64, now: Millis) {
-        let asked = now.saturating_add(rest_ms.min(MAX_DELAY_MS));
-        if asked <= now {
+    /// Records that the server asked for a delay from now on. It can extend the current delay but
+    /// not shorten it.
+    pub fn extend(&mut self, delay_ms: u64, now: Millis) {
+        let requested = now.saturating_add(delay_ms.min(MAX_DELAY_MS));
+        if requested <= now {
             return;
         }
         let (until, next_probe) = match *self {
             Self::Inactive => (0, 0),
             Self::Active { until, next_probe } => (until, next_probe),
         };
-        let until = until.max(asked);
+        let until = until.max(requested);
         let next_probe = next_probe.max(until);
         *self = Self::Active { until, next_probe };
     }
 
-    /// Whether the server wants none now.
+    /// Returns whether the delay has not yet passed.
     #[must_use]
     pub const fn is_active(self, now: Millis) -> bool {
         match self {
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Time until a request may be sent, in milliseconds; 0 if one may be sent now.
+    /// Returns the time until a request may be sent, in milliseconds.
     #[must_use]
     pub const fn wait_ms(self, now: Millis) -> u64 {
         match self {
@@ -76,20 +75,20 @@
         }
     }
 
-    /// Notes that a request is about to be sent.
+    /// Records that a request is about to be sent.
     pub fn record_send(&mut self, now: Millis) {
         if let Self::Active { next_probe, .. } = self {
             *next_probe = (*next_probe).max(now.saturating_add(PROBE_INTERVAL_MS));
         }
     }
 
-    /// Notes that the server has answered a request; `true` if it takes them again by that. What
-    /// comes during the rest was asked before it.
+    /// Records a response from the server; returns `true` if it ends the pushback. A response
+    /// during the delay does not, because its request was sent before the pushback.
     pub fn record_response(&mut self, now: Millis) -> bool {
-        let is_back = *self != Self::Inactive && !self.is_active(now);
-        if is_back {
+        let is_recovered = *self != Self::Inactive && !self.is_active(now);
+        if is_recovered {
             *self = Self::Inactive;
         }
-        is_back
+        is_recovered
     }
 }
