--- a/crates/decide/src/overload.rs
+++ b/crates/decide/src/overload.rs
@@ -1,95 +1,95 @@
-//! Whether a node has more to do than its processor can, and for how long callers go elsewhere.
+//! Overload detection by task scheduling delay, and how long callers are sent elsewhere.
 //!
-//! The load that it answers: a zone's flood reaches its nodes by a hash of the callers, so that
-//! the smallest get as much as the largest. A node that takes callers again as soon as it has
-//! caught up is overloaded again within seconds, as its callers are the same: 27 changes in 55 s
-//! at the two smallest of six. So each time that it happens again soon, callers stay away
-//! twice as long.
+//! The balancer hashes callers onto nodes, so small nodes get as much load as large ones. A node
+//! that accepts its callers again as soon as it has recovered is overloaded again within seconds.
+//! The backoff therefore doubles each time the overload recurs, which prevents flapping.
 
 use mulberryyoke_model::Millis;
 
-/// Lateness of tasks from which callers are sent elsewhere, in milliseconds: half of
-/// the shortest objective of a plain service, and before connections go unanswered.
-const STRAINED_MS: u64 = 80;
+/// Mean delay above which a node is overloaded, in milliseconds: half of the shortest latency
+/// objective of a plain service.
+const OVERLOAD_DELAY_MS: u64 = 80;
 
-/// Lateness of tasks below which a node has caught up, in milliseconds.
-const EASED_MS: u64 = 20;
+/// Mean delay at or below which a node has recovered, in milliseconds.
+const RECOVERY_DELAY_MS: u64 = 20;
 
-/// Weight of a measurement, as its divisor.
-const WEIGHT: u64 = 4;
+/// Divisor of the moving average: a measurement has this fraction of its weight.
+const SMOOTHING: u64 = 4;
 
-/// First and longest time for which callers stay away, in milliseconds: two questions for
-/// readiness, a second apart, are answered before they go, and two before they come back.
-/// Benefit earned less what it cost, mean of eight days of a fleet of unequal nodes: 0.587
-/// without, 0.592 with 2.5 s and 0.603 with 5 s at first.
-const AWAY_MS: (u64, u64) = (5_000, 20_000);
+/// Initial and maximum backoff, in milliseconds. The balancer probes readiness once a second and
+/// needs two probes each to remove a node and to add it again.
+const BACKOFF_MS: (u64, u64) = (5_000, 20_000);
 
-/// Time after callers were back in which an overload is taken to be the same load still, in
+/// Time after a backoff within which another overload is taken to be caused by the same load, in
 /// milliseconds.
-const AGAIN_MS: u64 = 8_000;
+const RECURRENCE_MS: u64 = 8_000;
 
-/// How late a node is with its tasks, and until when callers go elsewhere.
+/// Mean scheduling delay of a node, and the period during which callers are sent elsewhere.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overload {
-    late_ms: u64,
-    is_strained: bool,
+    mean_delay_ms: u64,
+    is_overloaded: bool,
     since: Millis,
     until: Millis,
-    away_ms: u64,
+    backoff_ms: u64,
 }
 
 impl Overload {
-    /// Notes by how much a task was late; `true` if the node is overloaded or has caught up
-    /// from now on.
+    /// Records the scheduling delay of a task; returns `true` if the node became overloaded or
+    /// recovered.
     pub fn record_delay(&mut self, ms: u64, now: Millis) -> bool {
-        self.late_ms = (self.late_ms * (WEIGHT - 1) + ms) / WEIGHT;
-        let was_strained = self.is_strained;
-        let bound_ms = if was_strained { EASED_MS } else { STRAINED_MS };
-        self.is_strained = self.late_ms > bound_ms;
-        if self.is_strained && !was_strained {
-            self.begin(now);
+        self.mean_delay_ms = (self.mean_delay_ms * (SMOOTHING - 1) + ms) / SMOOTHING;
+        let was_overloaded = self.is_overloaded;
+        let threshold_ms = if was_overloaded {
+            RECOVERY_DELAY_MS
+        } else {
+            OVERLOAD_DELAY_MS
+        };
+        self.is_overloaded = self.mean_delay_ms > threshold_ms;
+        if self.is_overloaded && !was_overloaded {
+            self.start_backoff(now);
         }
-        was_strained != self.is_strained
+        was_overloaded != self.is_overloaded
     }
 
-    /// By how much tasks are late on average, in milliseconds.
+    /// Returns the moving average of the scheduling delay, in milliseconds.
     #[must_use]
     pub const fn mean_delay_ms(&self) -> u64 {
-        self.late_ms
+        self.mean_delay_ms
     }
 
-    /// Whether it has more to do than its processor can.
+    /// Returns whether the node is overloaded.
     #[must_use]
     pub const fn is_overloaded(&self) -> bool {
-        self.is_strained
+        self.is_overloaded
     }
 
-    /// Since when callers go elsewhere, if they do.
+    /// Returns the start of the current or last backoff.
     #[must_use]
     pub const fn since(&self) -> Millis {
         self.since
     }
 
-    /// Until when callers go elsewhere: for ever while it has not caught up.
+    /// Returns the end of the backoff, [`Millis::MAX`] while the node is overloaded.
     #[must_use]
     pub const fn until(&self) -> Millis {
-        if self.is_strained {
+        if self.is_overloaded {
             Millis::MAX
         } else {
             self.until
         }
     }
 
-    fn begin(&mut self, now: Millis) {
-        let is_again = self.away_ms > 0 && now < self.until.saturating_add(AGAIN_MS);
-        self.away_ms = if is_again {
-            (2 * self.away_ms).min(AWAY_MS.1)
+    fn start_backoff(&mut self, now: Millis) {
+        let recurs = self.backoff_ms > 0 && now < self.until.saturating_add(RECURRENCE_MS);
+        self.backoff_ms = if recurs {
+            (2 * self.backoff_ms).min(BACKOFF_MS.1)
         } else {
-            AWAY_MS.0
+            BACKOFF_MS.0
         };
         if now >= self.until {
             self.since = now;
         }
-        self.until = now.saturating_add(self.away_ms);
+        self.until = now.saturating_add(self.backoff_ms);
     }
 }
