--- a/crates/decide/tests/share.rs
+++ b/crates/decide/tests/share.rs
@@ -1,4 +1,4 @@
-//! Portions of customers under scarcity.
+//! Fair sharing of scarce capacity among customers.
 
 use std::collections::HashMap;
 
@@ -9,19 +9,19 @@
 const LARGE: CustomerId = CustomerId(1);
 const SMALL: CustomerId = CustomerId(2);
 
-/// Lets customers ask and be given tokens a second for some seconds, in steps of 20 ms.
+/// Records requested and granted tokens a second by customer, in steps of 20 ms.
 fn run(shares: &mut Shares, from_s: u64, to_s: u64, flows: &[(CustomerId, u32, u32)]) {
     for step in from_s * 50..to_s * 50 {
-        for &(customer, asked, given) in flows {
-            shares.record_request(customer, asked / 50);
-            shares.record_grant(customer, given / 50);
+        for &(customer, requested, granted) in flows {
+            shares.record_request(customer, requested / 50);
+            shares.record_grant(customer, granted / 50);
         }
         shares.rebalance(10_000.0, 0.0, step * 20);
     }
 }
 
 #[gtest]
-fn with_enough_for_all_nobody_has_too_much() {
+fn usage_is_zero_while_capacity_is_sufficient() {
     let mut shares = Shares::default();
     run(
         &mut shares,
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn who_asks_less_than_an_even_portion_is_behind_and_the_other_has_the_rest() {
+fn a_small_customer_is_below_its_share_and_a_large_one_at_it() {
     let mut shares = Shares::default();
     run(
         &mut shares,
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn what_is_given_beyond_the_capacity_is_shared_evenly_as_well() {
+fn grants_beyond_the_capacity_are_shared_evenly_as_well() {
     let mut shares = Shares::default();
     let other = CustomerId(3);
     run(
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn what_was_given_in_plenty_is_not_held_against_a_customer_for_long() {
+fn grants_from_before_a_shortage_stop_counting_within_seconds() {
     let mut shares = Shares::default();
     run(&mut shares, 0, 6, &[(LARGE, 9_900, 9_900)]);
     let others: Vec<_> = (10..40).map(|id| (CustomerId(id), 2_000, 330)).collect();
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn what_other_routers_gave_counts_and_goes_with_them() {
+fn grants_by_other_routers_count_until_replaced() {
     let mut shares = Shares::default();
     shares.record_request(LARGE, 50_000);
     let flow = Flow {
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn customers_that_ask_nothing_are_forgotten() {
+fn inactive_customers_are_removed() {
     let mut shares = Shares::default();
     shares.record_request(SMALL, 1_000);
     shares.rebalance(10_000.0, 0.0, 0);
@@ -99,8 +99,8 @@
 }
 
 #[gtest]
-fn who_was_given_many_portions_of_the_capacity_is_not_taken_to_have_its_part() {
-    // Much more is given than the configured capacity, as what servers keep need not be read.
+fn a_customer_with_many_times_its_share_is_told_apart_from_one_with_less() {
+    // Cache hits let servers exceed the configured capacity by far.
     let (hot, newly_hot) = (CustomerId(1), CustomerId(2));
     let mut shares = Shares::default();
     for step in 0..400 {
