--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -1,10 +1,9 @@
-//! Which servers of a large pool a router stays connected to.
+//! Deterministic subsetting: which servers of a large pool a router stays connected to.
 //!
-//! Rendezvous hashing makes the choice stable: a server or router that comes or
-//! goes changes only what it must. Servers of the router's own zone come first, but
-//! some of other zones are always held, so that a zone's waiting work reaches idle
-//! servers elsewhere. Of every server the first few routers hold it for certain, so
-//! that none is left without.
+//! Rendezvous hashing keeps the subset stable: a server or router that comes or goes changes only
+//! the connections it must. Servers of the router's own zone are preferred, but some of other
+//! zones are always included, so that queued work can reach idle servers there. The first few
+//! routers of every server are guaranteed to include it, so that no server is left unconnected.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -14,28 +13,27 @@
 
 use crate::rendezvous;
 
-/// Share of the subset that goes to other zones: one in this many.
-const REMOTE: usize = 4;
+/// One in this many servers of a subset is of another zone.
+const REMOTE_DIVISOR: usize = 4;
 
-/// Routers that hold each server for certain.
-const HOLDERS: usize = 2;
+/// Number of routers that are guaranteed to include each server.
+const MIN_ROUTERS: usize = 2;
 
-/// Who chooses, and how many.
+/// Router that selects servers, and the size of its subset.
 #[derive(Clone, Copy, Debug)]
 pub struct Selector<'a> {
     /// Name of the router.
     pub router: &'a str,
     /// Its availability zone.
     pub zone: &'a str,
-    /// Names of all routers that are not suspect, this one included.
+    /// Names of all routers that are not suspect, including this one.
     pub routers: &'a [String],
-    /// Servers to hold. More are held only where each server's certain holders need it:
-    /// twice the number of servers divided by that of routers, on average.
+    /// Size of the subset. It is exceeded only if more servers are guaranteed to this router, on
+    /// average twice the number of servers divided by the number of routers.
     pub size: usize,
 }
 
-/// Chooses among the servers of a pool those to stay connected to; servers that do
-/// not take new work are left out.
+/// Selects the servers of a pool to stay connected to. Only active servers are eligible.
 #[must_use]
 pub fn select(selector: &Selector<'_>, servers: &[Arc<Server>]) -> Vec<ServerId> {
     let active = servers.iter().filter(|s| s.state == State::Active);
@@ -46,43 +44,48 @@
         return ids(&ranked);
     }
     ranked.sort_unstable_by_key(|(server, weight)| (Reverse(*weight), &server.name));
-    let is_held = |server: &Server| is_holder(selector, server);
-    let (held, free): (Vec<_>, Vec<_>) = ranked.into_iter().partition(|(s, _)| is_held(s));
-    let (local, remote): (Vec<_>, Vec<_>) =
-        free.into_iter().partition(|(s, _)| s.zone == selector.zone);
-    let left = selector.size.saturating_sub(held.len());
-    let held_remote = held.iter().filter(|(s, _)| s.zone != selector.zone).count();
-    let quota = (selector.size / REMOTE).saturating_sub(held_remote);
-    let from_remote = quota.min(left).min(remote.len());
+    let is_guaranteed = |server: &Server| is_guaranteed(selector, server);
+    let (guaranteed, optional): (Vec<_>, Vec<_>) =
+        ranked.into_iter().partition(|(s, _)| is_guaranteed(s));
+    let (local, remote): (Vec<_>, Vec<_>) = optional
+        .into_iter()
+        .partition(|(s, _)| s.zone == selector.zone);
+    let left = selector.size.saturating_sub(guaranteed.len());
+    let guaranteed_remote = guaranteed
+        .iter()
+        .filter(|(s, _)| s.zone != selector.zone)
+        .count();
+    let remote_quota = (selector.size / REMOTE_DIVISOR).saturating_sub(guaranteed_remote);
+    let from_remote = remote_quota.min(left).min(remote.len());
     let from_local = (left - from_remote).min(local.len());
     let from_remote = left - from_local;
-    let mut chosen = held;
-    chosen.extend(local.into_iter().take(from_local));
-    chosen.extend(remote.into_iter().take(from_remote));
-    ids(&chosen)
+    let mut selected = guaranteed;
+    selected.extend(local.into_iter().take(from_local));
+    selected.extend(remote.into_iter().take(from_remote));
+    ids(&selected)
 }
 
-/// Chooses, among servers that peers said have free slots, some to connect to as well
-/// while work waits here. Routers choose differently.
+/// Selects up to `max` additional servers to connect to while work is queued, among the `idle`
+/// servers that peers reported. Routers select different ones.
 #[must_use]
 pub fn widen(
     selector: &Selector<'_>,
     servers: &[Arc<Server>],
     held: &[ServerId],
     idle: &[ServerId],
-    most: usize,
+    max: usize,
 ) -> Vec<ServerId> {
-    let useful = servers.iter().filter(|server| {
+    let eligible = servers.iter().filter(|server| {
         let id = ServerId::of(&server.name);
         server.state == State::Active && idle.contains(&id) && !held.contains(&id)
     });
-    let mut ranked: Vec<(&Server, u64)> = useful
+    let mut ranked: Vec<(&Server, u64)> = eligible
         .map(|server| (server.as_ref(), weight(selector.router, server)))
         .collect();
     ranked.sort_unstable_by_key(|(server, weight)| {
         (server.zone != selector.zone, Reverse(*weight), &server.name)
     });
-    ranked.truncate(most);
+    ranked.truncate(max);
     ids(&ranked)
 }
 
@@ -91,12 +94,12 @@
     ids.collect()
 }
 
-/// Whether the selector is among the first routers of a server.
-fn is_holder(selector: &Selector<'_>, server: &Server) -> bool {
+/// Returns whether this router is among the first [`MIN_ROUTERS`] of a server.
+fn is_guaranteed(selector: &Selector<'_>, server: &Server) -> bool {
     let own = weight(selector.router, server);
     let others = selector.routers.iter().filter(|r| *r != selector.router);
     let ahead = others.filter(|router| weight(router, server) > own);
-    ahead.take(HOLDERS).count() < HOLDERS
+    ahead.take(MIN_ROUTERS).count() < MIN_ROUTERS
 }
 
 fn weight(router: &str, server: &Server) -> u64 {
--- a/crates/decide/tests/sample.rs
+++ b/crates/decide/tests/sample.rs
@@ -1,23 +1,23 @@
-//! Which of very many servers a node uses.
+//! Sampling of the servers that a node uses.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::aggregate::rank;
 use mulberryyoke_decide::sample::is_sampled;
 use mulberryyoke_model::ServerId;
 
-/// Servers that a node uses.
-const MOST: usize = 256;
+/// Number of servers that a node uses.
+const SIZE: usize = 256;
 
-/// The servers that a node uses of so many.
-fn used(node: &str, servers: u32) -> Vec<u32> {
+/// Returns the servers that a node uses out of `servers`.
+fn sample(node: &str, servers: u32) -> Vec<u32> {
     let count = usize::try_from(servers).expect("a few thousand");
-    let used = (0..servers).filter(|id| is_sampled(rank(node), ServerId(*id), count, MOST));
-    used.collect()
+    let sample = (0..servers).filter(|id| is_sampled(rank(node), ServerId(*id), count, SIZE));
+    sample.collect()
 }
 
 #[gtest]
-fn what_a_node_uses_does_not_grow_with_the_servers() {
-    for (servers, least, most) in [
+fn the_sample_size_does_not_grow_with_the_fleet() {
+    for (servers, min, max) in [
         (0, 0, 0),
         (1, 1, 1),
         (55, 55, 55),
@@ -28,8 +28,8 @@
     ] {
         for node in ["a", "b", "c"] {
             expect_that!(
-                used(node, servers).len(),
-                all!(ge(least), le(most)),
+                sample(node, servers).len(),
+                all!(ge(min), le(max)),
                 "{servers}"
             );
         }
@@ -37,10 +37,10 @@
 }
 
 #[gtest]
-fn between_them_all_servers_are_used_by_about_as_many() {
+fn servers_are_sampled_by_similar_numbers_of_nodes() {
     let mut nodes = vec![0_u32; 3_000];
     for node in 0..300 {
-        for server in used(&format!("edge-{node}"), 3_000) {
+        for server in sample(&format!("edge-{node}"), 3_000) {
             nodes[server as usize] += 1;
         }
     }
@@ -50,8 +50,8 @@
 }
 
 #[gtest]
-fn few_change_when_one_server_comes_or_goes() {
-    let (before, after) = (used("a", 3_000), used("a", 3_001));
+fn adding_a_server_changes_few_others() {
+    let (before, after) = (sample("a", 3_000), sample("a", 3_001));
     let lost = before.iter().filter(|server| !after.contains(server));
     expect_that!(lost.count(), le(2));
 }
--- a/crates/decide/tests/subset.rs
+++ b/crates/decide/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Subsets of servers.
+//! Selection of server subsets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -48,47 +48,47 @@
 }
 
 #[googletest::test]
-fn a_small_pool_is_held_whole() {
+fn a_small_pool_is_selected_whole() {
     let routers = routers(4);
     let servers = servers(SIZE);
-    let chosen = select(&selector("r1", &routers), &servers);
-    expect_that!(chosen.len(), eq(SIZE));
+    let selected = select(&selector("r1", &routers), &servers);
+    expect_that!(selected.len(), eq(SIZE));
 }
 
 #[googletest::test]
-fn own_zone_comes_first_but_not_alone() {
+fn the_own_zone_is_preferred_but_not_exclusive() {
     let routers = routers(200);
     let servers = servers(300);
     for router in &routers {
-        let chosen = select(&selector(router, &routers), &servers);
-        let zones = chosen.iter().map(|id| zone_of(*id, &servers));
+        let selected = select(&selector(router, &routers), &servers);
+        let zones = selected.iter().map(|id| zone_of(*id, &servers));
         let local = zones.filter(|zone| zone == "z0").count();
-        expect_that!(chosen.len(), eq(SIZE));
+        expect_that!(selected.len(), eq(SIZE));
         expect_true!((SIZE / 2..=SIZE * 3 / 4).contains(&local));
     }
 }
 
 #[googletest::test]
-fn no_server_is_left_without_routers() {
+fn every_server_is_selected_by_at_least_two_routers() {
     let routers = routers(40);
     let servers = servers(600);
-    let mut holders: BTreeMap<ServerId, usize> = BTreeMap::new();
-    let mut most = 0;
+    let mut routers_of: BTreeMap<ServerId, usize> = BTreeMap::new();
+    let mut max = 0;
     for router in &routers {
-        let chosen = select(&selector(router, &routers), &servers);
-        most = most.max(chosen.len());
-        for id in chosen {
-            *holders.entry(id).or_default() += 1;
+        let selected = select(&selector(router, &routers), &servers);
+        max = max.max(selected.len());
+        for id in selected {
+            *routers_of.entry(id).or_default() += 1;
         }
     }
-    expect_that!(holders.len(), eq(600));
-    expect_true!(holders.values().all(|count| *count >= 2));
-    // Two of 600 servers for each of 40 routers are 30 on average.
-    expect_that!(most, le(50));
+    expect_that!(routers_of.len(), eq(600));
+    expect_true!(routers_of.values().all(|count| *count >= 2));
+    // Two routers for each of 600 servers make 30 servers per router on average.
+    expect_that!(max, le(50));
 }
 
 #[googletest::test]
-fn a_change_moves_little() {
+fn membership_changes_move_few_connections() {
     let servers = servers(300);
     let before = routers(100);
     let after = &before[..99];
@@ -103,21 +103,21 @@
             .collect();
         moved += new.difference(&old).count();
     }
-    // One of 100 routers and one of 300 servers have gone, of 99 times 20 links.
+    // One of 100 routers and one of 300 servers are removed; 99 times 20 connections remain.
     expect_that!(moved, le(40));
 }
 
 #[googletest::test]
-fn idle_servers_widen_the_subset() {
+fn widening_adds_idle_servers_that_are_not_held() {
     let routers = routers(40);
     let servers = servers(200);
     let selector = selector("r1", &routers);
     let held = select(&selector, &servers);
     let idle: Vec<ServerId> = servers.iter().map(|s| ServerId::of(&s.name)).collect();
-    let more = widen(&selector, &servers, &held, &idle, 5);
-    expect_that!(more.len(), eq(5));
-    expect_true!(more.iter().all(|id| !held.contains(id)));
-    expect_true!(more.iter().all(|id| zone_of(*id, &servers) == "z0"));
+    let added = widen(&selector, &servers, &held, &idle, 5);
+    expect_that!(added.len(), eq(5));
+    expect_true!(added.iter().all(|id| !held.contains(id)));
+    expect_true!(added.iter().all(|id| zone_of(*id, &servers) == "z0"));
     expect_that!(widen(&selector, &servers, &idle, &idle, 5), is_empty());
     expect_that!(widen(&selector, &servers, &held, &[], 5), is_empty());
 }
