--- a/crates/decide/src/cas.rs
+++ b/crates/decide/src/cas.rs
@@ -1,33 +1,33 @@
-//! What became of a write whose answer was lost, or which found another value.
+//! Resolves the outcome of a compare-and-swap whose response was lost or reported a conflict.
 //!
-//! Every entry names its own command and the writes before it. So a later
-//! reading tells whether a command's compare-and-swap took effect, also after
-//! others have written, as long as the kept writes reach back far enough.
+//! Every entry records its own command and the writes before it. A later read therefore shows
+//! whether a command took effect, even after others have written, as long as the history reaches
+//! back far enough.
 
 use mulberryyoke_model::{Entry, Revision, Write};
 
-/// Earlier writes that an entry keeps.
+/// Maximum number of earlier writes recorded in an entry.
 pub const MAX_HISTORY: usize = 8;
 
-/// What is known of a command's write.
+/// Outcome of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It took effect.
     Written {
-        /// Its revision.
+        /// Revision of the write.
         revision: Revision,
-        /// Revision of what stands there now, when that is a later write.
+        /// Current revision, if the value has been overwritten since.
         replaced: Option<Revision>,
     },
-    /// It has not taken effect; the same compare-and-swap may be sent again.
+    /// It has not taken effect; the same compare-and-swap may be retried.
     NotApplied,
-    /// Another write took its place; it did not take effect and never will.
+    /// It lost to another write and can no longer take effect.
     Conflict,
-    /// The kept writes do not reach back far enough.
+    /// The history does not reach back far enough.
     Unknown,
 }
 
-/// Finds a command among the latest write of a key and those before it.
+/// Finds a command among the current write of a key and its history.
 #[must_use]
 pub fn find(command: u64, found: &Entry, revision: Revision) -> Option<Outcome> {
     if found.command == command {
@@ -42,8 +42,8 @@
     })
 }
 
-/// Tells what became of a command's compare-and-swap that expected the key to
-/// be as of `expected` (`None`: absent), from what is there now.
+/// Resolves the outcome of a command's compare-and-swap from the current state of the key.
+/// `expected` is the revision it compared against, `None` for an absent key.
 #[must_use]
 pub fn resolve(
     command: u64,
@@ -51,7 +51,7 @@
     found: Option<(&Entry, Revision)>,
 ) -> Outcome {
     let Some((entry, revision)) = found else {
-        // Only the record of something removed is deleted, and long after.
+        // Removal leaves a tombstone, which is deleted only long afterwards.
         return match expected {
             None => Outcome::NotApplied,
             Some(_) => Outcome::Unknown,
@@ -63,18 +63,18 @@
     if let Some(written) = find(command, entry, revision) {
         return written;
     }
-    let whole = match expected {
+    let is_complete = match expected {
         Some(expected) => entry.earlier.iter().any(|write| write.revision == expected),
         None => entry.earlier.len() < MAX_HISTORY,
     };
-    if whole {
+    if is_complete {
         Outcome::Conflict
     } else {
         Outcome::Unknown
     }
 }
 
-/// The writes before a new one that follows `entry`, newest first.
+/// Returns the history for a write that follows `entry`, newest first.
 #[must_use]
 pub fn history(entry: &Entry, revision: Revision) -> Vec<Write> {
     let last = Write {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,7 +1,6 @@
-//! Decisions of the fleet, without input, output, clock, threads or runtime.
+//! Decision logic of the fleet, free of I/O, clocks, threads and async runtimes.
 //!
-//! Time comes in as [`mulberryyoke_model::Millis`]; randomness as a generator
-//! or a seed.
+//! Time is passed in as [`mulberryyoke_model::Millis`], randomness as a generator or a seed.
 
 pub mod account;
 pub mod admission;
