--- a/crates/decide/src/quarantine/record.rs
+++ b/crates/decide/src/quarantine/record.rs
@@ -108,8 +108,7 @@
     pub(super) fn merge(&mut self, suspect: &Suspect, now: Millis) -> bool {
         let mut is_changed = false;
         for crash in &suspect.crashes {
-            let at = now.saturating_sub(crash.age_ms);
-            is_changed |= self.record_crash(crash.server, at, now);
+            is_changed |= self.record_crash(crash.server, now.saturating_sub(crash.age_ms), now);
         }
         if let Some(age_ms) = suspect.success_age_ms {
             is_changed |= self.merge_success(now.saturating_sub(age_ms), now);
