--- a/crates/daemon/src/cmd/gateway.rs
+++ b/crates/daemon/src/cmd/gateway.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mulberryyoke_adapter::{Edge, Store};
+use mulberryyoke_adapter::{Codec, StoreClient};
 use mulberryyoke_event::slog::Logger;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_gateway::Gateway;
@@ -30,8 +30,8 @@
         .build()
         .map_err(Error::Runtime)?;
     runtime.block_on(async move {
-        let store = Arc::new(Store::open(settings.store));
-        let gateway = Gateway::spawn(settings, Arc::new(Edge), store, logger.clone())
+        let store = Arc::new(StoreClient::new(settings.store));
+        let gateway = Gateway::spawn(settings, Arc::new(Codec), store, logger.clone())
             .await
             .map_err(Error::Gateway)?;
         tokio::select! {
