--- a/crates/gateway/examples/cost.rs
+++ b/crates/gateway/examples/cost.rs
@@ -135,7 +135,7 @@
     let logger = mulberryyoke_event::open_output("g0");
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
-        let feed = feed::Way::new(service);
+        let feed = feed::Client::new(service);
         let words = Words {
             gateway: "g0".to_owned(),
         };
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -30,9 +30,9 @@
     may_have_run: bool,
     is_apart: bool,
 ) -> Result<Running, Refusal> {
-    let running = core.roster.of(call.pool, |servers| {
+    let running = core.registry.with_pool(call.pool, |servers| {
         let now = Instant::now();
-        let (now_ms, is_in_touch) = (clock::now_ms(), core.view.is_in_touch());
+        let (now_ms, is_in_touch) = (clock::now_ms(), core.view.is_fresh());
         let mut open: Vec<&Arc<Backend>> = servers
             .iter()
             .filter(|backend| backend.is_open() && !tried.contains(&backend.server.id))
@@ -76,7 +76,8 @@
 /// if one does not.
 pub(crate) fn resting(core: &Core, pool: PoolId) -> Option<Refusal> {
     let now_ms = clock::now_ms();
-    core.roster.of(pool, |servers| rest_of(servers, now_ms))
+    core.registry
+        .with_pool(pool, |servers| rest_of(servers, now_ms))
 }
 
 fn rest_of(servers: &[Arc<Backend>], now_ms: u64) -> Option<Refusal> {
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -33,7 +33,7 @@
     let uri = request.uri().clone();
     let answer = match uri.path() {
         METRICS => Response::new(Full::new(Bytes::from(ready::metrics(&core)))),
-        LIST => relayed(core.mirror.list(core.view.known_ms(came))),
+        LIST => relayed(core.mirror.list(core.view.confirmed_since_ms(came))),
         quarantine::PATH => quarantine::answer(&core, request).await,
         CHANGES => changes(&core, uri.query().unwrap_or(""), came).await,
         _ => status(StatusCode::NOT_FOUND),
@@ -53,7 +53,10 @@
     }
     let wait = Duration::from_millis(wait_ms.min(MOST_WAIT_MS));
     core.mirror.wait(after, wait).await;
-    relayed(core.mirror.changes(after, core.view.known_ms(came)))
+    relayed(
+        core.mirror
+            .changes(after, core.view.confirmed_since_ms(came)),
+    )
 }
 
 fn number(query: &str, name: &str) -> Option<u64> {
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -17,7 +17,7 @@
 use crate::mirror::Mirror;
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
-use crate::roster::Roster;
+use crate::registry::Registry;
 use crate::stop::Stop;
 use crate::strain::Strain;
 use crate::view::View;
@@ -29,7 +29,7 @@
     pub(crate) feed: Arc<dyn Feed>,
     pub(crate) logger: Logger,
     pub(crate) view: View,
-    pub(crate) roster: Roster,
+    pub(crate) registry: Registry,
     pub(crate) mirror: Mirror,
     pub(crate) exchange: Exchange,
     pub(crate) shares: Mutex<Shares>,
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -117,7 +117,10 @@
             round.extend(inner.sums(self.origin, now));
         }
         drop(inner);
-        let (suspects, leaving) = (core.quarantine.told(), core.roster.lives.told());
+        let (suspects, leaving) = (
+            core.quarantine.told(),
+            core.registry.instances.announcements(),
+        );
         for (beat, _) in &mut round {
             beat.suspects.clone_from(&suspects);
             beat.leaving.clone_from(&leaving);
@@ -144,7 +147,7 @@
         inner.count_if_due(core, now);
         drop(inner);
         for read in &beat.reads {
-            if let Some(backend) = core.roster.by_id(read.server) {
+            if let Some(backend) = core.registry.get_by_id(read.server) {
                 backend.engine.lock().cache.insert(&read.shared);
             }
         }
--- a/crates/gateway/src/exchange/announce.rs
+++ b/crates/gateway/src/exchange/announce.rs
@@ -45,7 +45,7 @@
         let begun = clock::now_ms();
         match renew(core, held).await {
             Ok(lease) => {
-                core.view.reach(begun);
+                core.view.record_kv_contact(begun);
                 held = Some(lease);
                 // While the machine was suspended the lease may have lapsed.
                 clock::wait_until(clock::now_ms() + RENEW_MS).await;
--- a/crates/gateway/src/exchange/inner.rs
+++ b/crates/gateway/src/exchange/inner.rs
@@ -211,10 +211,10 @@
             self.is_alone = is_alone;
             log!(core.logger, Event::Alone, "alone" => is_alone, "peers" => self.peers.len());
         }
-        let used = core.roster.used();
+        let used = core.registry.subset();
         let others = told.unwrap_or_else(|| {
             let peers = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
-            own(core).estimate(peers, &core.roster.pools())
+            own(core).estimate(peers, &core.registry.pool_subsets())
         });
         for backend in &used {
             let load = others.loads.get(&backend.server.id);
@@ -226,7 +226,7 @@
 
 /// What this gateway has at the servers, and what customers asked of it and were given.
 pub(super) fn own(core: &Core) -> State {
-    let used = core.roster.used();
+    let used = core.registry.subset();
     let loads = used.iter().filter_map(|backend| {
         let load = backend.engine.lock().own;
         (load != Load::default()).then_some((backend.server.id, load))
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -52,10 +52,12 @@
     let capacity = plan.and_then(|plan| plan.limits().tokens_per_s);
     let capacity = capacity.map_or(f64::INFINITY, f64::from);
     // What the others bear is not there to be shared out.
-    let models = core.roster.models();
-    core.shares
-        .lock()
-        .rebalance(capacity * models.taking, models.wait_ms, clock::now_ms());
+    let models = core.registry.model_stats();
+    core.shares.lock().rebalance(
+        capacity * models.accepting_ratio,
+        models.wait_ms,
+        clock::now_ms(),
+    );
     let settings = core.settings.load();
     let nodes = core.exchange.gateways();
     core.budgets
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -28,7 +28,7 @@
 const PAUSE_MS: (u64, u64) = (50, 400);
 
 /// Follows the service until the gateway ends.
-pub(crate) async fn follow(core: Arc<Core>) {
+pub(crate) async fn run(core: Arc<Core>) {
     let end = core.stop.end.clone();
     let mut follower = Follower {
         contents: Contents::new(&core),
@@ -65,8 +65,8 @@
                     self.core.mirror.reset(writes, position);
                     let contents = &mut self.contents;
                     self.core
-                        .roster
-                        .together(|| contents.take_listing(listing.writes, position));
+                        .registry
+                        .batch(|| contents.take_listing(listing.writes, position));
                     contents.settle();
                     self.confirm(source, begun_ms, listing.known_ms);
                     self.watch(position, &mut backoff).await;
@@ -93,8 +93,8 @@
                     let known_ms = changes.known_ms;
                     let contents = &mut self.contents;
                     self.core
-                        .roster
-                        .together(|| contents.take_changes(changes.writes, known));
+                        .registry
+                        .batch(|| contents.take_changes(changes.writes, known));
                     self.confirm(source, begun_ms, known_ms);
                 }
                 Err(Error::Compacted(_)) => return,
@@ -127,7 +127,7 @@
             .view
             .confirm(begun_ms.saturating_add_signed(known_ms));
         if source == Source::Store {
-            self.core.view.reach(begun_ms);
+            self.core.view.record_kv_contact(begun_ms);
         }
     }
 
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -95,7 +95,7 @@
     /// the server itself writes again is newer.
     pub(super) fn restore(&mut self, name: &str, value: &[u8], revision: Revision) {
         self.known.insert(name.to_owned(), revision);
-        let held = self.core.roster.get(name);
+        let held = self.core.registry.get(name);
         let is_closed = held.is_some_and(|held| held.is_closed());
         let is_ready = matches!(self.core.protocol.server(name, value),
             Ok(Server { is_leaving, .. }) if !is_leaving);
@@ -122,9 +122,9 @@
         let pool = plan.as_ref().and_then(|plan| plan.pool(server.pool));
         let may_be_cold = pool.is_none_or(|pool| pool.cold.is_some());
         let left_ms = Some(server.cold_left_ms).filter(|left_ms| may_be_cold && *left_ms > 0);
-        let before = self.core.roster.get(name);
-        let is_new = self.core.roster.register(server, plan.as_deref());
-        let backend = self.core.roster.get(name);
+        let before = self.core.registry.get(name);
+        let is_new = self.core.registry.register(server, plan.as_deref());
+        let backend = self.core.registry.get(name);
         if let (Some(left_ms), Some(backend)) = (left_ms, &backend) {
             backend.cold.extend(clock::now_ms() + left_ms);
         }
@@ -140,7 +140,7 @@
 
     /// Notes that another life of a server has taken the place of one.
     fn replaced(&self, name: &str, before: Option<Arc<Backend>>) {
-        let now = self.core.roster.get(name).map(|now| now.server.id);
+        let now = self.core.registry.get(name).map(|now| now.server.id);
         let is_other =
             |before: &Arc<Backend>| now != Some(before.server.id) && !before.server.is_leaving;
         self.lapse(before.filter(is_other));
@@ -172,7 +172,7 @@
             self.lapsing.entry(name.to_owned()).or_insert(until);
             return;
         }
-        let backend = self.core.roster.get(name);
+        let backend = self.core.registry.get(name);
         self.lapse(backend.filter(|backend| !backend.is_closed()));
         self.drop_server(name, "registration ended");
     }
@@ -191,7 +191,7 @@
     }
 
     fn drop_server(&mut self, name: &str, why: &str) {
-        if self.core.roster.remove(name) {
+        if self.core.registry.remove(name) {
             self.gone.insert(name.to_owned(), Instant::now());
             log!(self.core.logger, Event::ServerGone, "server" => name, "why" => why);
         }
--- a/crates/gateway/src/follow/shares.rs
+++ b/crates/gateway/src/follow/shares.rs
@@ -28,7 +28,7 @@
         let now = clock::now_ms();
         self.members.expire(now);
         let view = self.members.view(now);
-        let used = self.core.roster.used();
+        let used = self.core.registry.subset();
         let cold = used
             .iter()
             .filter(|backend| backend.cold.is_cold(now) && backend.cold.is_behind(view));
--- a/crates/gateway/src/follow/zones.rs
+++ b/crates/gateway/src/follow/zones.rs
@@ -31,7 +31,7 @@
         if !self.names.insert(zone.to_owned()) {
             return;
         }
-        let servers = self.core.roster.evacuate(zone, true);
+        let servers = self.core.registry.set_evacuated(zone, true);
         self.tell(zone, servers.len(), true);
     }
 
@@ -41,7 +41,7 @@
             return;
         }
         let plan = self.core.view.plan();
-        let servers = self.core.roster.evacuate(zone, false);
+        let servers = self.core.registry.set_evacuated(zone, false);
         for backend in &servers {
             let pool = plan
                 .as_ref()
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -23,7 +23,7 @@
 use crate::mirror::Mirror;
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
-use crate::roster::Roster;
+use crate::registry::Registry;
 use crate::stop::Stop;
 use crate::strain::Strain;
 use crate::view::View;
@@ -71,7 +71,7 @@
         let beats = beats.map_err(|source| Error::Bind { address, source })?;
         let place = Place::new(&settings.zone, settings.processors);
         let exchange = Exchange::new(&settings.name, place);
-        let roster = Roster::new(&settings.name);
+        let registry = Registry::new(&settings.name);
         let core = Arc::new(Core {
             budgets: Budgets::default(),
             settings: ArcSwap::from_pointee(settings),
@@ -79,7 +79,7 @@
             feed,
             logger,
             view: View::default(),
-            roster,
+            registry,
             mirror: Mirror::new(),
             exchange,
             shares: Mutex::default(),
@@ -97,7 +97,7 @@
         tokio::spawn(exchange::announce(Arc::clone(&core)));
         tokio::spawn(strain::measure(Arc::clone(&core)));
         tokio::spawn(exchange::run(Arc::clone(&core), beats));
-        tokio::spawn(follow::follow(Arc::clone(&core)));
+        tokio::spawn(follow::run(Arc::clone(&core)));
         tokio::spawn(ready::serve(Arc::clone(&core), health, ready::answer));
         tokio::spawn(ready::serve(Arc::clone(&core), control, control::answer));
         tokio::spawn(listen::serve(Arc::clone(&core), callers, handoff));
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -47,9 +47,9 @@
 async fn ask(core: &Core, target: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = timeout(CONNECT, TcpStream::connect(target)).await??;
     socket::tune(&stream)?;
-    send(&mut stream, core.view.latest()).await?;
+    send(&mut stream, core.view.latest_version()).await?;
     let version = receive(&mut stream).await?;
-    core.view.see(version);
+    core.view.record_peer_version(version);
     Ok(stream)
 }
 
@@ -73,7 +73,7 @@
     let agreed = async {
         let least = receive(stream).await?;
         let version = core.view.plan().map_or(0, |plan| plan.version());
-        let may = version > 0 && version >= least && !core.view.is_overtaken();
+        let may = version > 0 && version >= least && !core.view.is_superseded();
         if may {
             send(stream, version).await?;
         }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -55,7 +55,7 @@
 
     /// Finds route and customer, then reads the body.
     pub(crate) async fn read(mut self, core: &Core) -> Result<Call, Refusal> {
-        if core.view.is_of_before() || core.view.is_overtaken() {
+        if core.view.predates_suspension() || core.view.is_superseded() {
             return Err(Refusal::NoView);
         }
         let plan = core.view.plan().ok_or(Refusal::NoView)?;
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -49,7 +49,7 @@
     let (core, backend) = (Arc::clone(core), Arc::clone(backend));
     tokio::spawn(async move {
         // By now all servers are known that were listed together.
-        if !core.roster.uses(&backend) {
+        if !core.registry.is_in_subset(&backend) {
             return;
         }
         let asked = timeout(LIST, ask(&core, &backend, path)).await;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -34,7 +34,7 @@
 mod quarantine;
 mod ready;
 mod refusal;
-mod roster;
+mod registry;
 mod server;
 mod socket;
 mod stop;
--- a/crates/gateway/src/listen/port.rs
+++ b/crates/gateway/src/listen/port.rs
@@ -131,7 +131,7 @@
         });
         return;
     }
-    let is_behind = core.strain.is_behind() || core.view.is_overtaken();
+    let is_behind = core.strain.is_behind() || core.view.is_superseded();
     if !is_behind || core.stop.leave.is_cancelled() {
         return connect(&core, watcher, stream, way);
     }
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -30,7 +30,9 @@
         return;
     }
     backend.close();
-    core.roster.lives.keep(backend.server.id, &backend.life);
+    core.registry
+        .instances
+        .insert(backend.server.id, &backend.life);
     metrics::counter!("servers_leaving_total", "source" => "answer").increment(1);
     log!(core.logger, Event::ServerLeaves,
         "request" => request, "server" => &backend.server.name, "source" => "answer");
@@ -39,9 +41,9 @@
 /// Takes in which servers told other gateways that they leave.
 pub(crate) fn hear(core: &Core, leaving: &[Leaving]) {
     for told in leaving {
-        let backend = core.roster.by_id(told.server);
+        let backend = core.registry.get_by_id(told.server);
         let life = backend.as_ref().map(|backend| Arc::clone(&backend.life));
-        if !core.roster.lives.hear(*told, life) {
+        if !core.registry.instances.receive(*told, life) {
             continue;
         }
         metrics::counter!("servers_leaving_total", "source" => "peer").increment(1);
@@ -56,7 +58,9 @@
 fn rest(core: &Core, backend: &Backend, rest_ms: u64, request: &str) {
     let now_ms = clock::now_ms();
     backend.life.ask(rest_ms, now_ms);
-    core.roster.lives.keep(backend.server.id, &backend.life);
+    core.registry
+        .instances
+        .insert(backend.server.id, &backend.life);
     metrics::counter!("servers_resting_total").increment(1);
     log!(core.logger, Event::ServerRests,
         "request" => request,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -112,7 +112,7 @@
 /// Notes that another gateway saw a life end: what breaks off there later met another life, and
 /// meanwhile others are chosen.
 fn learn(core: &Core, server: ServerId) {
-    let Some(backend) = core.roster.by_id(server) else {
+    let Some(backend) = core.registry.get_by_id(server) else {
         return;
     };
     // While somebody looks at its life there is nothing to be learnt.
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -43,7 +43,7 @@
 pub(crate) fn metrics(core: &Core) -> String {
     let age_s = Duration::from_millis(core.view.age_ms()).as_secs_f64();
     metrics::gauge!("configuration_age_seconds").set(age_s);
-    let reach_s = Duration::from_millis(core.view.reach_age_ms()).as_secs_f64();
+    let reach_s = Duration::from_millis(core.view.kv_contact_age_ms()).as_secs_f64();
     metrics::gauge!("kv_reached_age_seconds").set(reach_s);
     metrics::gauge!("callers_connections").set(core.connections.load(Ordering::Relaxed));
     let plan = core.view.plan();
@@ -67,8 +67,8 @@
 /// Whether callers should be sent to this node.
 pub(crate) fn is_ready(core: &Core) -> bool {
     let has_plan = core.view.plan().is_some();
-    let is_fresh = core.view.age_ms() < FRESH_MS && core.view.reach_age_ms() < REACH_MS;
-    let is_fresh = is_fresh && !core.view.is_of_before();
+    let is_fresh = core.view.age_ms() < FRESH_MS && core.view.kv_contact_age_ms() < REACH_MS;
+    let is_fresh = is_fresh && !core.view.predates_suspension();
     has_plan && is_fresh && !core.strain.is_away() && !core.stop.leave.is_cancelled()
 }
 
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/registry.rs
@@ -1,7 +1,7 @@
 //! The servers that are registered.
 
-mod lives;
-mod models;
+mod instances;
+mod model_stats;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use mulberryyoke_model::{PoolId, ServerId};
 use parking_lot::Mutex;
 
-use self::lives::Lives;
-pub(crate) use self::models::Models;
+use self::instances::Instances;
+pub(crate) use self::model_stats::ModelStats;
 use crate::backend::Backend;
 use crate::clock;
 use crate::plan::Plan;
@@ -35,7 +35,7 @@
 
 /// The servers that are registered, readable without a lock. One task alone changes it.
 #[derive(Debug)]
-pub(crate) struct Roster {
+pub(crate) struct Registry {
     /// This node's rank, by which it uses other servers than other nodes.
     node: u64,
     table: ArcSwap<Table>,
@@ -50,10 +50,10 @@
     /// Availability zones to whose servers nothing is to be sent.
     evacuated: Mutex<HashSet<String>>,
     /// What lives of servers said of themselves.
-    pub(crate) lives: Lives,
+    pub(crate) instances: Instances,
 }
 
-impl Roster {
+impl Registry {
     /// That of a node before it knows a server.
     pub(crate) fn new(name: &str) -> Self {
         Self {
@@ -64,12 +64,12 @@
             is_stale: AtomicBool::new(false),
             paces: Mutex::default(),
             evacuated: Mutex::default(),
-            lives: Lives::default(),
+            instances: Instances::default(),
         }
     }
 
     /// Makes several changes at once: the table is made when they are done.
-    pub(crate) fn together<T>(&self, changes: impl FnOnce() -> T) -> T {
+    pub(crate) fn batch<T>(&self, changes: impl FnOnce() -> T) -> T {
         self.is_held.store(true, Ordering::Relaxed);
         let done = changes();
         self.is_held.store(false, Ordering::Relaxed);
@@ -78,15 +78,15 @@
     }
 
     /// Reads the servers of a pool that this node uses.
-    pub(crate) fn of<T>(&self, pool: PoolId, read: impl FnOnce(&[Arc<Backend>]) -> T) -> T {
+    pub(crate) fn with_pool<T>(&self, pool: PoolId, read: impl FnOnce(&[Arc<Backend>]) -> T) -> T {
         let table = self.table.load();
         read(table.pools.get(&pool).map_or(&[], Vec::as_slice))
     }
 
     /// Whether this node uses a server.
-    pub(crate) fn uses(&self, backend: &Backend) -> bool {
+    pub(crate) fn is_in_subset(&self, backend: &Backend) -> bool {
         let id = backend.server.id;
-        self.of(backend.server.pool, |servers| {
+        self.with_pool(backend.server.pool, |servers| {
             servers.iter().any(|server| server.server.id == id)
         })
     }
@@ -97,18 +97,18 @@
     }
 
     /// The server of an identity.
-    pub(crate) fn by_id(&self, id: ServerId) -> Option<Arc<Backend>> {
+    pub(crate) fn get_by_id(&self, id: ServerId) -> Option<Arc<Backend>> {
         self.table.load().ids.get(&id).cloned()
     }
 
     /// The servers that this node uses.
-    pub(crate) fn used(&self) -> Vec<Arc<Backend>> {
+    pub(crate) fn subset(&self) -> Vec<Arc<Backend>> {
         let table = self.table.load();
         table.pools.values().flatten().cloned().collect()
     }
 
     /// The servers of each pool, those that this node uses.
-    pub(crate) fn pools(&self) -> Vec<Vec<ServerId>> {
+    pub(crate) fn pool_subsets(&self) -> Vec<Vec<ServerId>> {
         let table = self.table.load();
         let pools = table.pools.values();
         let ids = pools.map(|servers| servers.iter().map(|backend| backend.server.id).collect());
@@ -117,7 +117,7 @@
 
     /// The model servers as a whole. Cold ones, those that rest and those of evacuated zones have
     /// little to do and cannot take more.
-    pub(crate) fn models(&self) -> Models {
+    pub(crate) fn model_stats(&self) -> ModelStats {
         let table = self.table.load();
         let now = clock::now_ms();
         let (mut all, mut taking, mut waits_ms) = (0_u32, 0_u32, 0.0);
@@ -132,9 +132,9 @@
         }
         // One at least, so that there is something to share out.
         let some = f64::from(taking.max(1));
-        Models {
+        ModelStats {
             wait_ms: waits_ms / some,
-            taking: some / f64::from(all.max(1)),
+            accepting_ratio: some / f64::from(all.max(1)),
         }
     }
 
@@ -158,7 +158,7 @@
         let name = server.name.clone();
         let pace = Arc::clone(self.paces.lock().entry(server.pool).or_default());
         let is_evacuated = self.evacuated.lock().contains(&server.zone);
-        let life = self.lives.of(server.id);
+        let life = self.instances.get_or_new(server.id);
         let backend = Arc::new(Backend::new(server, model, pace, life));
         backend.evacuate(is_evacuated);
         self.change(|servers| {
@@ -181,7 +181,7 @@
     }
 
     /// Lets nothing be sent to the servers of a zone, or again; those that are registered now.
-    pub(crate) fn evacuate(&self, zone: &str, is_evacuated: bool) -> Vec<Arc<Backend>> {
+    pub(crate) fn set_evacuated(&self, zone: &str, is_evacuated: bool) -> Vec<Arc<Backend>> {
         let mut evacuated = self.evacuated.lock();
         if is_evacuated {
             evacuated.insert(zone.to_owned());
@@ -229,7 +229,7 @@
 
 /// Whether a registration is of an earlier life than another.
 fn is_earlier(new: &Server, held: &Server) -> bool {
-    let lives = new.born_ms.zip(held.born_ms);
+    let lives = new.started_ms.zip(held.started_ms);
     lives.is_some_and(|(new, held)| new < held)
 }
 
--- a/crates/gateway/src/roster/lives.rs
+++ b/crates/gateway/src/registry/instances.rs
@@ -1,4 +1,4 @@
-//! Lives of servers that said something of themselves, kept beyond their registrations.
+//! Instances of servers that said something of themselves, kept beyond their registrations.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,42 +15,42 @@
 /// seconds, and one that leaves may serve on for as long.
 const KEPT_MS: u64 = 60_000;
 
-/// Lives that one message tells of: 64 take less than 700 bytes.
+/// Instances that one message tells of: 64 take less than 700 bytes.
 const MOST_TOLD: usize = 64;
 
-/// Lives of servers that said something of themselves.
+/// Instances of servers that said something of themselves.
 #[derive(Debug, Default)]
-pub(crate) struct Lives {
-    lives: Mutex<HashMap<ServerId, Arc<Life>>>,
+pub(crate) struct Instances {
+    instances: Mutex<HashMap<ServerId, Arc<Life>>>,
 }
 
-impl Lives {
+impl Instances {
     /// What is known of a life, or a new record of it.
-    pub(super) fn of(&self, server: ServerId) -> Arc<Life> {
-        let lives = self.lives.lock();
-        lives.get(&server).cloned().unwrap_or_default()
+    pub(super) fn get_or_new(&self, server: ServerId) -> Arc<Life> {
+        let instances = self.instances.lock();
+        instances.get(&server).cloned().unwrap_or_default()
     }
 
     /// Remembers a life that said something.
-    pub(crate) fn keep(&self, server: ServerId, life: &Arc<Life>) {
+    pub(crate) fn insert(&self, server: ServerId, life: &Arc<Life>) {
         let now_ms = clock::now_ms();
-        let mut lives = self.lives.lock();
-        lives.retain(|_, life| {
+        let mut instances = self.instances.lock();
+        instances.retain(|_, life| {
             let is_registered = Arc::strong_count(life) > 1;
             is_registered || now_ms.saturating_sub(life.seen_ms()) < KEPT_MS
         });
-        lives.insert(server, Arc::clone(life));
+        instances.insert(server, Arc::clone(life));
     }
 
     /// What other gateways are to be told: lives that lately said that they leave, the latest
     /// first.
-    pub(crate) fn told(&self) -> Vec<Leaving> {
-        let lives = self.lives.lock();
-        if lives.is_empty() {
+    pub(crate) fn announcements(&self) -> Vec<Leaving> {
+        let instances = self.instances.lock();
+        if instances.is_empty() {
             return Vec::new();
         }
         let now_ms = clock::now_ms();
-        let told = lives.iter().filter_map(|(&server, life)| {
+        let told = instances.iter().filter_map(|(&server, life)| {
             let age_ms = life.told_ms(now_ms)?;
             Some(Leaving { server, age_ms })
         });
@@ -62,11 +62,11 @@
 
     /// Takes in what another gateway told of a life: the one that is registered, or one that may
     /// be registered yet. `true` if it is new here.
-    pub(crate) fn hear(&self, told: Leaving, registered: Option<Arc<Life>>) -> bool {
-        let life = registered.unwrap_or_else(|| self.of(told.server));
+    pub(crate) fn receive(&self, told: Leaving, registered: Option<Arc<Life>>) -> bool {
+        let life = registered.unwrap_or_else(|| self.get_or_new(told.server));
         let is_new = life.hear(told.age_ms, clock::now_ms());
         if is_new {
-            self.keep(told.server, &life);
+            self.insert(told.server, &life);
         }
         is_new
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -21,7 +21,7 @@
     pub slots: u32,
     /// When it started, in milliseconds since 1970, if it tells: a later life of the same name
     /// keeps and runs nothing of the one before.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// How much longer it is cold, in milliseconds from its registration; 0 if it is not.
     pub cold_left_ms: u64,
     /// Whether it leaves and must get nothing new.
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -41,19 +41,19 @@
 
     /// The latest version by which callers of this node were answered, here or by another
     /// gateway; 0 before the first.
-    pub(crate) fn latest(&self) -> u64 {
+    pub(crate) fn latest_version(&self) -> u64 {
         let held = self.plan.load().as_ref().map_or(0, |held| held.version());
         held.max(self.seen.load(Ordering::Relaxed))
     }
 
     /// Notes that another gateway answers callers of this one by a version.
-    pub(crate) fn see(&self, version: u64) {
+    pub(crate) fn record_peer_version(&self, version: u64) {
         self.seen.fetch_max(version, Ordering::Relaxed);
     }
 
     /// Whether callers of this node were answered by a later version than the one in force here:
     /// what that changed must not be as it was before.
-    pub(crate) fn is_overtaken(&self) -> bool {
+    pub(crate) fn is_superseded(&self) -> bool {
         let held = self.plan.load().as_ref().map_or(0, |held| held.version());
         held < self.seen.load(Ordering::Relaxed)
     }
@@ -66,32 +66,32 @@
 
     /// When it was last known that no newer configuration had been accepted, in
     /// milliseconds after an instant of this process's clock; negative if before.
-    pub(crate) fn known_ms(&self, than_ms: u64) -> i64 {
+    pub(crate) fn confirmed_since_ms(&self, than_ms: u64) -> i64 {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         i64::try_from(confirmed_ms).unwrap_or(i64::MAX) - i64::try_from(than_ms).unwrap_or(i64::MAX)
     }
 
     /// Whether it was last known to be in force before a suspension of the machine: whatever
     /// was learnt before may have changed meanwhile.
-    pub(crate) fn is_of_before(&self) -> bool {
+    pub(crate) fn predates_suspension(&self) -> bool {
         let woke_ms = clock::woke_ms();
         woke_ms > 0 && self.confirmed_ms.load(Ordering::Relaxed) < woke_ms
     }
 
     /// Notes that this node itself reached the key-value service with a call that
     /// began at an instant, in milliseconds of this process's clock.
-    pub(crate) fn reach(&self, at_ms: u64) {
+    pub(crate) fn record_kv_contact(&self, at_ms: u64) {
         self.reached_ms.fetch_max(at_ms, Ordering::Relaxed);
     }
 
     /// Time since this node itself reached the key-value service, in milliseconds.
-    pub(crate) fn reach_age_ms(&self) -> u64 {
+    pub(crate) fn kv_contact_age_ms(&self) -> u64 {
         clock::now_ms().saturating_sub(self.reached_ms.load(Ordering::Relaxed))
     }
 
     /// Whether what is known here of servers and gateways is about what others know.
-    pub(crate) fn is_in_touch(&self) -> bool {
-        self.age_ms() <= IN_TOUCH_MS && !self.is_of_before()
+    pub(crate) fn is_fresh(&self) -> bool {
+        self.age_ms() <= IN_TOUCH_MS && !self.predates_suspension()
     }
 
     /// Time since it was last known that no newer configuration had been
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -77,7 +77,7 @@
     );
     sleep(SETTLED).await;
     expect_that!(node.ask("/once/", "").await.status, eq(200));
-    node.way.cut(true);
+    node.kv.set_failing(true);
     sleep(Duration::from_secs(3)).await;
     let before = cold.state.heads().len();
     for _ in 0..4 {
--- a/crates/gateway/tests/gateway/configuration.rs
+++ b/crates/gateway/tests/gateway/configuration.rs
@@ -52,9 +52,9 @@
         let backend = Backend::spawn(Way::Answer).await;
         let (_service, node) = ready(&[&backend]).await;
         if is_silent {
-            node.way.silence(true);
+            node.kv.set_hanging(true);
         } else {
-            node.way.cut(true);
+            node.kv.set_failing(true);
         }
         sleep(Duration::from_millis(KEYS_FRESH_MS + 100)).await;
         expect_that!(node.ask("/keyed/", KEY).await.status, eq(503));
@@ -69,8 +69,8 @@
             "no key is needed"
         );
         expect_that!(node.ready().await, eq(503));
-        node.way.cut(false);
-        node.way.silence(false);
+        node.kv.set_failing(false);
+        node.kv.set_hanging(false);
         node.wait_ready().await;
         expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
     }
@@ -81,12 +81,12 @@
 async fn what_was_written_while_the_history_was_lost_is_learnt() {
     let backend = Backend::spawn(Way::Answer).await;
     let (service, node) = ready(&[&backend]).await;
-    node.way.cut(true);
+    node.kv.set_failing(true);
     sleep(Duration::from_millis(900)).await;
     service.set("config", Some("9 other"));
     service.set("servers/plain-0", None);
     service.compact();
-    node.way.cut(false);
+    node.kv.set_failing(false);
     sleep(Duration::from_millis(2_600)).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
     expect_that!(node.ask("/once/", "").await.status, eq(503));
@@ -120,10 +120,10 @@
 async fn servers_that_lapse_while_the_service_is_away_have_time_to_register_again() {
     let backend = Backend::spawn(Way::Answer).await;
     let (service, node) = ready(&[&backend]).await;
-    node.way.cut(true);
+    node.kv.set_failing(true);
     sleep(Duration::from_millis(900)).await;
     service.set("servers/plain-0", None);
-    node.way.cut(false);
+    node.kv.set_failing(false);
     sleep(SOON + SOON).await;
     expect_that!(node.ask("/once/", "").await.status, eq(200));
     sleep(Duration::from_millis(2_400)).await;
--- a/crates/gateway/tests/gateway/convictions.rs
+++ b/crates/gateway/tests/gateway/convictions.rs
@@ -42,7 +42,7 @@
 async fn without_the_key_value_service_gateways_tell_each_other() {
     let fleet = Fleet::spawn(Name::New, 3, Way::Stream).await;
     for node in &fleet.nodes {
-        node.way.cut(true);
+        node.kv.set_failing(true);
     }
     for round in 0..6 {
         fleet.ask(round, "/resumable/", BAD).await;
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn a_conviction_that_a_copy_lacks_is_written_again() {
     let mut fleet = Fleet::spawn(Name::Same, 3, Way::Stream).await;
-    fleet.service.copy();
+    fleet.service.back_up();
     for round in 0..3 {
         fleet.ask(round, "/resumable/", BAD).await;
         sleep(PAUSE).await;
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -98,7 +98,7 @@
     service.set("evacuate/a", Some("{}"));
     service.set("evacuate/b", Some("{}"));
     sleep(SOON).await;
-    node.way.cut(true);
+    node.kv.set_failing(true);
     sleep(Duration::from_millis(1_500)).await;
     expect_that!(node.ask("/once/", "").await.status, eq(503));
     let started = Node::spawn(&service, "g1").await;
--- a/crates/gateway/tests/gateway/exchange.rs
+++ b/crates/gateway/tests/gateway/exchange.rs
@@ -28,7 +28,7 @@
     for index in 0..nodes {
         // The first are the largest of the zone, so that they collect.
         let processors = if index < 2 { 2.0 } else { 0.5 };
-        zone.push(Node::sized(service, &format!("g{index}"), processors).await);
+        zone.push(Node::spawn_with_cpus(service, &format!("g{index}"), processors).await);
     }
     for node in &zone {
         node.wait_ready().await;
--- a/crates/gateway/tests/gateway/feed.rs
+++ b/crates/gateway/tests/gateway/feed.rs
@@ -38,7 +38,7 @@
 pub(crate) struct Service {
     held: Mutex<Held>,
     /// What it held when the copy was made from which it may come back.
-    copy: Mutex<Held>,
+    backup: Mutex<Held>,
     /// Leases that were granted, and by how many calls.
     grants: AtomicU64,
     changed: watch::Sender<Revision>,
@@ -51,7 +51,7 @@
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(Self {
             held: Mutex::default(),
-            copy: Mutex::default(),
+            backup: Mutex::default(),
             grants: AtomicU64::new(0),
             changed: watch::Sender::new(0),
             calls: AtomicU64::new(0),
@@ -93,8 +93,8 @@
     }
 
     /// Makes a copy of what it holds.
-    pub(crate) fn copy(&self) {
-        *self.copy.lock() = self.held.lock().clone();
+    pub(crate) fn back_up(&self) {
+        *self.backup.lock() = self.held.lock().clone();
     }
 
     /// Comes back from the copy: all that was written since is lost, and its revisions are
@@ -102,7 +102,7 @@
     pub(crate) fn restore(&self) {
         let mut held = self.held.lock();
         let era = held.era + 1;
-        *held = self.copy.lock().clone();
+        *held = self.backup.lock().clone();
         held.era = era;
         let revision = held.revision;
         drop(held);
@@ -143,39 +143,39 @@
 
 /// One node's way to the service.
 #[derive(Debug)]
-pub(crate) struct Way {
+pub(crate) struct Client {
     pub(crate) service: Arc<Service>,
-    is_cut: AtomicBool,
-    is_silent: AtomicBool,
+    is_failing: AtomicBool,
+    is_hanging: AtomicBool,
 }
 
-impl Way {
+impl Client {
     pub(crate) fn new(service: &Arc<Service>) -> Arc<Self> {
         Arc::new(Self {
             service: Arc::clone(service),
-            is_cut: AtomicBool::new(false),
-            is_silent: AtomicBool::new(false),
+            is_failing: AtomicBool::new(false),
+            is_hanging: AtomicBool::new(false),
         })
     }
 
     /// Makes calls fail, or work again.
-    pub(crate) fn cut(&self, is_cut: bool) {
-        self.is_cut.store(is_cut, Ordering::Relaxed);
+    pub(crate) fn set_failing(&self, is_failing: bool) {
+        self.is_failing.store(is_failing, Ordering::Relaxed);
     }
 
     /// Makes calls hang, or work again.
-    pub(crate) fn silence(&self, is_silent: bool) {
-        self.is_silent.store(is_silent, Ordering::Relaxed);
+    pub(crate) fn set_hanging(&self, is_hanging: bool) {
+        self.is_hanging.store(is_hanging, Ordering::Relaxed);
     }
 
     /// Lets a call through that waits for so long at the service.
     async fn pass(&self, wait_ms: u64) -> Result<(), Error> {
         self.service.calls.fetch_add(1, Ordering::Relaxed);
-        if self.is_silent.load(Ordering::Relaxed) {
+        if self.is_hanging.load(Ordering::Relaxed) {
             let _ = timeout(Duration::from_millis(wait_ms + CALL_MS), pending::<()>()).await;
             return Err(Error::Unknown(Cause::Late));
         }
-        if self.is_cut.load(Ordering::Relaxed) {
+        if self.is_failing.load(Ordering::Relaxed) {
             return Err(Error::Unsent(Cause::Connect("cut".to_owned())));
         }
         Ok(())
@@ -189,7 +189,7 @@
     }
 }
 
-impl Feed for Way {
+impl Feed for Client {
     fn list<'a>(&'a self, prefix: &'a str) -> Call<'a, Contents> {
         Box::pin(async move {
             self.pass(0).await?;
--- a/crates/gateway/tests/gateway/fleet.rs
+++ b/crates/gateway/tests/gateway/fleet.rs
@@ -11,7 +11,7 @@
 
 use crate::backend::Backend;
 use crate::caller::{self, Reply};
-use crate::feed::{Service, Way};
+use crate::feed::{Client, Service};
 use crate::protocol::Words;
 
 /// Age from which requests with a key are refused in the tests, in milliseconds.
@@ -29,17 +29,21 @@
     pub(crate) gateway: Option<Gateway>,
     pub(crate) callers: SocketAddr,
     pub(crate) health: SocketAddr,
-    pub(crate) way: Arc<Way>,
+    pub(crate) kv: Arc<Client>,
 }
 
 impl Node {
     /// Starts a gateway that has not yet learnt anything.
     pub(crate) async fn spawn(service: &Arc<Service>, name: &str) -> Self {
-        Self::sized(service, name, 1.0).await
+        Self::spawn_with_cpus(service, name, 1.0).await
     }
 
     /// As [`Node::spawn`], with so much of a processor.
-    pub(crate) async fn sized(service: &Arc<Service>, name: &str, processors: f64) -> Self {
+    pub(crate) async fn spawn_with_cpus(
+        service: &Arc<Service>,
+        name: &str,
+        processors: f64,
+    ) -> Self {
         // Another test may take an address between its choice and its use.
         for _ in 0..TRIES {
             if let Some(node) = Self::try_spawn(service, name, processors).await {
@@ -50,7 +54,7 @@
     }
 
     async fn try_spawn(service: &Arc<Service>, name: &str, processors: f64) -> Option<Self> {
-        let way = Way::new(service);
+        let kv = Client::new(service);
         let [callers, health, control, handoff, store] = [(); 5].map(|()| free());
         let settings = settings::Gateway {
             name: name.to_owned(),
@@ -70,7 +74,7 @@
             descriptors: 1_024,
         };
         let logger = Logger::root(Discard, o!());
-        let feed = Arc::clone(&way);
+        let feed = Arc::clone(&kv);
         let words = Words {
             gateway: name.to_owned(),
         };
@@ -83,7 +87,7 @@
             gateway: Some(gateway),
             callers,
             health,
-            way,
+            kv,
         })
     }
 
--- a/crates/gateway/tests/gateway/handoff.rs
+++ b/crates/gateway/tests/gateway/handoff.rs
@@ -35,8 +35,8 @@
         let service = Service::new();
         service.set("config", Some("5 secret"));
         register(&service, 0, &backend, "ready");
-        let small = Node::sized(&service, "small", SIZES.0).await;
-        let large = Node::sized(&service, "large", SIZES.1).await;
+        let small = Node::spawn_with_cpus(&service, "small", SIZES.0).await;
+        let large = Node::spawn_with_cpus(&service, "large", SIZES.1).await;
         small.wait_ready().await;
         large.wait_ready().await;
         sleep(Duration::from_millis(500)).await;
@@ -198,7 +198,7 @@
 async fn a_caller_does_not_see_a_change_undone_by_a_larger_one_that_is_behind() {
     let zone = Zone::new(Way::Answer).await;
     hold_up().await;
-    zone.large.way.silence(true);
+    zone.large.kv.set_hanging(true);
     zone.service.set("config", Some("7 other"));
     sleep(SOON).await;
     for _ in 0..3 {
@@ -216,7 +216,7 @@
         .expect("it listens");
     ask_again(&mut kept).await;
     hold_up().await;
-    zone.small.way.silence(true);
+    zone.small.kv.set_hanging(true);
     zone.service.set("config", Some("7 other"));
     sleep(SOON).await;
     let status = zone.small.ask("/keyed/", KEY).await.status;
--- a/crates/gateway/tests/gateway/lagging.rs
+++ b/crates/gateway/tests/gateway/lagging.rs
@@ -66,7 +66,7 @@
     register(&service, 0, &backend, "ready");
     let node = Node::spawn(&service, "g0").await;
     node.wait_ready().await;
-    node.way.silence(true);
+    node.kv.set_hanging(true);
     let until = Instant::now() + ASKED;
     let mut status = 200;
     while Instant::now() < until && status == 200 {
--- a/crates/gateway/tests/gateway/leaving.rs
+++ b/crates/gateway/tests/gateway/leaving.rs
@@ -67,13 +67,13 @@
     let (service, [first, second]) = two(&[&leaving, &stays]).await;
     expect_that!(uses(&second, &leaving).await, eq(true));
     for node in [&first, &second] {
-        node.way.silence(true);
+        node.kv.set_hanging(true);
     }
     tell(&leaving, &first).await;
     sleep(KNOWN).await;
     expect_that!(uses(&second, &leaving).await, eq(false));
     for node in [&first, &second] {
-        node.way.silence(false);
+        node.kv.set_hanging(false);
     }
     // Calls that hang are given up by then.
     sleep(Duration::from_secs(1)).await;
--- a/crates/gateway/tests/gateway/notices.rs
+++ b/crates/gateway/tests/gateway/notices.rs
@@ -53,7 +53,7 @@
         Backend::spawn(Way::Answer).await,
     );
     let (_service, node) = ready(&[&leaving, &stays]).await;
-    node.way.silence(true);
+    node.kv.set_hanging(true);
     leaving.state.turn(Way::Answer, LEAVING);
     while came(&leaving) == 0 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
@@ -93,7 +93,7 @@
     expect_that!(is_used(&node, &leaving).await, eq(true));
     leaving.state.turn(Way::Answer, "");
     expect_that!(is_used(&node, &leaving).await, eq(false));
-    service.copy();
+    service.back_up();
     register_life(&service, &leaving, 5);
     sleep(SOON).await;
     expect_that!(is_used(&node, &leaving).await, eq(false), "written again");
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -65,7 +65,7 @@
     one.wait_ready().await;
     two.wait_ready().await;
     sleep(Duration::from_secs(1)).await;
-    two.way.cut(true);
+    two.kv.set_failing(true);
     sleep(Duration::from_millis(KEYS_FRESH_MS + 500)).await;
     expect_that!(
         two.ask("/keyed/", KEY).await.status,
@@ -80,7 +80,7 @@
     service.set("config", Some("8 other"));
     sleep(Duration::from_millis(1_500)).await;
     expect_that!(two.ask("/keyed/", KEY).await.status, eq(401));
-    one.way.cut(true);
+    one.kv.set_failing(true);
     sleep(Duration::from_millis(KEYS_FRESH_MS + 500)).await;
     let other = "Authorization: Bearer other\r\n";
     expect_that!(
@@ -133,11 +133,11 @@
     let nodes = eight(&service).await;
     sleep(Duration::from_secs(1)).await;
     for node in &nodes {
-        node.way.silence(true);
+        node.kv.set_hanging(true);
     }
     sleep(Duration::from_millis(KEYS_FRESH_MS + 2_500)).await;
     for node in &nodes {
-        node.way.silence(false);
+        node.kv.set_hanging(false);
     }
     let since = Instant::now();
     for node in &nodes {
@@ -158,7 +158,7 @@
     let nodes = eight(&service).await;
     // The three whose names have the lowest hashes ask the service for the others.
     for watcher in [2, 5, 6] {
-        nodes[watcher].way.silence(true);
+        nodes[watcher].kv.set_hanging(true);
     }
     sleep(Duration::from_secs(1)).await;
     let others = [1, 3, 4].map(|index| &nodes[index]);
@@ -182,21 +182,21 @@
     for index in 0..4 {
         // The first three ask the service, the last one asks these.
         let processors = if index < 3 { 2.0 } else { 0.5 };
-        nodes.push(Node::sized(&service, &format!("g{index}"), processors).await);
+        nodes.push(Node::spawn_with_cpus(&service, &format!("g{index}"), processors).await);
     }
     for node in &nodes {
         node.wait_ready().await;
     }
     for is_cut in [true, false] {
         for node in &nodes {
-            node.way.cut(is_cut);
+            node.kv.set_failing(is_cut);
         }
         sleep(Duration::from_secs(4)).await;
     }
     // Those that the last one asks are turned away by the service, it is not.
     let (asked, last) = nodes.split_at(3);
     for node in asked {
-        node.way.cut(true);
+        node.kv.set_failing(true);
     }
     for _ in 0..2 {
         register(&service, 0, &backend, "ready");
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -178,7 +178,7 @@
         let born = words.get(3).copied();
         let cold = words.get(4).copied().unwrap_or("0");
         let zone = words.get(5).copied().unwrap_or("a");
-        let born_ms = born.map(|born| born.parse().map_err(|_| unreadable(name)));
+        let started_ms = born.map(|born| born.parse().map_err(|_| unreadable(name)));
         Ok(Server {
             id: ServerId::of(&format!("{name} {}", born.unwrap_or_default())),
             name: name.to_owned(),
@@ -186,7 +186,7 @@
             address: address.parse().map_err(|_| unreadable(name))?,
             zone: zone.to_owned(),
             slots: 8,
-            born_ms: born_ms.transpose()?,
+            started_ms: started_ms.transpose()?,
             cold_left_ms: cold.parse().map_err(|_| unreadable(name))?,
             is_leaving: state == "leaving",
         })
--- a/crates/gateway/tests/gateway/restore.rs
+++ b/crates/gateway/tests/gateway/restore.rs
@@ -42,7 +42,7 @@
     for is_given_again in [false, true] {
         let backend = Backend::spawn(Way::Answer).await;
         let (service, node) = ready(&[&backend]).await;
-        service.copy();
+        service.back_up();
         service.set("config", Some("7 other"));
         sleep(SOON).await;
         expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
@@ -64,16 +64,16 @@
 async fn a_node_that_was_away_meanwhile_learns_what_is_written_under_its_old_revision() {
     let backend = Backend::spawn(Way::Answer).await;
     let (service, node) = ready(&[&backend]).await;
-    service.copy();
+    service.back_up();
     write_up_to(&service, service.revision() + 5);
     sleep(SOON).await;
-    node.way.cut(true);
+    node.kv.set_failing(true);
     sleep(Duration::from_millis(900)).await;
     let revision = service.revision();
     service.restore();
     service.set("config", Some("9 other"));
     write_up_to(&service, revision);
-    node.way.cut(false);
+    node.kv.set_failing(false);
     sleep(Duration::from_millis(1_600)).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
 }
@@ -83,7 +83,7 @@
 async fn servers_that_the_copy_lacks_have_time_to_register_again() {
     let backend = Backend::spawn(Way::Answer).await;
     let (service, node) = ready(&[]).await;
-    service.copy();
+    service.back_up();
     register(&service, 0, &backend, "ready");
     sleep(SOON).await;
     restore(&service, true);
@@ -96,7 +96,7 @@
         eq(200),
         "it registered again"
     );
-    service.copy();
+    service.back_up();
     service.set("servers/plain-0", None);
     register(&service, 1, &backend, "ready");
     sleep(SOON).await;
@@ -116,7 +116,7 @@
         for is_given_again in [false, true] {
             let backend = Backend::spawn(Way::Answer).await;
             let (service, node) = ready(&[&backend]).await;
-            service.copy();
+            service.back_up();
             if state == "gone" {
                 service.set("servers/plain-0", None);
             } else {
@@ -151,7 +151,7 @@
 async fn an_evacuation_that_the_copy_lacks_still_holds_and_ends_with_its_key() {
     let backend = Backend::spawn(Way::Answer).await;
     let (service, node) = ready(&[&backend]).await;
-    service.copy();
+    service.back_up();
     service.set("evacuate/a", Some("{}"));
     sleep(SOON).await;
     restore(&service, true);
@@ -169,7 +169,7 @@
 async fn gateways_register_again_under_a_lease_of_their_own() {
     let (service, node) = ready(&[]).await;
     let grants = service.grants();
-    service.copy();
+    service.back_up();
     sleep(SOON).await;
     restore(&service, true);
     sleep(Duration::from_millis(3_500)).await;
@@ -200,7 +200,7 @@
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let nodes = five(&service).await;
-    service.copy();
+    service.back_up();
     sleep(SOON).await;
     for version in [7, 8] {
         restore(&service, version == 8);
--- a/crates/gateway/tests/suspension/main.rs
+++ b/crates/gateway/tests/suspension/main.rs
@@ -61,7 +61,7 @@
     let backend = Backend::spawn(Way::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
-    node.way.cut(true);
+    node.kv.set_failing(true);
     sleep(Duration::from_millis(100)).await;
     // Meanwhile the key is taken away and the server leaves.
     service.set("config", Some("6 other"));
@@ -73,7 +73,7 @@
         expect_that!(reply.body, contains_substring("no_configuration"), "{path}");
     }
     expect_that!(node.ready().await, eq(503));
-    node.way.cut(false);
+    node.kv.set_failing(false);
     node.wait_ready().await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
     // A registration that ends while the service fails has time to come back.
