--- a/crates/decide/benches/shed.rs
+++ b/crates/decide/benches/shed.rs
@@ -6,15 +6,15 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use mulberryyoke_decide::engine::{Candidate, Engine, Load, Prompt};
 use mulberryyoke_decide::share::Usage;
-use mulberryyoke_decide::shed::{self, Aim};
+use mulberryyoke_decide::shed::{self, Objective};
 use mulberryyoke_model::ServerId;
 
 /// Servers of the fleets of today.
 const SERVERS: [u32; 3] = [9, 55, 180];
 
-const AIM: Aim = Aim {
-    objective_ms: 1_000.0,
-    pause_ms: 600.0,
+const AIM: Objective = Objective {
+    first_token_ms: 1_000.0,
+    max_pause_ms: 600.0,
 };
 
 /// What happens to the prompt.
@@ -31,18 +31,18 @@
     let mut engines = vec![Engine::new(64, 600_000); servers as usize];
     for engine in &mut engines {
         engine.others = Load {
-            unread: others,
+            prefill_tokens: others,
             queued: 1,
             running: 20,
         };
     }
-    engines[0].others.unread = unread;
+    engines[0].others.prefill_tokens = unread;
     engines[0].cache.insert(&prompt.shared);
     engines
 }
 
 fn decisions(criterion: &mut Criterion) {
-    let prompt = Prompt::of("m", [(1, 512), (2, 4_870), (3, 6_610)], 380);
+    let prompt = Prompt::from_parts("m", [(1, 512), (2, 4_870), (3, 6_610)], 380);
     let standing = Usage {
         of_portion: 0.5,
         of_given: 0.5,
@@ -63,7 +63,7 @@
             let id = BenchmarkId::from_parameter(servers);
             group.bench_function(id, |bencher| {
                 bencher.iter(|| {
-                    shed::place(
+                    shed::admit(
                         black_box(&prompt),
                         candidates.clone(),
                         AIM,
--- a/crates/decide/src/aggregate.rs
+++ b/crates/decide/src/aggregate.rs
@@ -20,15 +20,15 @@
 
 use mulberryyoke_model::{Incarnation, Millis};
 
-pub use self::collector::{COLLECTORS, Place, rank, ranked};
+pub use self::collector::{COLLECTORS_PER_ZONE, Placement, name_hash, rank_by_cpu};
 use self::heard::Heard;
 pub use self::pace::interval_ms;
 pub use self::state::State;
-pub use self::sum::{Member, Sum};
+pub use self::sum::{MessageId, Sum};
 
 /// Age from which what another told no longer counts, in milliseconds: four of the longest
 /// intervals between messages, so that three may be lost.
-pub const SILENT_MS: u64 = 4 * pace::LONGEST_MS;
+pub const EXPIRY_MS: u64 = 4 * pace::LONGEST_MS;
 
 /// Age up to which the sum that holds most gateways is preferred to a later one, in
 /// milliseconds: one interval, and half of one for what is late.
@@ -58,13 +58,13 @@
     pub fn new(origin: Incarnation, zone: &str) -> Self {
         Self {
             origin,
-            zone: rank(zone),
+            zone: name_hash(zone),
             ..Self::default()
         }
     }
 
     /// Remembers what this gateway tells under a number.
-    pub fn tell(&mut self, number: u32, state: State) {
+    pub fn record_own(&mut self, number: u32, state: State) {
         self.told.push_back((number, state));
         if self.told.len() > REMEMBERED {
             self.told.pop_front();
@@ -73,37 +73,43 @@
 
     /// Takes in what a gateway of the zone has; `false` if a later message came before it.
     /// Another life of it takes the place of the one before.
-    pub fn hear_node(&mut self, node: u64, from: Member, state: State, now: Millis) -> bool {
+    pub fn receive_gateway(
+        &mut self,
+        node: u64,
+        from: MessageId,
+        state: State,
+        now: Millis,
+    ) -> bool {
         if let Some((origin, heard)) = self.nodes.get_mut(&node)
             && *origin == from.origin
         {
-            return heard.replace(from.number, state, now);
+            return heard.replace(from.sequence, state, now);
         }
-        let heard = Heard::new(from.number, state, now);
+        let heard = Heard::new(from.sequence, state, now);
         self.nodes.insert(node, (from.origin, heard));
         true
     }
 
     /// Takes in a zone's sum; `false` if a later message came before it, or if the zone is
     /// this gateway's own, whose gateways tell it themselves.
-    pub fn hear_zone(&mut self, zone: u64, from: Member, sum: Sum, now: Millis) -> bool {
+    pub fn receive_zone(&mut self, zone: u64, from: MessageId, sum: Sum, now: Millis) -> bool {
         if zone == self.zone {
             return false;
         }
         if let Some((_, heard)) = self.zones.get_mut(&from.origin) {
-            return heard.replace(from.number, sum, now);
+            return heard.replace(from.sequence, sum, now);
         }
-        let heard = Heard::new(from.number, sum, now);
+        let heard = Heard::new(from.sequence, sum, now);
         self.zones.insert(from.origin, (zone, heard));
         true
     }
 
     /// Takes in the fleet's sum; `false` if a later message came before it.
-    pub fn hear_fleet(&mut self, from: Member, sum: Sum, now: Millis) -> bool {
+    pub fn receive_fleet(&mut self, from: MessageId, sum: Sum, now: Millis) -> bool {
         if let Some(heard) = self.fleets.get_mut(&from.origin) {
-            return heard.replace(from.number, sum, now);
+            return heard.replace(from.sequence, sum, now);
         }
-        let heard = Heard::new(from.number, sum, now);
+        let heard = Heard::new(from.sequence, sum, now);
         self.fleets.insert(from.origin, heard);
         true
     }
@@ -119,7 +125,7 @@
 
     /// Whether anything that another gateway told still counts.
     #[must_use]
-    pub fn has_heard(&self) -> bool {
+    pub fn has_peers(&self) -> bool {
         !self.nodes.is_empty() || !self.zones.is_empty() || !self.fleets.is_empty()
     }
 
@@ -137,7 +143,7 @@
 
     /// Whether gateways of the zone tell this one what they have.
     #[must_use]
-    pub fn collects(&self) -> bool {
+    pub fn is_collecting(&self) -> bool {
         !self.nodes.is_empty()
     }
 
@@ -159,7 +165,7 @@
     pub fn fleet_sum(&self, now: Millis) -> Sum {
         let mut sum = self.zone_sum();
         for zone in self.best_zones(now) {
-            sum.nodes += zone.nodes;
+            sum.gateways += zone.gateways;
             sum.state.add(&zone.state);
         }
         sum
@@ -181,7 +187,7 @@
         let best = best(self.fleets.values(), now)?;
         let mut state = best.state.clone();
         if let Some(own) = self.own_in(best) {
-            state.take(own);
+            state.subtract(own);
         }
         Some(state)
     }
@@ -190,7 +196,7 @@
     fn own_in(&self, sum: &Sum) -> Option<&State> {
         let member = sum.members.iter().find(|m| m.origin == self.origin)?;
         let mut told = self.told.iter();
-        let (_, state) = told.find(|(number, _)| *number == member.number)?;
+        let (_, state) = told.find(|(number, _)| *number == member.sequence)?;
         Some(state)
     }
 
@@ -212,7 +218,7 @@
 fn best<'a>(sums: impl Iterator<Item = &'a Heard<Sum>>, now: Millis) -> Option<&'a Sum> {
     let best = sums.max_by_key(|heard| {
         let nodes = if heard.age_ms(now) <= FRESH_MS {
-            heard.told.nodes
+            heard.told.gateways
         } else {
             0
         };
@@ -223,7 +229,7 @@
 
 /// Whether what a life told still counts; if not, it is named among those that are gone.
 fn keep(age_ms: u64, origin: Incarnation, gone: &mut Vec<Incarnation>) -> bool {
-    let is_heard = age_ms < SILENT_MS;
+    let is_heard = age_ms < EXPIRY_MS;
     if !is_heard {
         gone.push(origin);
     }
--- a/crates/decide/src/aggregate/state.rs
+++ b/crates/decide/src/aggregate/state.rs
@@ -31,10 +31,10 @@
     }
 
     /// Takes away what others have; nothing falls below zero.
-    pub fn take(&mut self, other: &Self) {
+    pub fn subtract(&mut self, other: &Self) {
         for (server, &load) in &other.loads {
             if let Some(sum) = self.loads.get_mut(server) {
-                sum.take(load);
+                sum.subtract(load);
             }
         }
         for (customer, flow) in &other.flows {
@@ -48,7 +48,7 @@
     /// What `nodes` others are taken to have that tell nothing: each as much in all as this
     /// state's one gateway, spread evenly over the servers of each pool.
     #[must_use]
-    pub fn estimate(&self, nodes: u32, pools: &[Vec<ServerId>]) -> Self {
+    pub fn extrapolate(&self, nodes: u32, pools: &[Vec<ServerId>]) -> Self {
         let loads = pools.iter().flat_map(|servers| {
             let load = self.part(nodes, servers);
             servers.iter().map(move |&server| (server, load))
@@ -76,7 +76,7 @@
         let count = u32::try_from(servers.len()).unwrap_or(u32::MAX).max(1);
         let part = |sum: u32| sum.saturating_mul(nodes) / count;
         Load {
-            unread: part(all.unread),
+            prefill_tokens: part(all.prefill_tokens),
             queued: part(all.queued),
             running: part(all.running),
         }
--- a/crates/decide/src/aggregate/sum.rs
+++ b/crates/decide/src/aggregate/sum.rs
@@ -7,20 +7,20 @@
 
 /// A life of a gateway and the number of a message of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
+pub struct MessageId {
     /// The gateway's life.
     pub origin: Incarnation,
     /// The message's number in that life.
-    pub number: u32,
+    pub sequence: u32,
 }
 
 /// The sum of what several gateways have.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sum {
     /// Gateways that it holds.
-    pub nodes: u32,
+    pub gateways: u32,
     /// Those of the teller's zone, and what was last heard of each.
-    pub members: Vec<Member>,
+    pub members: Vec<MessageId>,
     /// What they have together.
     pub state: State,
 }
@@ -28,8 +28,11 @@
 impl Sum {
     /// Adds what a gateway told.
     pub(super) fn add(&mut self, origin: Incarnation, number: u32, state: &State) {
-        self.nodes += 1;
-        self.members.push(Member { origin, number });
+        self.gateways += 1;
+        self.members.push(MessageId {
+            origin,
+            sequence: number,
+        });
         self.state.add(state);
     }
 }
--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold.rs
@@ -45,7 +45,7 @@
 }
 
 /// Requests a second of `requests` that one gateway may send to a server, by its rank and those
-/// of the others ([`crate::aggregate::rank`]).
+/// of the others ([`crate::aggregate::name_hash`]).
 pub fn share(server: ServerId, requests: u32, own: u64, others: impl Iterator<Item = u64>) -> u32 {
     let weigh = |rank: u64| (weight(rank, u64::from(server.0)), rank);
     let own = weigh(own);
--- a/crates/decide/src/cold/members.rs
+++ b/crates/decide/src/cold/members.rs
@@ -4,7 +4,7 @@
 
 use mulberryyoke_model::Millis;
 
-use crate::aggregate::rank;
+use crate::aggregate::name_hash;
 
 /// Time for which a gateway that is no longer registered still counts, in milliseconds: three
 /// times that of a registration without renewal. While the key-value service is away
@@ -33,7 +33,7 @@
 
     /// Notes that a gateway is registered.
     pub fn join(&mut self, name: &str) {
-        let joined = (rank(name), None);
+        let joined = (name_hash(name), None);
         let before = self.names.insert(name.to_owned(), joined);
         self.changes += u64::from(before.is_none());
     }
--- a/crates/decide/src/engine.rs
+++ b/crates/decide/src/engine.rs
@@ -9,10 +9,10 @@
 mod recent;
 
 pub use self::cache::Cache;
-pub use self::choice::{Candidate, Choice, MOST, choose, choose_soon, narrow};
-pub use self::pace::{Factor, Pace};
-pub use self::prompt::{Name, Part, Prompt};
-pub use self::recent::Recent;
+pub use self::choice::{Candidate, Choice, MAX_CANDIDATES, choose, choose_urgent, shortlist};
+pub use self::pace::{PoolStats, RelativeSpeed};
+pub use self::prompt::{Part, PartId, Prompt};
+pub use self::recent::DecayedTokens;
 
 use mulberryyoke_model::Millis;
 use serde::{Deserialize, Serialize};
@@ -29,11 +29,11 @@
     /// Shared prompt parts that it keeps.
     pub cache: Cache,
     /// How fast servers of its pool read prompts and end requests.
-    pub pace: Pace,
+    pub pool_stats: PoolStats,
     /// How fast it reads beside the others of its pool.
-    pub factor: Factor,
+    pub relative_speed: RelativeSpeed,
     /// Prompt tokens sent to it lately, by any router.
-    pub recent: Recent,
+    pub recent_tokens: DecayedTokens,
     /// What this router has there.
     pub own: Load,
     /// What all other routers have there together.
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Prompt tokens sent to it and not yet read.
-    pub unread: u32,
+    pub prefill_tokens: u32,
     /// Requests sent to it whose first token has not come.
     pub queued: u32,
     /// Requests whose first token has come.
@@ -54,14 +54,14 @@
 impl Load {
     /// Adds what one router has.
     pub const fn add(&mut self, load: Self) {
-        self.unread = self.unread.saturating_add(load.unread);
+        self.prefill_tokens = self.prefill_tokens.saturating_add(load.prefill_tokens);
         self.queued = self.queued.saturating_add(load.queued);
         self.running = self.running.saturating_add(load.running);
     }
 
     /// Takes away what one router had.
-    pub const fn take(&mut self, load: Self) {
-        self.unread = self.unread.saturating_sub(load.unread);
+    pub const fn subtract(&mut self, load: Self) {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(load.prefill_tokens);
         self.queued = self.queued.saturating_sub(load.queued);
         self.running = self.running.saturating_sub(load.running);
     }
@@ -74,9 +74,9 @@
         Self {
             slots,
             cache: Cache::new(cache_tokens),
-            pace: Pace::default(),
-            factor: Factor::default(),
-            recent: Recent::default(),
+            pool_stats: PoolStats::default(),
+            relative_speed: RelativeSpeed::default(),
+            recent_tokens: DecayedTokens::default(),
             own: Load::default(),
             others: Load::default(),
         }
@@ -85,7 +85,9 @@
     /// Prompt tokens that were sent by any router and not yet read.
     #[must_use]
     pub const fn backlog(&self) -> u32 {
-        self.own.unread.saturating_add(self.others.unread)
+        self.own
+            .prefill_tokens
+            .saturating_add(self.others.prefill_tokens)
     }
 
     /// Requests that the server has, from any router.
@@ -103,54 +105,54 @@
 
     /// Requests that would have to end before one sent now has a slot.
     #[must_use]
-    pub const fn beyond(&self) -> u32 {
+    pub const fn excess_requests(&self) -> u32 {
         (self.requests() + 1).saturating_sub(self.slots)
     }
 
     /// Time until the server would begin to read a prompt sent now, in milliseconds.
     #[must_use]
     pub fn wait_ms(&self) -> f64 {
-        let slot_ms = self.pace.hold_ms() / f64::from(self.slots.max(1));
-        self.reading_ms(self.backlog()) + f64::from(self.beyond()) * slot_ms
+        let slot_ms = self.pool_stats.mean_hold_ms() / f64::from(self.slots.max(1));
+        self.prefill_ms(self.backlog()) + f64::from(self.excess_requests()) * slot_ms
     }
 
     /// Time to read a number of prompt tokens, in milliseconds.
     #[must_use]
-    pub fn reading_ms(&self, tokens: u32) -> f64 {
-        f64::from(tokens) / (self.pace.per_ms() * self.factor.of_pool())
+    pub fn prefill_ms(&self, tokens: u32) -> f64 {
+        f64::from(tokens) / (self.pool_stats.tokens_per_ms() * self.relative_speed.ratio())
     }
 
     /// Time to read a number of prompt tokens and make the first token, in milliseconds.
     #[must_use]
-    pub fn read_ms(&self, tokens: u32) -> f64 {
-        self.reading_ms(tokens) + FIRST_TOKEN_MS
+    pub fn first_token_ms(&self, tokens: u32) -> f64 {
+        self.prefill_ms(tokens) + FIRST_TOKEN_MS
     }
 
     /// Notes that a prompt is sent, and returns the tokens it has to read.
-    pub fn send(&mut self, prompt: &Prompt, now: Millis) -> u32 {
-        let tokens = prompt.tokens - self.cache.cached(prompt);
+    pub fn record_send(&mut self, prompt: &Prompt, now: Millis) -> u32 {
+        let tokens = prompt.tokens - self.cache.cached_tokens(prompt);
         self.cache.insert(&prompt.shared);
-        self.cache.read(tokens);
-        self.recent.add(tokens, now);
-        self.own.unread += tokens;
+        self.cache.record_prefill(tokens);
+        self.recent_tokens.add(tokens, now);
+        self.own.prefill_tokens += tokens;
         self.own.queued += 1;
         tokens
     }
 
     /// Notes the first token of a request that had `tokens` to read.
-    pub const fn begin(&mut self, tokens: u32) {
-        self.abandon(tokens);
+    pub const fn record_first_token(&mut self, tokens: u32) {
+        self.record_abort(tokens);
         self.own.running += 1;
     }
 
     /// Notes the end of a request that had its first token.
-    pub const fn end(&mut self) {
+    pub const fn record_completion(&mut self) {
         self.own.running = self.own.running.saturating_sub(1);
     }
 
     /// Notes that a request ended before its first token.
-    pub const fn abandon(&mut self, tokens: u32) {
-        self.own.unread = self.own.unread.saturating_sub(tokens);
+    pub const fn record_abort(&mut self, tokens: u32) {
+        self.own.prefill_tokens = self.own.prefill_tokens.saturating_sub(tokens);
         self.own.queued = self.own.queued.saturating_sub(1);
     }
 }
--- a/crates/decide/src/engine/cache.rs
+++ b/crates/decide/src/engine/cache.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use super::{Name, Part, Prompt};
+use super::{Part, PartId, Prompt};
 
 #[derive(Clone, Copy, Debug)]
 struct Kept {
@@ -20,7 +20,7 @@
     kept: HashMap<u64, Kept>,
     by_use: BTreeMap<u64, u64>,
     /// Parts that the server itself listed.
-    listed: HashSet<Name>,
+    listed: HashSet<PartId>,
     /// Tokens that it may still read before they are taken to have yielded.
     listed_left: u32,
 }
@@ -42,13 +42,13 @@
 
     /// Takes in what the server says it keeps. It counts until as many tokens were read
     /// as the cache holds: by then parts that were not used since have yielded.
-    pub fn list(&mut self, names: impl IntoIterator<Item = Name>) {
+    pub fn set_reported(&mut self, names: impl IntoIterator<Item = PartId>) {
         self.listed = names.into_iter().collect();
         self.listed_left = self.capacity;
     }
 
     /// Notes that the server is given prompt tokens to read.
-    pub fn read(&mut self, tokens: u32) {
+    pub fn record_prefill(&mut self, tokens: u32) {
         self.listed_left = self.listed_left.saturating_sub(tokens);
         if self.listed_left == 0 && !self.listed.is_empty() {
             self.listed = HashSet::new();
@@ -57,15 +57,16 @@
 
     /// Whether a part is kept.
     #[must_use]
-    pub fn has(&self, part: &Part) -> bool {
+    pub fn contains(&self, part: &Part) -> bool {
         self.kept.contains_key(&part.key)
     }
 
     /// Tokens of a prompt's beginning that need not be read again.
     #[must_use]
-    pub fn cached(&self, prompt: &Prompt) -> u32 {
-        let parts = prompt.shared.iter().zip(&prompt.names);
-        let held = parts.take_while(|(part, name)| self.has(part) || self.listed.contains(name));
+    pub fn cached_tokens(&self, prompt: &Prompt) -> u32 {
+        let parts = prompt.shared.iter().zip(&prompt.part_ids);
+        let held =
+            parts.take_while(|(part, name)| self.contains(part) || self.listed.contains(name));
         held.map(|(part, _)| part.tokens).sum()
     }
 
--- a/crates/decide/src/engine/choice.rs
+++ b/crates/decide/src/engine/choice.rs
@@ -48,11 +48,11 @@
     /// Time until the prompt is begun to be read, in milliseconds.
     pub wait_ms: f64,
     /// Time to read it, in milliseconds.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     /// Prompt tokens that have to be read.
     pub uncached: u32,
     /// Those of them that another server keeps.
-    pub again: u32,
+    pub recomputed: u32,
     /// Time until the servers, taken together, would begin to read it, in milliseconds.
     pub mean_wait_ms: f64,
 }
@@ -60,8 +60,8 @@
 impl Choice {
     /// Time to the first token, in milliseconds.
     #[must_use]
-    pub const fn first_ms(&self) -> f64 {
-        self.wait_ms + self.read_ms
+    pub const fn ttft_ms(&self) -> f64 {
+        self.wait_ms + self.prefill_ms
     }
 }
 
@@ -70,37 +70,37 @@
 /// The load that it answers: a hundred gateways that know the same of hundreds of servers, and
 /// hear of each other's choices a tenth of a second later. If each looked at all servers, all
 /// would choose the same one meanwhile.
-pub const MOST: usize = 16;
+pub const MAX_CANDIDATES: usize = 16;
 
 /// The servers among which one is chosen for a prompt: those that keep most of it, the home of
 /// its last shared part, and for the rest some that `seed` draws, so that gateways which know
 /// the same choose differently.
 #[must_use]
-pub fn narrow<'a>(
+pub fn shortlist<'a>(
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>>,
     seed: u64,
 ) -> Vec<Candidate<'a>> {
     let mut ranked: Vec<_> = candidates
         .map(|candidate| {
-            let cached = candidate.engine.cache.cached(prompt);
+            let cached = candidate.engine.cache.cached_tokens(prompt);
             (Reverse(cached), weight(seed, candidate.server), candidate)
         })
         .collect();
-    if ranked.len() <= MOST {
+    if ranked.len() <= MAX_CANDIDATES {
         return ranked
             .into_iter()
             .map(|(_, _, candidate)| candidate)
             .collect();
     }
-    let home = prompt.home().and_then(|key| {
+    let home = prompt.affinity_key().and_then(|key| {
         let servers = ranked.iter().map(|(_, _, candidate)| candidate.server);
         servers.max_by_key(|&server| weight(key, server))
     });
     ranked.sort_unstable_by_key(|(cached, drawn, candidate)| {
         (home != Some(candidate.server), *cached, *drawn)
     });
-    ranked.truncate(MOST);
+    ranked.truncate(MAX_CANDIDATES);
     ranked
         .into_iter()
         .map(|(_, _, candidate)| candidate)
@@ -122,7 +122,7 @@
 
 /// As [`choose`], for a prompt that would come too late there: shared parts are read again
 /// where that brings it forward.
-pub fn choose_soon<'a>(
+pub fn choose_urgent<'a>(
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
     pause_ms: f64,
@@ -140,10 +140,10 @@
 ) -> Option<Choice> {
     let kept = candidates
         .clone()
-        .map(|candidate| candidate.engine.cache.cached(prompt));
+        .map(|candidate| candidate.engine.cache.cached_tokens(prompt));
     let kept = kept.max().unwrap_or(0);
     let is_new = kept < prompt.shared_tokens();
-    let home = prompt.home().filter(|_| is_new).and_then(|key| {
+    let home = prompt.affinity_key().filter(|_| is_new).and_then(|key| {
         let servers = candidates.clone().map(|candidate| candidate.server);
         servers.max_by_key(|&server| weight(key, server))
     });
@@ -156,12 +156,12 @@
     for candidate in candidates {
         let choice = meet(prompt, &candidate, kept);
         let mut cost = choice.wait_ms
-            + READ_WEIGHT * choice.read_ms
-            + again_ms * f64::from(choice.again)
+            + READ_WEIGHT * choice.prefill_ms
+            + again_ms * f64::from(choice.recomputed)
             + pause::cost_ms(candidate.engine, choice.uncached, pause_ms)
             + candidate.penalty_ms;
         if is_new {
-            cost += RECENT_MS * candidate.engine.recent.tokens(now);
+            cost += RECENT_MS * candidate.engine.recent_tokens.tokens(now);
         }
         if home == Some(candidate.server) {
             cost -= HOME_MS;
@@ -179,14 +179,14 @@
 /// What a prompt would meet at a server; `kept` of its tokens are kept somewhere.
 fn meet(prompt: &Prompt, candidate: &Candidate<'_>, kept: u32) -> Choice {
     let engine = candidate.engine;
-    let cached = engine.cache.cached(prompt);
+    let cached = engine.cache.cached_tokens(prompt);
     let uncached = prompt.tokens - cached;
     Choice {
         server: candidate.server,
         wait_ms: engine.wait_ms(),
-        read_ms: engine.read_ms(uncached),
+        prefill_ms: engine.first_token_ms(uncached),
         uncached,
-        again: kept.saturating_sub(cached),
+        recomputed: kept.saturating_sub(cached),
         mean_wait_ms: 0.0,
     }
 }
--- a/crates/decide/src/engine/pace.rs
+++ b/crates/decide/src/engine/pace.rs
@@ -34,12 +34,12 @@
 /// are short before reading is: with one constant, learnt where there were 64 slots, a queue of
 /// eight streams before 16 slots was taken to last a third of a second, and lasted twice that.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct PoolStats {
     per_ms: f64,
     hold_ms: f64,
 }
 
-impl Default for Pace {
+impl Default for PoolStats {
     fn default() -> Self {
         Self {
             per_ms: FIRST,
@@ -48,27 +48,27 @@
     }
 }
 
-impl Pace {
+impl PoolStats {
     /// Tokens that a server reads a millisecond.
     #[must_use]
-    pub const fn per_ms(self) -> f64 {
+    pub const fn tokens_per_ms(self) -> f64 {
         self.per_ms
     }
 
     /// Time that a request holds a slot on average, in milliseconds.
     #[must_use]
-    pub const fn hold_ms(self) -> f64 {
+    pub const fn mean_hold_ms(self) -> f64 {
         self.hold_ms
     }
 
     /// Notes that a request held a slot so long, in milliseconds.
-    pub fn hold(&mut self, ms: f64) {
+    pub fn record_hold(&mut self, ms: f64) {
         let ms = ms.clamp(HOLD_BOUNDS_MS.0, HOLD_BOUNDS_MS.1);
         self.hold_ms += (ms - self.hold_ms) * WEIGHT;
     }
 
     /// Notes that a server read `tokens` within `ms` milliseconds.
-    pub fn read(&mut self, tokens: u32, ms: f64) {
+    pub fn record_prefill(&mut self, tokens: u32, ms: f64) {
         if let Some(seen) = seen(tokens, ms) {
             self.per_ms += (seen - self.per_ms) * WEIGHT;
         }
@@ -77,23 +77,23 @@
 
 /// How fast one server reads beside the others of its pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Factor(f64);
+pub struct RelativeSpeed(f64);
 
-impl Default for Factor {
+impl Default for RelativeSpeed {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl Factor {
+impl RelativeSpeed {
     /// Its rate as a multiple of its pool's.
     #[must_use]
-    pub const fn of_pool(self) -> f64 {
+    pub const fn ratio(self) -> f64 {
         self.0
     }
 
     /// Notes that it read `tokens` within `ms` milliseconds.
-    pub fn read(&mut self, tokens: u32, ms: f64, pace: Pace) {
+    pub fn record_prefill(&mut self, tokens: u32, ms: f64, pace: PoolStats) {
         if let Some(seen) = seen(tokens, ms) {
             let factor = (seen / pace.per_ms).clamp(FACTOR_BOUNDS.0, FACTOR_BOUNDS.1);
             self.0 += (factor - self.0) * FACTOR_WEIGHT;
--- a/crates/decide/src/engine/pause.rs
+++ b/crates/decide/src/engine/pause.rs
@@ -28,7 +28,7 @@
 
 /// Part of a server's streams that come late.
 fn late_part(engine: &Engine, tokens: u32, pause_ms: f64) -> f64 {
-    let reading_ms = engine.reading_ms(engine.backlog().saturating_add(tokens));
+    let reading_ms = engine.prefill_ms(engine.backlog().saturating_add(tokens));
     let (none, all) = LATE_PARTS;
     ((reading_ms / pause_ms - none) / (all - none)).clamp(0.0, 1.0)
 }
--- a/crates/decide/src/engine/prompt.rs
+++ b/crates/decide/src/engine/prompt.rs
@@ -16,12 +16,12 @@
 
 /// A prompt part by itself, whatever comes before it: a hash of model and part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Name(u64);
+pub struct PartId(u64);
 
-impl Name {
+impl PartId {
     /// The name of a model's part.
     #[must_use]
-    pub fn of(model: &str, part: u64) -> Self {
+    pub fn new(model: &str, part: u64) -> Self {
         Self(join(xxh3_64(model.as_bytes()), part))
     }
 }
@@ -39,16 +39,20 @@
     /// Parts that other requests may share, in order.
     pub shared: SmallVec<[Part; 4]>,
     /// Names of these parts, as servers list them.
-    pub names: SmallVec<[Name; 4]>,
+    pub part_ids: SmallVec<[PartId; 4]>,
     /// Length of the whole prompt, in tokens.
     pub tokens: u32,
     /// Most tokens to be generated.
-    pub output: u32,
+    pub max_output_tokens: u32,
 }
 
 impl Prompt {
     /// Reads a prompt's parts; the last part is the request's own and not shared.
-    pub fn of(model: &str, parts: impl IntoIterator<Item = (u64, u32)>, output: u32) -> Self {
+    pub fn from_parts(
+        model: &str,
+        parts: impl IntoIterator<Item = (u64, u32)>,
+        output: u32,
+    ) -> Self {
         let model = xxh3_64(model.as_bytes());
         let mut key = model;
         let mut tokens: u32 = 0;
@@ -61,28 +65,28 @@
                 key,
                 tokens: length,
             });
-            names.push(Name(join(model, id)));
+            names.push(PartId(join(model, id)));
         }
         shared.pop();
         names.pop();
         Self {
             shared,
-            names,
+            part_ids: names,
             tokens,
-            output,
+            max_output_tokens: output,
         }
     }
 
     /// The key by which requests gain from going to the same server.
     #[must_use]
-    pub fn home(&self) -> Option<u64> {
+    pub fn affinity_key(&self) -> Option<u64> {
         self.shared.last().map(|part| part.key)
     }
 
     /// What it takes of the servers: tokens to be read and most to be generated.
     #[must_use]
     pub const fn cost(&self) -> u32 {
-        self.tokens.saturating_add(self.output)
+        self.tokens.saturating_add(self.max_output_tokens)
     }
 
     /// Tokens of the parts that other requests may share.
--- a/crates/decide/src/engine/recent.rs
+++ b/crates/decide/src/engine/recent.rs
@@ -8,12 +8,12 @@
 
 /// Tokens sent to a server, those of long ago counting less.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Recent {
+pub struct DecayedTokens {
     tokens: f64,
     at: Millis,
 }
 
-impl Recent {
+impl DecayedTokens {
     /// Notes that tokens are sent.
     pub fn add(&mut self, tokens: u32, now: Millis) {
         self.tokens = self.tokens(now) + f64::from(tokens);
--- a/crates/decide/src/plain.rs
+++ b/crates/decide/src/plain.rs
@@ -16,14 +16,14 @@
     /// Requests that it runs, from any router.
     pub requests: u32,
     /// Whether it is in the router's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Time that is added to its cost for failures seen, in milliseconds.
     pub penalty_ms: f64,
 }
 
 impl Candidate {
     fn cost_ms(&self) -> f64 {
-        let far_ms = if self.is_near { 0.0 } else { FAR_MS };
+        let far_ms = if self.is_same_zone { 0.0 } else { FAR_MS };
         f64::from(self.requests) * REQUEST_MS + far_ms + self.penalty_ms
     }
 }
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -24,7 +24,7 @@
 use self::record::Record;
 pub use self::suspect::{Crash, Suspect};
 pub use self::verdict::Verdict;
-use crate::aggregate::rank;
+use crate::aggregate::name_hash;
 use crate::rendezvous::weight;
 
 /// Requests that are remembered. With more, those with the least and oldest evidence are
@@ -59,7 +59,7 @@
         reason = "half of a hash is one as well"
     )]
     let subject = digest.0 as u64;
-    names.max_by_key(|name| (weight(rank(name), subject), *name))
+    names.max_by_key(|name| (weight(name_hash(name), subject), *name))
 }
 
 /// What a gateway knows of requests that ended servers.
--- a/crates/decide/src/sample.rs
+++ b/crates/decide/src/sample.rs
@@ -11,7 +11,7 @@
 use crate::rendezvous::weight;
 
 /// Whether a node uses a server, of `count` servers of which it uses about `most`. `node` is its
-/// rank ([`crate::aggregate::rank`]).
+/// rank ([`crate::aggregate::name_hash`]).
 #[must_use]
 pub fn is_sampled(node: u64, server: ServerId, count: usize, most: usize) -> bool {
     let drawn = u128::from(weight(node, u64::from(server.0)));
--- a/crates/decide/src/shed.rs
+++ b/crates/decide/src/shed.rs
@@ -11,10 +11,10 @@
 
 use mulberryyoke_model::Millis;
 
-pub use self::aim::Aim;
-pub use self::held::Held;
+pub use self::aim::Objective;
+pub use self::held::Rejection;
 use self::leeway::Leeway;
-use crate::engine::{Candidate, Choice, Prompt, choose, choose_soon};
+use crate::engine::{Candidate, Choice, Prompt, choose, choose_urgent};
 use crate::share::Usage;
 
 /// Part of its portion up to which a customer's prompt is sent where its shared parts are
@@ -28,14 +28,14 @@
 /// Chooses a server for a prompt of a customer with this standing, or says when its caller
 /// should come back. Without a standing the prompt is sent in any case: what may already
 /// have run is not refused. `None` without candidates.
-pub fn place<'a>(
+pub fn admit<'a>(
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    aim: Aim,
+    aim: Objective,
     standing: Option<Usage>,
     now: Millis,
-) -> Option<Result<Choice, Held>> {
-    let choice = choose(prompt, candidates.clone(), aim.pause_ms, now)?;
+) -> Option<Result<Choice, Rejection>> {
+    let choice = choose(prompt, candidates.clone(), aim.max_pause_ms, now)?;
     let Some(standing) = standing else {
         return Some(Ok(choice));
     };
@@ -44,11 +44,11 @@
         return Some(Ok(choice));
     }
     if standing.of_portion < SOON_PART {
-        let soon = choose_soon(prompt, candidates, aim.pause_ms, now);
+        let soon = choose_urgent(prompt, candidates, aim.max_pause_ms, now);
         let soon = soon.filter(|soon| leeway.admits(soon, aim));
         if let Some(soon) = soon {
             return Some(Ok(soon));
         }
     }
-    Some(Err(Held::of(choice, leeway, aim)))
+    Some(Err(Rejection::of(choice, leeway, aim)))
 }
--- a/crates/decide/src/shed/aim.rs
+++ b/crates/decide/src/shed/aim.rs
@@ -2,9 +2,9 @@
 
 /// What an answer on time is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Aim {
+pub struct Objective {
     /// Time to the first event, in milliseconds.
-    pub objective_ms: f64,
+    pub first_token_ms: f64,
     /// Longest pause between events, in milliseconds; infinite without a bound.
-    pub pause_ms: f64,
+    pub max_pause_ms: f64,
 }
--- a/crates/decide/src/shed/leeway.rs
+++ b/crates/decide/src/shed/leeway.rs
@@ -1,6 +1,6 @@
 //! How long a customer's prompts may take to be begun.
 
-use super::Aim;
+use super::Objective;
 use crate::engine::Choice;
 use crate::share::Usage;
 
@@ -49,14 +49,14 @@
     }
 
     /// Time that the first event may take, in milliseconds.
-    pub(super) fn allowed_ms(self, aim: Aim) -> f64 {
-        aim.objective_ms * PORTION_PART * self.0
+    pub(super) fn allowed_ms(self, aim: Objective) -> f64 {
+        aim.first_token_ms * PORTION_PART * self.0
     }
 
     /// Whether a prompt is sent that would meet this.
-    pub(super) fn admits(self, choice: &Choice, aim: Aim) -> bool {
-        let wait_ms = aim.objective_ms * WAIT_PART * self.0.min(1.0);
-        let is_soon = choice.first_ms() <= self.allowed_ms(aim) || choice.wait_ms <= wait_ms;
+    pub(super) fn admits(self, choice: &Choice, aim: Objective) -> bool {
+        let wait_ms = aim.first_token_ms * WAIT_PART * self.0.min(1.0);
+        let is_soon = choice.ttft_ms() <= self.allowed_ms(aim) || choice.wait_ms <= wait_ms;
         self.0 > 0.0 && is_soon
     }
 }
--- a/crates/decide/tests/aggregate.rs
+++ b/crates/decide/tests/aggregate.rs
@@ -4,7 +4,8 @@
 
 use googletest::prelude::*;
 use mulberryyoke_decide::aggregate::{
-    Aggregate, COLLECTORS, Member, Place, SILENT_MS, State, Sum, interval_ms, rank, ranked,
+    Aggregate, COLLECTORS_PER_ZONE, EXPIRY_MS, MessageId, Placement, State, Sum, interval_ms,
+    name_hash, rank_by_cpu,
 };
 use mulberryyoke_decide::engine::Load;
 use mulberryyoke_decide::share::Flow;
@@ -18,7 +19,7 @@
 /// A gateway of a fleet that is played.
 struct Node {
     name: String,
-    place: Place,
+    place: Placement,
     origin: Incarnation,
     number: u32,
     state: State,
@@ -33,7 +34,7 @@
         Self {
             name: format!("g{index}"),
             aggregate: Aggregate::new(origin, &zone),
-            place: Place::new(&zone, processors),
+            place: Placement::new(&zone, processors),
             origin,
             number: 0,
             state: State::default(),
@@ -41,11 +42,11 @@
         }
     }
 
-    fn next(&mut self) -> Member {
+    fn next(&mut self) -> MessageId {
         self.number += 1;
-        Member {
+        MessageId {
             origin: self.origin,
-            number: self.number,
+            sequence: self.number,
         }
     }
 }
@@ -81,9 +82,12 @@
     fn collectors(&self, zone: usize) -> Vec<usize> {
         let zone = format!("z{zone}");
         let nodes = self.nodes.iter().filter(|node| node.place.zone == zone);
-        let names = ranked(nodes.map(|node| (node.name.as_str(), &node.place)));
+        let names = rank_by_cpu(nodes.map(|node| (node.name.as_str(), &node.place)));
         let index = |name: &str| self.nodes.iter().position(|node| node.name == name);
-        let indices = names.into_iter().take(COLLECTORS).filter_map(index);
+        let indices = names
+            .into_iter()
+            .take(COLLECTORS_PER_ZONE)
+            .filter_map(index);
         indices.collect()
     }
 
@@ -93,15 +97,15 @@
             let node = &mut self.nodes[index];
             node.aggregate.expire(now);
             let (from, state) = (node.next(), node.state.clone());
-            node.aggregate.tell(from.number, state.clone());
-            let (name, zone) = (rank(&node.name), index % self.zones);
+            node.aggregate.record_own(from.sequence, state.clone());
+            let (name, zone) = (name_hash(&node.name), index % self.zones);
             if !node.is_up {
                 continue;
             }
             for collector in self.collectors(zone) {
                 if collector != index {
                     let aggregate = &mut self.nodes[collector].aggregate;
-                    aggregate.hear_node(name, from, state.clone(), now);
+                    aggregate.receive_gateway(name, from, state.clone(), now);
                 }
             }
         }
@@ -116,10 +120,10 @@
         for &index in &up {
             let node = &mut self.nodes[index];
             let (from, sum) = (node.next(), node.aggregate.zone_sum());
-            let zone = rank(&node.place.zone);
+            let zone = name_hash(&node.place.zone);
             for &other in &all {
                 let aggregate = &mut self.nodes[other].aggregate;
-                aggregate.hear_zone(zone, from, sum.clone(), now);
+                aggregate.receive_zone(zone, from, sum.clone(), now);
             }
         }
         for index in up {
@@ -129,7 +133,7 @@
             let members = self.nodes.iter_mut().enumerate();
             let members = members.filter(|(other, _)| other % self.zones == zone);
             for (_, member) in members.filter(|(other, _)| !all.contains(other)) {
-                member.aggregate.hear_fleet(from, sum.clone(), now);
+                member.aggregate.receive_fleet(from, sum.clone(), now);
             }
         }
     }
@@ -177,7 +181,7 @@
     let mut state = State::default();
     for _ in 0..25 {
         let load = Load {
-            unread: rng.random_range(0..20_000),
+            prefill_tokens: rng.random_range(0..20_000),
             queued: rng.random_range(0..3),
             running: rng.random_range(0..3),
         };
@@ -228,10 +232,14 @@
         let truth = fleet.truth(index);
         for (server, load) in &truth.loads {
             let told = told.loads.get(server).copied().unwrap_or_default();
-            expect_that!(told.unread, ge(load.unread), "what lives is known at once");
+            expect_that!(
+                told.prefill_tokens,
+                ge(load.prefill_tokens),
+                "what lives is known at once"
+            );
         }
     }
-    while now < 200 + SILENT_MS {
+    while now < 200 + EXPIRY_MS {
         now += 100;
         fleet.round(now);
     }
@@ -243,12 +251,12 @@
     let mut collector = Aggregate::new(Incarnation(1), "a");
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let (before, after) = (state(&mut rng), state(&mut rng));
-    let member = |origin, number| Member {
+    let member = |origin, number| MessageId {
         origin: Incarnation(origin),
-        number,
+        sequence: number,
     };
-    collector.hear_node(rank("g"), member(5, 900), before, 0);
-    collector.hear_node(rank("g"), member(6, 1), after.clone(), 10);
+    collector.receive_gateway(name_hash("g"), member(5, 900), before, 0);
+    collector.receive_gateway(name_hash("g"), member(6, 1), after.clone(), 10);
     expect_that!(
         plain(&collector.others(10).unwrap_or_default()),
         eq(&plain(&after))
@@ -261,17 +269,17 @@
     let mut aggregate = Aggregate::new(Incarnation(1), "a");
     let mut rng = ChaCha8Rng::seed_from_u64(8);
     let (first, second) = (state(&mut rng), state(&mut rng));
-    let member = |number| Member {
+    let member = |number| MessageId {
         origin: Incarnation(2),
-        number,
+        sequence: number,
     };
     expect_that!(
-        aggregate.hear_node(9, member(4), second.clone(), 0),
+        aggregate.receive_gateway(9, member(4), second.clone(), 0),
         eq(true)
     );
     for number in [3, 4] {
         expect_that!(
-            aggregate.hear_node(9, member(number), first.clone(), 1),
+            aggregate.receive_gateway(9, member(number), first.clone(), 1),
             eq(false)
         );
     }
@@ -286,23 +294,23 @@
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let (own, later, others) = (state(&mut rng), state(&mut rng), state(&mut rng));
     let mut member = Aggregate::new(Incarnation(1), "a");
-    member.tell(1, own.clone());
-    member.tell(2, later);
+    member.record_own(1, own.clone());
+    member.record_own(2, later);
     let mut together = own;
     together.add(&others);
     let sum = Sum {
-        nodes: 2,
-        members: vec![Member {
+        gateways: 2,
+        members: vec![MessageId {
             origin: Incarnation(1),
-            number: 1,
+            sequence: 1,
         }],
         state: together,
     };
-    let from = Member {
+    let from = MessageId {
         origin: Incarnation(2),
-        number: 1,
+        sequence: 1,
     };
-    member.hear_fleet(from, sum, 5);
+    member.receive_fleet(from, sum, 5);
     expect_that!(
         plain(&member.others(5).unwrap_or_default()),
         eq(&plain(&others))
@@ -315,16 +323,16 @@
     let mut rng = ChaCha8Rng::seed_from_u64(10);
     let (all, part) = (state(&mut rng), state(&mut rng));
     let sum = |nodes, state: &State| Sum {
-        nodes,
+        gateways: nodes,
         members: Vec::new(),
         state: state.clone(),
     };
-    let member = |origin| Member {
+    let member = |origin| MessageId {
         origin: Incarnation(origin),
-        number: 1,
+        sequence: 1,
     };
-    aggregate.hear_zone(rank("b"), member(2), sum(20, &all), 0);
-    aggregate.hear_zone(rank("b"), member(3), sum(4, &part), 50);
+    aggregate.receive_zone(name_hash("b"), member(2), sum(20, &all), 0);
+    aggregate.receive_zone(name_hash("b"), member(3), sum(4, &part), 50);
     expect_that!(
         plain(&aggregate.others(60).unwrap_or_default()),
         eq(&plain(&all))
@@ -343,7 +351,7 @@
     let pools = [(0..4).map(ServerId).collect(), vec![ServerId(9)]];
     let mut own = State::default();
     let load = Load {
-        unread: 1_000,
+        prefill_tokens: 1_000,
         queued: 2,
         running: 6,
     };
@@ -353,9 +361,9 @@
         granted: 100.0,
     };
     own.flows.insert(CustomerId(1), flow);
-    let estimate = own.estimate(10, &pools);
+    let estimate = own.extrapolate(10, &pools);
     let each = Load {
-        unread: 2_500,
+        prefill_tokens: 2_500,
         queued: 5,
         running: 15,
     };
@@ -382,7 +390,7 @@
                 expect_that!(ms, ge(20));
                 expect_that!(
                     4 * ms,
-                    le(SILENT_MS),
+                    le(EXPIRY_MS),
                     "{packets} packets, {processors} processors"
                 );
             }
@@ -401,13 +409,13 @@
 #[gtest]
 fn the_largest_gateways_collect_and_all_agree() {
     let places = [
-        ("small", Place::new("a", 0.09)),
-        ("large", Place::new("a", 0.5)),
-        ("larger", Place::new("a", 2.0)),
-        ("tiny", Place::new("a", 0.05)),
+        ("small", Placement::new("a", 0.09)),
+        ("large", Placement::new("a", 0.5)),
+        ("larger", Placement::new("a", 2.0)),
+        ("tiny", Placement::new("a", 0.05)),
     ];
-    let names = ranked(places.iter().map(|(name, place)| (*name, place)));
+    let names = rank_by_cpu(places.iter().map(|(name, place)| (*name, place)));
     expect_that!(names, eq(&["larger", "large", "small", "tiny"]));
-    let back = ranked(places.iter().rev().map(|(name, place)| (*name, place)));
+    let back = rank_by_cpu(places.iter().rev().map(|(name, place)| (*name, place)));
     expect_that!(back, eq(&names));
 }
--- a/crates/decide/tests/cold/main.rs
+++ b/crates/decide/tests/cold/main.rs
@@ -4,7 +4,7 @@
 mod way;
 
 use googletest::prelude::*;
-use mulberryyoke_decide::aggregate::rank;
+use mulberryyoke_decide::aggregate::name_hash;
 use mulberryyoke_decide::cold::{Limit, Members, Window, share};
 use mulberryyoke_model::ServerId;
 
@@ -63,7 +63,9 @@
         (3, 0),
         (7, 1),
     ] {
-        let ranks: Vec<u64> = (0..gateways).map(|n| rank(&format!("g-{n}"))).collect();
+        let ranks: Vec<u64> = (0..gateways)
+            .map(|n| name_hash(&format!("g-{n}")))
+            .collect();
         for server in 0..50 {
             let held = ranks.iter().map(|&own| {
                 let others = ranks.iter().copied().filter(|rank| *rank != own);
--- a/crates/decide/tests/cold/way.rs
+++ b/crates/decide/tests/cold/way.rs
@@ -1,6 +1,6 @@
 //! Ways of sharing out what a cold server bears.
 
-use mulberryyoke_decide::aggregate::rank;
+use mulberryyoke_decide::aggregate::name_hash;
 use mulberryyoke_decide::cold::{Members, Window, share};
 use mulberryyoke_model::{Millis, ServerId};
 
@@ -62,7 +62,7 @@
             let share = share(
                 server,
                 BOUND.requests_per_s(),
-                rank(&self.name),
+                name_hash(&self.name),
                 ranks.into_iter(),
             );
             return self.window.try_acquire(share, now);
@@ -72,7 +72,7 @@
         let first = if way == Way::DividedAtOnce {
             cold_ms
         } else {
-            cold_ms + rank(&self.name) % interval
+            cold_ms + name_hash(&self.name) % interval
         };
         let due = self.due.get_or_insert(first);
         let may = now >= *due;
--- a/crates/decide/tests/engine.rs
+++ b/crates/decide/tests/engine.rs
@@ -2,7 +2,8 @@
 
 use googletest::prelude::*;
 use mulberryyoke_decide::engine::{
-    Cache, Candidate, Engine, Load, MOST, Name, Pace, Prompt, Recent, choose, narrow,
+    Cache, Candidate, DecayedTokens, Engine, Load, MAX_CANDIDATES, PartId, PoolStats, Prompt,
+    choose, shortlist,
 };
 use mulberryyoke_model::ServerId;
 
@@ -11,7 +12,7 @@
 
 /// A prompt of a shared part and 500 tokens of its own.
 fn prompt(shared: u64, tokens: u32) -> Prompt {
-    Prompt::of("m", [(1, 100), (shared, tokens), (0xffff, 500)], 80)
+    Prompt::from_parts("m", [(1, 100), (shared, tokens), (0xffff, 500)], 80)
 }
 
 fn engine() -> Engine {
@@ -30,7 +31,7 @@
 #[gtest]
 fn a_part_counts_only_with_all_parts_before_it() {
     let mut cache = Cache::new(10_000);
-    cache.insert(&Prompt::of("m", [(1, 100), (2, 300), (9, 50)], 1).shared);
+    cache.insert(&Prompt::from_parts("m", [(1, 100), (2, 300), (9, 50)], 1).shared);
     let table = [
         ("m", vec![(1, 100), (2, 300), (7, 50)], 400),
         ("m", vec![(1, 100), (3, 300), (7, 50)], 100),
@@ -40,47 +41,52 @@
         ("m", vec![], 0),
     ];
     for (model, parts, cached) in table {
-        let prompt = Prompt::of(model, parts.clone(), 1);
-        expect_that!(cache.cached(&prompt), eq(cached), "{model} {parts:?}");
+        let prompt = Prompt::from_parts(model, parts.clone(), 1);
+        expect_that!(
+            cache.cached_tokens(&prompt),
+            eq(cached),
+            "{model} {parts:?}"
+        );
     }
 }
 
 #[gtest]
 fn the_least_recently_used_parts_yield() {
     let mut cache = Cache::new(1_000);
-    let [first, second, third] = [10, 11, 12].map(|id| Prompt::of("m", [(id, 400), (0, 1)], 1));
+    let [first, second, third] =
+        [10, 11, 12].map(|id| Prompt::from_parts("m", [(id, 400), (0, 1)], 1));
     cache.insert(&first.shared);
     cache.insert(&second.shared);
     cache.insert(&first.shared);
     cache.insert(&third.shared);
-    expect_that!(cache.cached(&first), eq(400));
-    expect_that!(cache.cached(&second), eq(0));
-    expect_that!(cache.cached(&third), eq(400));
+    expect_that!(cache.cached_tokens(&first), eq(400));
+    expect_that!(cache.cached_tokens(&second), eq(0));
+    expect_that!(cache.cached_tokens(&third), eq(400));
 }
 
 #[gtest]
 fn what_a_server_lists_counts_until_as_much_was_read_as_it_holds() {
     let mut cache = Cache::new(10_000);
-    let known = Prompt::of("m", [(1, 100), (2, 300), (9, 50)], 1);
-    let partly = Prompt::of("m", [(3, 100), (2, 300), (9, 50)], 1);
-    cache.list([1, 2].map(|part| Name::of("m", part)));
-    expect_that!(cache.cached(&known), eq(400));
-    expect_that!(cache.cached(&partly), eq(0));
-    cache.read(6_000);
-    expect_that!(cache.cached(&known), eq(400));
+    let known = Prompt::from_parts("m", [(1, 100), (2, 300), (9, 50)], 1);
+    let partly = Prompt::from_parts("m", [(3, 100), (2, 300), (9, 50)], 1);
+    cache.set_reported([1, 2].map(|part| PartId::new("m", part)));
+    expect_that!(cache.cached_tokens(&known), eq(400));
+    expect_that!(cache.cached_tokens(&partly), eq(0));
+    cache.record_prefill(6_000);
+    expect_that!(cache.cached_tokens(&known), eq(400));
     cache.insert(&partly.shared);
-    cache.read(6_000);
-    expect_that!(cache.cached(&known), eq(0));
-    expect_that!(cache.cached(&partly), eq(400));
+    cache.record_prefill(6_000);
+    expect_that!(cache.cached_tokens(&known), eq(0));
+    expect_that!(cache.cached_tokens(&partly), eq(400));
 }
 
 #[gtest]
 fn a_prompt_goes_where_its_shared_part_is_kept_though_others_are_idle() {
     let prompt = prompt(5, 4_000);
     let (mut keeper, idle) = (engine(), engine());
-    keeper.send(&prompt, 0);
+    keeper.record_send(&prompt, 0);
     keeper.others = Load {
-        unread: 30_000,
+        prefill_tokens: 30_000,
         queued: 3,
         running: 2,
     };
@@ -91,8 +97,8 @@
 fn a_short_shared_part_is_read_again_where_nothing_waits() {
     let prompt = prompt(5, 60);
     let (mut keeper, idle) = (engine(), engine());
-    keeper.send(&prompt, 0);
-    keeper.others.unread = 30_000;
+    keeper.record_send(&prompt, 0);
+    keeper.others.prefill_tokens = 30_000;
     expect_that!(chosen(&prompt, &[&idle, &keeper]), some(eq(0)));
 }
 
@@ -101,7 +107,7 @@
     let streams = |running, unread| {
         let mut engine = Engine::new(32, 100_000);
         engine.others = Load {
-            unread,
+            prefill_tokens: unread,
             queued: 0,
             running,
         };
@@ -111,7 +117,7 @@
     // Reading 30,000 tokens takes about the longest pause.
     let table = [(30_000, 1), (2_000, 0)];
     for (tokens, server) in table {
-        let prompt = Prompt::of("m", [(9, tokens)], 80);
+        let prompt = Prompt::from_parts("m", [(9, tokens)], 80);
         expect_that!(
             chosen(&prompt, &[&full, &few]),
             some(eq(server)),
@@ -124,8 +130,8 @@
 fn what_peers_sent_counts_as_what_was_sent_here() {
     let mut loaded = engine();
     let idle = engine();
-    loaded.others.unread = 50_000;
-    let unshared = Prompt::of("m", [(3, 900)], 10);
+    loaded.others.prefill_tokens = 50_000;
+    let unshared = Prompt::from_parts("m", [(3, 900)], 10);
     expect_that!(chosen(&unshared, &[&loaded, &idle]), some(eq(1)));
     expect_that!(loaded.wait_ms(), gt(idle.wait_ms() + 500.0));
 }
@@ -150,36 +156,36 @@
 fn counts_come_back_to_nothing() {
     let mut engine = engine();
     let prompt = prompt(5, 1_000);
-    let first = engine.send(&prompt, 0);
-    let second = engine.send(&prompt, 0);
+    let first = engine.record_send(&prompt, 0);
+    let second = engine.record_send(&prompt, 0);
     expect_that!((first, second), eq((1_600, 500)));
     expect_that!(engine.backlog(), eq(2_100));
-    engine.begin(first);
+    engine.record_first_token(first);
     expect_that!(engine.requests(), eq(2));
-    engine.end();
-    engine.abandon(second);
+    engine.record_completion();
+    engine.record_abort(second);
     expect_that!(engine.own, eq(Load::default()));
 }
 
 #[gtest]
 fn the_rate_follows_what_is_seen_within_bounds() {
-    let mut rate = Pace::default();
-    let before = rate.per_ms();
-    rate.read(100, 1_000.0);
-    expect_that!(rate.per_ms(), eq(before), "too few tokens to tell");
+    let mut rate = PoolStats::default();
+    let before = rate.tokens_per_ms();
+    rate.record_prefill(100, 1_000.0);
+    expect_that!(rate.tokens_per_ms(), eq(before), "too few tokens to tell");
     for _ in 0..200 {
-        rate.read(10_000, 520.0);
+        rate.record_prefill(10_000, 520.0);
     }
-    expect_that!(rate.per_ms(), near(20.0, 0.5));
+    expect_that!(rate.tokens_per_ms(), near(20.0, 0.5));
     for _ in 0..200 {
-        rate.read(10_000, 1_000_000.0);
+        rate.record_prefill(10_000, 1_000_000.0);
     }
-    expect_that!(rate.per_ms(), ge(5.9));
+    expect_that!(rate.tokens_per_ms(), ge(5.9));
 }
 
 #[gtest]
 fn what_was_sent_fades() {
-    let mut recent = Recent::default();
+    let mut recent = DecayedTokens::default();
     recent.add(1_000, 0);
     expect_that!(recent.tokens(4_000), near(500.0, 1.0));
     recent.add(1_000, 4_000);
@@ -189,13 +195,13 @@
 #[gtest]
 fn where_slots_are_few_a_queue_lasts_as_long_as_streams_do() {
     let mut engine = Engine::new(16, 100_000);
-    let mut pace = Pace::default();
+    let mut pace = PoolStats::default();
     for _ in 0..400 {
-        pace.hold(3_200.0);
+        pace.record_hold(3_200.0);
     }
-    engine.pace = pace;
+    engine.pool_stats = pace;
     engine.others.running = 16;
-    expect_that!(engine.beyond(), eq(1));
+    expect_that!(engine.excess_requests(), eq(1));
     expect_that!(engine.wait_ms(), near(200.0, 2.0));
     engine.others.queued = 3;
     expect_that!(engine.wait_ms(), near(800.0, 8.0));
@@ -205,15 +211,17 @@
 
 #[gtest]
 fn a_slow_server_is_told_from_its_pool() {
-    let (mut engine, pace) = (Engine::new(16, 100_000), Pace::default());
+    let (mut engine, pace) = (Engine::new(16, 100_000), PoolStats::default());
     for _ in 0..100 {
-        engine.factor.read(10_000, 520.0, pace);
+        engine.relative_speed.record_prefill(10_000, 520.0, pace);
     }
-    expect_that!(engine.reading_ms(10_000), near(500.0, 5.0));
+    expect_that!(engine.prefill_ms(10_000), near(500.0, 5.0));
     for _ in 0..200 {
-        engine.factor.read(10_000, 1_000_000.0, pace);
+        engine
+            .relative_speed
+            .record_prefill(10_000, 1_000_000.0, pace);
     }
-    expect_that!(engine.factor.of_pool(), ge(0.29));
+    expect_that!(engine.relative_speed.ratio(), ge(0.29));
 }
 
 /// Servers that keep nothing, but for those named, which keep the prompt's shared part.
@@ -235,7 +243,7 @@
         engine,
         penalty_ms: 0.0,
     });
-    let mut chosen: Vec<u32> = narrow(prompt, candidates, seed)
+    let mut chosen: Vec<u32> = shortlist(prompt, candidates, seed)
         .iter()
         .map(|candidate| candidate.server.0)
         .collect();
@@ -245,11 +253,11 @@
 
 #[gtest]
 fn of_many_servers_some_are_looked_at_and_all_that_keep_the_prompt() {
-    let prompt = Prompt::of("m", [(1, 500), (2, 5_000), (3, 600)], 10);
+    let prompt = Prompt::from_parts("m", [(1, 500), (2, 5_000), (3, 600)], 10);
     let keepers = [17, 99, 140];
     let engines = many(180, &prompt, &keepers);
     let first = narrowed(&engines, &prompt, 1);
-    expect_that!(first.len(), eq(MOST));
+    expect_that!(first.len(), eq(MAX_CANDIDATES));
     for keeper in &keepers {
         expect_that!(first.contains(keeper), eq(true));
     }
@@ -264,7 +272,7 @@
 
 #[gtest]
 fn few_servers_are_all_looked_at() {
-    let prompt = Prompt::of("m", [(1, 500), (2, 600)], 10);
+    let prompt = Prompt::from_parts("m", [(1, 500), (2, 600)], 10);
     for count in [0, 1, 9, 16] {
         let engines = many(count, &prompt, &[]);
         let all: Vec<u32> = (0..count).collect();
@@ -277,13 +285,13 @@
     let engines = many(180, &Prompt::default(), &[]);
     let mut chosen = std::collections::HashMap::new();
     for seed in 0..300 {
-        let prompt = Prompt::of("m", [(seed, 900)], 10);
+        let prompt = Prompt::from_parts("m", [(seed, 900)], 10);
         let candidates = engines.iter().zip(0..).map(|(engine, id)| Candidate {
             server: ServerId(id),
             engine,
             penalty_ms: 0.0,
         });
-        let some = narrow(&prompt, candidates, seed);
+        let some = shortlist(&prompt, candidates, seed);
         let choice = choose(&prompt, some.iter().copied(), 600.0, 0).expect("servers");
         *chosen.entry(choice.server).or_insert(0) += 1;
     }
--- a/crates/decide/tests/replay/gateway.rs
+++ b/crates/decide/tests/replay/gateway.rs
@@ -1,8 +1,8 @@
 //! What one gateway believes.
 
-use mulberryyoke_decide::engine::{Candidate, Engine, Pace, Part};
+use mulberryyoke_decide::engine::{Candidate, Engine, Part, PoolStats};
 use mulberryyoke_decide::share::Shares;
-use mulberryyoke_decide::shed::{self, Aim, Held};
+use mulberryyoke_decide::shed::{self, Objective, Rejection};
 use mulberryyoke_model::{CustomerId, Millis, ServerId};
 
 use crate::load::{Job, KINDS};
@@ -24,7 +24,7 @@
 pub(crate) struct Gateway {
     pub(crate) engines: Vec<Engine>,
     /// What was learnt of all servers together.
-    pace: Pace,
+    pace: PoolStats,
     pub(crate) shares: Shares,
     /// Shared parts that it had servers read since it last told its peers.
     pub(crate) reads: Vec<(usize, Vec<Part>, u32)>,
@@ -34,7 +34,7 @@
     pub(crate) fn new(servers: usize, memory: u32, slots: u32) -> Self {
         Self {
             engines: vec![Engine::new(slots, memory); servers],
-            pace: Pace::default(),
+            pace: PoolStats::default(),
             shares: Shares::default(),
             reads: Vec::new(),
         }
@@ -43,11 +43,13 @@
     /// Notes the first event of a request.
     pub(crate) fn first(&mut self, sent: &Sent, elapsed_ms: f64) {
         let engine = &mut self.engines[sent.server];
-        engine.begin(sent.tokens);
+        engine.record_first_token(sent.tokens);
         if sent.had_slot {
             let tokens = sent.ahead + sent.tokens;
-            engine.factor.read(tokens, elapsed_ms, self.pace);
-            self.pace.read(tokens, elapsed_ms);
+            engine
+                .relative_speed
+                .record_prefill(tokens, elapsed_ms, self.pace);
+            self.pace.record_prefill(tokens, elapsed_ms);
         }
         self.spread();
     }
@@ -55,14 +57,15 @@
     /// Notes the end of a request whose stream took so long.
     pub(crate) fn end(&mut self, sent: &Sent, stream_ms: f64) {
         let engine = &mut self.engines[sent.server];
-        engine.end();
-        self.pace.hold(engine.read_ms(sent.tokens) + stream_ms);
+        engine.record_completion();
+        self.pace
+            .record_hold(engine.first_token_ms(sent.tokens) + stream_ms);
         self.spread();
     }
 
     fn spread(&mut self) {
         for engine in &mut self.engines {
-            engine.pace = self.pace;
+            engine.pool_stats = self.pace;
         }
     }
 
@@ -73,7 +76,12 @@
     }
 
     /// Sends a request to one of the servers that are not gone, or says why not.
-    pub(crate) fn place(&mut self, job: &Job, gone: &[bool], now: Millis) -> Result<Sent, Held> {
+    pub(crate) fn place(
+        &mut self,
+        job: &Job,
+        gone: &[bool],
+        now: Millis,
+    ) -> Result<Sent, Rejection> {
         let customer = CustomerId(job.customer);
         self.shares.record_request(customer, job.prompt.cost());
         let standing = self.shares.usage(customer);
@@ -84,17 +92,17 @@
             engine,
             penalty_ms: 0.0,
         });
-        let aim = Aim {
-            objective_ms: KINDS[job.kind].objective_ms,
-            pause_ms: PAUSE_MS,
+        let aim = Objective {
+            first_token_ms: KINDS[job.kind].objective_ms,
+            max_pause_ms: PAUSE_MS,
         };
-        let placed = shed::place(&job.prompt, candidates, aim, Some(standing), now);
+        let placed = shed::admit(&job.prompt, candidates, aim, Some(standing), now);
         let choice = placed.expect("a server is there")?;
         self.shares.record_grant(customer, job.prompt.cost());
         let server = choice.server.0 as usize;
         let ahead = self.engines[server].backlog();
-        let had_slot = self.engines[server].beyond() == 0;
-        let tokens = self.engines[server].send(&job.prompt, now);
+        let had_slot = self.engines[server].excess_requests() == 0;
+        let tokens = self.engines[server].record_send(&job.prompt, now);
         let shared = job.prompt.shared.to_vec();
         self.reads.push((server, shared, tokens));
         Ok(Sent {
--- a/crates/decide/tests/replay/load.rs
+++ b/crates/decide/tests/replay/load.rs
@@ -172,7 +172,7 @@
         )]
         let own = own as u32;
         let part = part + 1_000 * (kind as u64 + 1);
-        Prompt::of(
+        Prompt::from_parts(
             "m",
             [
                 (kind as u64, tokens / 10),
--- a/crates/decide/tests/replay/server.rs
+++ b/crates/decide/tests/replay/server.rs
@@ -56,7 +56,7 @@
     /// Takes a prompt that arrives now, whose stream takes so long: it is read once a slot is
     /// free and all before it are read.
     pub(crate) fn take(&mut self, prompt: &Prompt, now_ms: f64, stream_ms: f64) -> Met {
-        let read = prompt.tokens - self.cache.cached(prompt);
+        let read = prompt.tokens - self.cache.cached_tokens(prompt);
         self.cache.insert(&prompt.shared);
         let pairs = f64::from(read) * (f64::from(prompt.tokens) - f64::from(read) / 2.0);
         let read_ms = (f64::from(read) / RATE + pairs * PAIRS_MS / 1e6) * self.slow;
--- a/crates/decide/tests/replay/world.rs
+++ b/crates/decide/tests/replay/world.rs
@@ -141,7 +141,7 @@
         let gone: Vec<bool> = self.servers.iter().map(|server| server.is_gone).collect();
         match self.gateways[gateway].place(&job, &gone, millis(now_ms)) {
             Ok(sent) => self.send(gateway, &sent, &job, now_ms),
-            Err(held) => self.refuse(job, held.retry_ms, now_ms),
+            Err(held) => self.refuse(job, held.retry_after_ms, now_ms),
         }
     }
 
@@ -150,7 +150,7 @@
         let kept = self
             .servers
             .iter()
-            .map(|server| server.cache.cached(&job.prompt))
+            .map(|server| server.cache.cached_tokens(&job.prompt))
             .max()
             .unwrap_or(0);
         let pause_ms = self.servers[server].pause_ms(now_ms);
@@ -219,7 +219,7 @@
             for (server, shared, tokens) in others.flat_map(|(_, reads)| reads) {
                 let engine = &mut gateway.engines[*server];
                 engine.cache.insert(shared);
-                engine.recent.add(*tokens, now);
+                engine.recent_tokens.add(*tokens, now);
             }
         }
         if self.beats.is_multiple_of(CUSTOMERS_BEATS) {
--- a/crates/decide/tests/sample.rs
+++ b/crates/decide/tests/sample.rs
@@ -1,7 +1,7 @@
 //! Which of very many servers a node uses.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::aggregate::rank;
+use mulberryyoke_decide::aggregate::name_hash;
 use mulberryyoke_decide::sample::is_sampled;
 use mulberryyoke_model::ServerId;
 
@@ -11,7 +11,7 @@
 /// The servers that a node uses of so many.
 fn used(node: &str, servers: u32) -> Vec<u32> {
     let count = usize::try_from(servers).expect("a few thousand");
-    let used = (0..servers).filter(|id| is_sampled(rank(node), ServerId(*id), count, MOST));
+    let used = (0..servers).filter(|id| is_sampled(name_hash(node), ServerId(*id), count, MOST));
     used.collect()
 }
 
--- a/crates/decide/tests/shed.rs
+++ b/crates/decide/tests/shed.rs
@@ -4,24 +4,24 @@
 use mulberryyoke_decide::engine::{Candidate, Choice, Engine, Load, Prompt};
 use mulberryyoke_decide::plain;
 use mulberryyoke_decide::share::Usage;
-use mulberryyoke_decide::shed::{self, Aim, Held};
+use mulberryyoke_decide::shed::{self, Objective, Rejection};
 use mulberryyoke_model::ServerId;
 
-const AIM: Aim = Aim {
-    objective_ms: 1_000.0,
-    pause_ms: 600.0,
+const AIM: Objective = Objective {
+    first_token_ms: 1_000.0,
+    max_pause_ms: 600.0,
 };
 
 /// A prompt of a shared part of 5,000 tokens and some of its own.
 fn prompt(own: u32) -> Prompt {
-    Prompt::of("m", [(5, 5_000), (0xffff, own)], 80)
+    Prompt::from_parts("m", [(5, 5_000), (0xffff, own)], 80)
 }
 
 /// A server that has tokens to read.
 fn loaded(unread: u32) -> Engine {
     let mut engine = Engine::new(64, 600_000);
     engine.others = Load {
-        unread,
+        prefill_tokens: unread,
         queued: u32::from(unread > 0),
         running: 0,
     };
@@ -39,14 +39,14 @@
     engines: &[Engine],
     own: u32,
     standing: Option<Usage>,
-) -> std::result::Result<Choice, Held> {
+) -> std::result::Result<Choice, Rejection> {
     let prompt = prompt(own);
     let candidates = engines.iter().enumerate().map(|(index, engine)| Candidate {
         server: ServerId(u32::try_from(index).unwrap_or(0)),
         engine,
         penalty_ms: 0.0,
     });
-    shed::place(&prompt, candidates, AIM, standing, 0).expect("servers")
+    shed::admit(&prompt, candidates, AIM, standing, 0).expect("servers")
 }
 
 /// The standing of a customer that was given this part of its portion.
@@ -100,7 +100,7 @@
     let table = [(60_000, 183.0), (55_000, 100.0), (600_000, 1_500.0)];
     for (unread, retry_ms) in table {
         let held = place(&[keeper(unread)], 3_800, Some(standing(0.5))).expect_err("refused");
-        expect_that!(held.retry_ms, near(retry_ms, 1.0), "{unread}");
+        expect_that!(held.retry_after_ms, near(retry_ms, 1.0), "{unread}");
     }
 }
 
@@ -114,7 +114,7 @@
     let candidate = |server, requests, is_near, penalty_ms| plain::Candidate {
         server: ServerId(server),
         requests,
-        is_near,
+        is_same_zone: is_near,
         penalty_ms,
     };
     let table = [
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 
-use mulberryyoke_decide::engine::{Engine, Pace};
+use mulberryyoke_decide::engine::{Engine, PoolStats};
 use parking_lot::{Mutex, MutexGuard};
 
 pub(crate) use self::cold::Cold;
@@ -33,7 +33,7 @@
     pub(crate) conns: Conns,
     pub(crate) engine: Mutex<Engine>,
     /// How fast servers of its pool read prompts and end requests.
-    pub(crate) pace: Arc<Mutex<Pace>>,
+    pub(crate) pace: Arc<Mutex<PoolStats>>,
     pub(crate) health: Mutex<Health>,
     /// Whether it is a model server.
     pub(crate) is_model: bool,
@@ -53,7 +53,7 @@
     pub(crate) fn new(
         server: Server,
         model: Option<Model>,
-        pace: Arc<Mutex<Pace>>,
+        pace: Arc<Mutex<PoolStats>>,
         life: Arc<Life>,
     ) -> Self {
         let cache_tokens = model.map_or(0, |model| model.memory_tokens / CACHE_PART);
@@ -78,7 +78,7 @@
     pub(crate) fn engine(&self) -> MutexGuard<'_, Engine> {
         let pace = *self.pace.lock();
         let mut engine = self.engine.lock();
-        engine.pace = pace;
+        engine.pool_stats = pace;
         engine
     }
 
--- a/crates/gateway/src/backend/running.rs
+++ b/crates/gateway/src/backend/running.rs
@@ -39,8 +39,8 @@
         backend.life.send(now_ms);
         let mut engine = backend.engine.lock();
         let ahead = engine.backlog();
-        let had_slot = engine.beyond() == 0;
-        let tokens = engine.send(prompt.unwrap_or(&none), now_ms);
+        let had_slot = engine.excess_requests() == 0;
+        let tokens = engine.record_send(prompt.unwrap_or(&none), now_ms);
         drop(engine);
         Self {
             backend: Arc::clone(backend),
@@ -80,14 +80,14 @@
         let now = Instant::now();
         self.begun = Some(now);
         let mut engine = self.backend.engine.lock();
-        engine.begin(self.tokens);
+        engine.record_first_token(self.tokens);
         // The time that it waited for a slot says nothing of how fast prompts are read.
         if self.had_slot {
             let elapsed = elapsed_ms(self.sent, now);
             let tokens = self.ahead + self.tokens;
             let mut pace = self.backend.pace.lock();
-            engine.factor.read(tokens, elapsed, *pace);
-            pace.read(tokens, elapsed);
+            engine.relative_speed.record_prefill(tokens, elapsed, *pace);
+            pace.record_prefill(tokens, elapsed);
         }
     }
 }
@@ -99,12 +99,12 @@
         }
         let mut engine = self.backend.engine.lock();
         let Some(begun) = self.begun else {
-            return engine.abandon(self.tokens);
+            return engine.record_abort(self.tokens);
         };
-        engine.end();
-        let held_ms = engine.read_ms(self.tokens) + elapsed_ms(begun, Instant::now());
+        engine.record_completion();
+        let held_ms = engine.first_token_ms(self.tokens) + elapsed_ms(begun, Instant::now());
         drop(engine);
-        self.backend.pace.lock().hold(held_ms);
+        self.backend.pace.lock().record_hold(held_ms);
     }
 }
 
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use mulberryyoke_decide::engine::{Candidate, Engine, narrow};
+use mulberryyoke_decide::engine::{Candidate, Engine, shortlist};
 use mulberryyoke_decide::plain;
 use mulberryyoke_decide::pushback::retry_after_ms;
 use mulberryyoke_decide::share::Usage;
-use mulberryyoke_decide::shed::{self, Aim, Held};
+use mulberryyoke_decide::shed::{self, Objective, Rejection};
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{CustomerId, PoolId, ServerId, whole_u32};
 use rand::RngExt;
@@ -60,7 +60,7 @@
         let candidates = open.iter().map(|backend| plain::Candidate {
             server: backend.server.id,
             requests: backend.engine.lock().requests(),
-            is_near: backend.server.zone == *zone,
+            is_same_zone: backend.server.zone == *zone,
             penalty_ms: backend.health.lock().penalty_ms(now),
         });
         let backend = named(&open, plain::choose(candidates))?;
@@ -124,12 +124,12 @@
             penalty_ms: backend.health.lock().penalty_ms(now),
         }
     });
-    let candidates = narrow(prompt, candidates, rand::rng().random());
-    let aim = Aim {
-        objective_ms: as_f64(call.route.objective_ms),
-        pause_ms: call.route.gap_ms.map_or(f64::INFINITY, as_f64),
+    let candidates = shortlist(prompt, candidates, rand::rng().random());
+    let aim = Objective {
+        first_token_ms: as_f64(call.route.objective_ms),
+        max_pause_ms: call.route.gap_ms.map_or(f64::INFINITY, as_f64),
     };
-    let placed = shed::place(
+    let placed = shed::admit(
         prompt,
         candidates.iter().copied(),
         aim,
@@ -159,7 +159,7 @@
     // What other nodes have servers read is not told; each is taken to do as this one does.
     let peers = u32::try_from(core.exchange.gateways() - 1).unwrap_or(u32::MAX);
     let read = choice.uncached.saturating_mul(peers);
-    backend.engine.lock().cache.read(read);
+    backend.engine.lock().cache.record_prefill(read);
     Ok(Running::begin(backend, Some(prompt)))
 }
 
@@ -190,21 +190,21 @@
 }
 
 /// The refusal of a prompt that no server can take in time; `server` is the best one's name.
-fn refuse(core: &Core, call: &Call, held: &Held, standing: Usage, server: &str) -> Refusal {
+fn refuse(core: &Core, call: &Call, held: &Rejection, standing: Usage, server: &str) -> Refusal {
     let choice = &held.choice;
     log!(core.logger, Event::HeldBack,
         "request" => &call.id,
         "customer" => call.customer_name(),
         "server" => server,
         "wait_ms" => whole_u32(choice.wait_ms),
-        "read_ms" => whole_u32(choice.read_ms),
+        "read_ms" => whole_u32(choice.prefill_ms),
         "uncached" => choice.uncached,
-        "again" => choice.again,
+        "again" => choice.recomputed,
         "allowed_ms" => whole_u32(held.allowed_ms),
         "mean_wait_ms" => whole_u32(choice.mean_wait_ms),
         "of_portion" => whole_u32(standing.of_portion * 100.0),
         "of_given" => whole_u32(standing.of_given * 100.0));
-    let retry_ms = whole_u32(held.retry_ms);
+    let retry_ms = whole_u32(held.retry_after_ms);
     if standing.of_portion > 1.0 {
         return Refusal::Share(retry_ms);
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -10,7 +10,7 @@
 
 use std::net::SocketAddr;
 
-use mulberryyoke_decide::aggregate::{Place, interval_ms};
+use mulberryyoke_decide::aggregate::{Placement, interval_ms};
 use mulberryyoke_decide::engine::Prompt;
 use mulberryyoke_decide::handoff::candidates;
 use mulberryyoke_event::{Event, log};
@@ -33,7 +33,7 @@
 }
 
 impl Exchange {
-    pub(crate) fn new(name: &str, place: Place) -> Self {
+    pub(crate) fn new(name: &str, place: Placement) -> Self {
         let origin = Incarnation(rand::random());
         let inner = Inner::new(origin, name, place);
         Self {
@@ -84,7 +84,7 @@
 
     /// Notes that a server is given a prompt, to tell its shared parts.
     pub(crate) fn note(&self, server: ServerId, prompt: &Prompt, is_new: bool) {
-        let Some(key) = prompt.home() else {
+        let Some(key) = prompt.affinity_key() else {
             return;
         };
         let mut inner = self.inner.lock();
@@ -100,7 +100,7 @@
     /// Time from a round of so many packets to the next, in milliseconds.
     fn interval_ms(&self, packets: usize) -> u64 {
         let inner = self.inner.lock();
-        interval_ms(packets, inner.place.processors(), inner.collects())
+        interval_ms(packets, inner.place.cpus(), inner.collects())
     }
 
     /// The messages of a round.
@@ -111,7 +111,7 @@
         let own = own(core);
         inner.number = inner.number.wrapping_add(1);
         let number = inner.number;
-        inner.aggregate.tell(number, own.clone());
+        inner.aggregate.record_own(number, own.clone());
         let mut round = inner.own_messages(self.origin, number, own, now);
         if inner.collects() {
             round.extend(inner.sums(self.origin, now));
--- a/crates/gateway/src/exchange/announce.rs
+++ b/crates/gateway/src/exchange/announce.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mulberryyoke_decide::aggregate::Place;
+use mulberryyoke_decide::aggregate::Placement;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_platform::kv::{Era, Error, LeaseId};
 use rand::RngExt;
@@ -87,7 +87,7 @@
     let key = format!("{PREFIX}{}", settings.name);
     let peer = Peer {
         address: settings.control,
-        place: Place::new(&settings.zone, settings.processors),
+        place: Placement::new(&settings.zone, settings.processors),
     };
     feed.put(&key, peer.write().as_bytes(), id).await?;
     if let Some(address) = settings.handoff {
--- a/crates/gateway/src/exchange/inner.rs
+++ b/crates/gateway/src/exchange/inner.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use mulberryyoke_decide::aggregate::{Aggregate, Member, Place, State, Sum, rank};
+use mulberryyoke_decide::aggregate::{Aggregate, MessageId, Placement, State, Sum, name_hash};
 use mulberryyoke_decide::engine::Load;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::Incarnation;
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) name: String,
-    pub(super) place: Place,
+    pub(super) place: Placement,
     pub(super) peers: Peers,
     /// Where larger gateways of the zone take connections that are handed on; found when peers
     /// change, as each connection and answer of a node that is behind asks for it.
@@ -47,7 +47,7 @@
 
 impl Inner {
     /// That of a gateway which has heard of nobody.
-    pub(super) fn new(origin: Incarnation, name: &str, place: Place) -> Self {
+    pub(super) fn new(origin: Incarnation, name: &str, place: Placement) -> Self {
         Self {
             name: name.to_owned(),
             aggregate: Aggregate::new(origin, &place.zone),
@@ -79,7 +79,7 @@
     /// collectors, or because others found none of them.
     pub(super) fn collects(&self) -> bool {
         let own = (self.name.as_str(), &self.place);
-        self.aggregate.collects() || self.peers.is_collector(own)
+        self.aggregate.is_collecting() || self.peers.is_collector(own)
     }
 
     /// Where the collectors of the zone take messages, this gateway left out, and those asked
@@ -109,12 +109,15 @@
         let reads = self.reads.take_own();
         let collects = self.collects();
         let sum = Sum {
-            nodes: 1,
+            gateways: 1,
             members: Vec::new(),
             state,
         };
-        let node = rank(&self.name);
-        let from = Member { origin, number };
+        let node = name_hash(&self.name);
+        let from = MessageId {
+            origin,
+            sequence: number,
+        };
         let passed = if collects { 0 } else { self.upstream.passed() };
         let to = self.collectors_of_zone(passed);
         if !collects {
@@ -136,7 +139,7 @@
         let zones = self.zones();
         if !zones.is_empty() {
             let scope = Scope::Zone {
-                zone: rank(&self.place.zone),
+                zone: name_hash(&self.place.zone),
             };
             let from = self.next(origin);
             let sum = self.aggregate.zone_sum();
@@ -151,11 +154,11 @@
         sums
     }
 
-    fn next(&mut self, origin: Incarnation) -> Member {
+    fn next(&mut self, origin: Incarnation) -> MessageId {
         self.number = self.number.wrapping_add(1);
-        Member {
+        MessageId {
             origin,
-            number: self.number,
+            sequence: self.number,
         }
     }
 
@@ -171,17 +174,17 @@
                     self.wanting.remove(&beat.origin);
                 }
                 self.aggregate
-                    .hear_node(node, beat.member(), sum.state, now)
+                    .receive_gateway(node, beat.member(), sum.state, now)
             }
             Scope::Zone { zone } => {
                 self.reads.pass(&beat.reads, false, now);
                 self.collectors.insert(beat.origin, from);
-                self.aggregate.hear_zone(zone, beat.member(), sum, now)
+                self.aggregate.receive_zone(zone, beat.member(), sum, now)
             }
             Scope::Fleet => {
                 let is_collector = self.collectors_of_zone(0).contains(&from);
                 self.upstream.hear(from, is_collector, now);
-                self.aggregate.hear_fleet(beat.member(), sum, now)
+                self.aggregate.receive_fleet(beat.member(), sum, now)
             }
         }
     }
@@ -192,7 +195,7 @@
         self.wanting.retain(|origin, _| aggregate.knows(*origin));
         self.collectors.retain(|origin, _| aggregate.knows(*origin));
         // An estimate follows what this gateway itself has.
-        self.is_changed |= !aggregate.has_heard() && self.peers.len() > 0;
+        self.is_changed |= !aggregate.has_peers() && self.peers.len() > 0;
     }
 
     /// Adds up what was heard, unless that was done just now or nothing has changed.
@@ -214,7 +217,7 @@
         let used = core.roster.used();
         let others = told.unwrap_or_else(|| {
             let peers = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
-            own(core).estimate(peers, &core.roster.pools())
+            own(core).extrapolate(peers, &core.roster.pools())
         });
         for backend in &used {
             let load = others.loads.get(&backend.server.id);
--- a/crates/gateway/src/exchange/peers.rs
+++ b/crates/gateway/src/exchange/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use mulberryyoke_decide::aggregate::{COLLECTORS, Place, rank, ranked};
+use mulberryyoke_decide::aggregate::{COLLECTORS_PER_ZONE, Placement, name_hash, rank_by_cpu};
 use mulberryyoke_decide::handoff::targets;
 use mulberryyoke_decide::quarantine::arbiter;
 use mulberryyoke_model::Digest;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
-    pub(crate) place: Place,
+    pub(crate) place: Placement,
 }
 
 impl Peer {
@@ -26,16 +26,19 @@
         let mut fields = text.splitn(3, ' ');
         let address = fields.next()?.parse().ok()?;
         let thousandths = fields.next().and_then(|field| field.parse().ok());
-        let place = Place {
+        let place = Placement {
             zone: fields.next().unwrap_or_default().to_owned(),
-            thousandths: thousandths.unwrap_or(0),
+            millicpus: thousandths.unwrap_or(0),
         };
         Some(Self { address, place })
     }
 
     /// Writes it as [`Peer::read`] reads it.
     pub(crate) fn write(&self) -> String {
-        let Place { zone, thousandths } = &self.place;
+        let Placement {
+            zone,
+            millicpus: thousandths,
+        } = &self.place;
         format!("{} {thousandths} {zone}", self.address)
     }
 }
@@ -57,13 +60,13 @@
             None => self.by_name.remove(name),
         };
         self.zones.clear();
-        let mut zones: BTreeMap<&str, Vec<(&str, &Place)>> = BTreeMap::new();
+        let mut zones: BTreeMap<&str, Vec<(&str, &Placement)>> = BTreeMap::new();
         for (name, peer) in &self.by_name {
             let of_zone = zones.entry(&peer.place.zone).or_default();
             of_zone.push((name, &peer.place));
         }
         for (zone, peers) in zones {
-            let names = ranked(peers.into_iter());
+            let names = rank_by_cpu(peers.into_iter());
             let names = names.into_iter().map(str::to_owned).collect();
             self.zones.insert(zone.to_owned(), names);
         }
@@ -77,18 +80,18 @@
     }
 
     /// Where gateways of a zone take connections from one that is behind with its work.
-    pub(super) fn larger(&self, own: &Place) -> Vec<SocketAddr> {
+    pub(super) fn larger(&self, own: &Placement) -> Vec<SocketAddr> {
         let names = self.zones.get(&own.zone).into_iter().flatten();
         let known = names.filter_map(|name| {
             let address = *self.handoffs.get(name)?;
             Some((
-                rank(name),
-                (self.by_name.get(name)?.place.thousandths, address),
+                name_hash(name),
+                (self.by_name.get(name)?.place.millicpus, address),
             ))
         });
         let known: HashMap<u64, (u32, SocketAddr)> = known.collect();
         let sizes = known.iter().map(|(rank, (size, _))| (*rank, *size));
-        let targets = targets(own.thousandths, sizes);
+        let targets = targets(own.millicpus, sizes);
         let addresses = targets.into_iter().filter_map(|rank| known.get(&rank));
         addresses.map(|(_, address)| *address).collect()
     }
@@ -98,19 +101,22 @@
     }
 
     /// Whether a gateway, this one, is among the collectors of its zone.
-    pub(super) fn is_collector(&self, (name, place): (&str, &Place)) -> bool {
+    pub(super) fn is_collector(&self, (name, place): (&str, &Placement)) -> bool {
         let ranked = self.ranked((name, place));
-        ranked.into_iter().take(COLLECTORS).any(|of| of == name)
+        ranked
+            .into_iter()
+            .take(COLLECTORS_PER_ZONE)
+            .any(|of| of == name)
     }
 
     /// Where the collectors of a gateway's zone take messages, that gateway left out. If some
     /// are passed over, as they did not answer, those after them are named as well.
-    pub(super) fn collectors(&self, own: (&str, &Place), passed: usize) -> Vec<SocketAddr> {
+    pub(super) fn collectors(&self, own: (&str, &Placement), passed: usize) -> Vec<SocketAddr> {
         let ranked = self.ranked(own);
-        let first = ranked.iter().take(COLLECTORS);
+        let first = ranked.iter().take(COLLECTORS_PER_ZONE);
         let after = match passed % ranked.len() {
             0 => &[],
-            passed => &ranked[passed..ranked.len().min(passed + COLLECTORS)],
+            passed => &ranked[passed..ranked.len().min(passed + COLLECTORS_PER_ZONE)],
         };
         let named = first
             .chain(after)
@@ -123,23 +129,23 @@
     /// Where the collectors of all zones but one take messages.
     pub(super) fn collectors_elsewhere(&self, zone: &str) -> Vec<SocketAddr> {
         let zones = self.zones.iter().filter(|(of, _)| *of != zone);
-        let names = zones.flat_map(|(_, names)| names.iter().take(COLLECTORS));
+        let names = zones.flat_map(|(_, names)| names.iter().take(COLLECTORS_PER_ZONE));
         let peers = names.filter_map(|name| self.by_name.get(name));
         peers.map(|peer| peer.address).collect()
     }
 
     /// Whether a gateway, this one, is one of the few that ask the key-value service, and
     /// where the others of these are.
-    pub(super) fn watchers(&self, name: &str, place: &Place) -> (bool, Vec<SocketAddr>) {
+    pub(super) fn watchers(&self, name: &str, place: &Placement) -> (bool, Vec<SocketAddr>) {
         let all = self.by_name.iter();
         let all = all.map(|(name, peer)| (name.as_str(), &peer.place));
-        let mut ranked = ranked(all.chain([(name, place)]));
+        let mut ranked = rank_by_cpu(all.chain([(name, place)]));
         ranked.truncate(WATCHERS);
         let is_watcher = ranked.contains(&name);
         let peers = ranked.into_iter().filter_map(|name| self.by_name.get(name));
         let mut peers: Vec<SocketAddr> = peers.map(|peer| peer.address).collect();
         // The others spread over the watchers.
-        let first = usize::try_from(rank(name) % WATCHERS as u64).unwrap_or(0);
+        let first = usize::try_from(name_hash(name) % WATCHERS as u64).unwrap_or(0);
         let first = first.min(peers.len());
         peers.rotate_left(first);
         (is_watcher, peers)
@@ -153,10 +159,10 @@
     }
 
     /// The names of a gateway's zone, its own included, those that collect first.
-    fn ranked<'a>(&'a self, (name, place): (&'a str, &'a Place)) -> Vec<&'a str> {
+    fn ranked<'a>(&'a self, (name, place): (&'a str, &'a Placement)) -> Vec<&'a str> {
         let names = self.zones.get(&place.zone);
         let names = names.into_iter().flatten().map(String::as_str);
         let peers = names.filter_map(|name| Some((name, &self.by_name.get(name)?.place)));
-        ranked(peers.chain([(name, place)]))
+        rank_by_cpu(peers.chain([(name, place)]))
     }
 }
--- a/crates/gateway/src/exchange/upstream.rs
+++ b/crates/gateway/src/exchange/upstream.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use mulberryyoke_decide::aggregate::COLLECTORS;
+use mulberryyoke_decide::aggregate::COLLECTORS_PER_ZONE;
 
 /// Time without the fleet's sum after which another collector is asked for it, in
 /// milliseconds: the longest interval between two, and what is late.
@@ -52,7 +52,7 @@
         let silent_ms = now.saturating_sub(self.heard_ms.max(self.passed_ms));
         if !collectors.is_empty() && silent_ms >= LOST_MS {
             self.passed_ms = now;
-            self.passed += COLLECTORS;
+            self.passed += COLLECTORS_PER_ZONE;
         }
     }
 
--- a/crates/gateway/src/follow/shares.rs
+++ b/crates/gateway/src/follow/shares.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use mulberryyoke_decide::aggregate::rank;
+use mulberryyoke_decide::aggregate::name_hash;
 use mulberryyoke_decide::cold::{Limit, Members, share};
 
 use crate::backend::Backend;
@@ -36,7 +36,7 @@
         if cold.is_empty() {
             return;
         }
-        let own = rank(&self.core.settings.load().name);
+        let own = name_hash(&self.core.settings.load().name);
         let ranks = self.members.ranks(now);
         for backend in cold {
             let requests = self.requests(backend);
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use mulberryyoke_decide::aggregate::Place;
+use mulberryyoke_decide::aggregate::Placement;
 use mulberryyoke_event::slog::Logger;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_platform::kv::Feed;
@@ -69,7 +69,7 @@
         let address = settings.control;
         let beats = UdpSocket::bind(address).await;
         let beats = beats.map_err(|source| Error::Bind { address, source })?;
-        let place = Place::new(&settings.zone, settings.processors);
+        let place = Placement::new(&settings.zone, settings.processors);
         let exchange = Exchange::new(&settings.name, place);
         let roster = Roster::new(&settings.name);
         let core = Arc::new(Core {
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -13,7 +13,7 @@
 use hyper::header::{HOST, HeaderValue};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Request, StatusCode};
-use mulberryyoke_decide::engine::Name;
+use mulberryyoke_decide::engine::PartId;
 use mulberryyoke_event::{Event, log};
 use tokio::time::timeout;
 
@@ -57,7 +57,7 @@
             Ok(names) => {
                 log!(core.logger, Event::Listed,
                     "server" => &backend.server.name, "parts" => names.len());
-                backend.engine.lock().cache.list(names);
+                backend.engine.lock().cache.set_reported(names);
             }
             Err(error) => {
                 log!(core.logger, Event::ListFailed,
@@ -67,7 +67,7 @@
     });
 }
 
-async fn ask(core: &Core, backend: &Backend, path: &'static str) -> Result<Vec<Name>, Error> {
+async fn ask(core: &Core, backend: &Backend, path: &'static str) -> Result<Vec<PartId>, Error> {
     let mut conn = backend.conns.take().await?;
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = PathAndQuery::from_static(path).into();
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -8,7 +8,7 @@
 
 use hyper::HeaderMap;
 use hyper::http::{request, response};
-use mulberryyoke_decide::engine::Name;
+use mulberryyoke_decide::engine::PartId;
 
 pub use self::ask::Ask;
 pub use self::notice::Notice;
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// [`Unreadable`] when the value is no list.
-    fn kept(&self, value: &[u8]) -> Result<Vec<Name>, Unreadable>;
+    fn kept(&self, value: &[u8]) -> Result<Vec<PartId>, Unreadable>;
 
     /// Reads a server's registration.
     ///
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use arc_swap::ArcSwap;
-use mulberryyoke_decide::aggregate::rank;
-use mulberryyoke_decide::engine::Pace;
+use mulberryyoke_decide::aggregate::name_hash;
+use mulberryyoke_decide::engine::PoolStats;
 use mulberryyoke_decide::sample::is_sampled;
 use mulberryyoke_model::{PoolId, ServerId};
 use parking_lot::Mutex;
@@ -46,7 +46,7 @@
     /// Whether the table lacks changes.
     is_stale: AtomicBool,
     /// How fast servers read prompts and end requests, by pool.
-    paces: Mutex<HashMap<PoolId, Arc<Mutex<Pace>>>>,
+    paces: Mutex<HashMap<PoolId, Arc<Mutex<PoolStats>>>>,
     /// Availability zones to whose servers nothing is to be sent.
     evacuated: Mutex<HashSet<String>>,
     /// What lives of servers said of themselves.
@@ -57,7 +57,7 @@
     /// That of a node before it knows a server.
     pub(crate) fn new(name: &str) -> Self {
         Self {
-            node: rank(name),
+            node: name_hash(name),
             table: ArcSwap::default(),
             names: Mutex::default(),
             is_held: AtomicBool::new(false),
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -3,7 +3,7 @@
 use hyper::HeaderMap;
 use hyper::header::{AUTHORIZATION, HeaderValue};
 use hyper::http::{request, response};
-use mulberryyoke_decide::engine::{Name, Prompt};
+use mulberryyoke_decide::engine::{PartId, Prompt};
 use mulberryyoke_gateway::Server;
 use mulberryyoke_gateway::plan::{Cold, Customer, Kind, Limits, Model, Plan, Pool, Route, Target};
 use mulberryyoke_gateway::protocol::{Ask, Notice, Order, Proof, Protocol, Reading, Unreadable};
@@ -55,7 +55,7 @@
             key: key.map(str::to_owned),
             prompt: tokens.map(|tokens| {
                 let shared = shared.map(|part: u64| (part, SHARED));
-                Prompt::of("m", shared.into_iter().chain([(1, tokens)]), 10)
+                Prompt::from_parts("m", shared.into_iter().chain([(1, tokens)]), 10)
             }),
             resume_after: text("x-after").and_then(|event| event.parse().ok()),
         })
@@ -160,11 +160,11 @@
         Some("/kept")
     }
 
-    fn kept(&self, value: &[u8]) -> Result<Vec<Name>, Unreadable> {
+    fn kept(&self, value: &[u8]) -> Result<Vec<PartId>, Unreadable> {
         let text = String::from_utf8_lossy(value);
         let parts = text.split_whitespace().map(|word| {
             let part = word.parse().map_err(|_| unreadable("list"))?;
-            Ok(Name::of("m", part))
+            Ok(PartId::new("m", part))
         });
         parts.collect()
     }
--- a/crates/wire/src/beat.rs
+++ b/crates/wire/src/beat.rs
@@ -3,7 +3,7 @@
 mod assembler;
 mod packet;
 
-use mulberryyoke_decide::aggregate::{Member, State, Sum};
+use mulberryyoke_decide::aggregate::{MessageId, State, Sum};
 use mulberryyoke_decide::engine::{Load, Part};
 use mulberryyoke_decide::quarantine::Suspect;
 use mulberryyoke_decide::share::Flow;
@@ -45,7 +45,7 @@
     /// Gateways whose state it tells.
     pub nodes: u32,
     /// Those of the sender's zone, and the messages of theirs that it holds.
-    pub members: Vec<Member>,
+    pub members: Vec<MessageId>,
     /// What they have at each server; nothing where none is named.
     pub servers: Vec<Server>,
     /// What customers lately asked of them and were given.
@@ -102,15 +102,15 @@
 impl Beat {
     /// A message that tells a sum.
     #[must_use]
-    pub fn new(from: Member, scope: Scope, sum: &Sum, reads: Vec<Read>) -> Self {
+    pub fn new(from: MessageId, scope: Scope, sum: &Sum, reads: Vec<Read>) -> Self {
         let servers = sum.state.loads.iter();
         let servers = servers.filter(|(_, load)| **load != Load::default());
         let customers = sum.state.flows.iter();
         Self {
             origin: from.origin,
-            number: from.number,
+            number: from.sequence,
             scope,
-            nodes: sum.nodes,
+            nodes: sum.gateways,
             members: sum.members.clone(),
             servers: servers.map(|(&id, &load)| Server { id, load }).collect(),
             customers: customers
@@ -124,10 +124,10 @@
 
     /// The message's number in its sender's life.
     #[must_use]
-    pub const fn member(&self) -> Member {
-        Member {
+    pub const fn member(&self) -> MessageId {
+        MessageId {
             origin: self.origin,
-            number: self.number,
+            sequence: self.number,
         }
     }
 
@@ -137,7 +137,7 @@
         let loads = self.servers.iter().map(|server| (server.id, server.load));
         let flows = self.customers.iter().map(Customer::flow);
         Sum {
-            nodes: self.nodes,
+            gateways: self.nodes,
             members: self.members.clone(),
             state: State {
                 loads: loads.collect(),
--- a/crates/wire/src/beat/assembler.rs
+++ b/crates/wire/src/beat/assembler.rs
@@ -49,9 +49,9 @@
         }
         let count = usize::from(packet.count);
         let begun = self.partial.entry(packet.from.origin);
-        let partial = begun.or_insert_with(|| Partial::new(packet.from.number, count));
-        if partial.number != packet.from.number || partial.parts.len() != count {
-            *partial = Partial::new(packet.from.number, count);
+        let partial = begun.or_insert_with(|| Partial::new(packet.from.sequence, count));
+        if partial.number != packet.from.sequence || partial.parts.len() != count {
+            *partial = Partial::new(packet.from.sequence, count);
         }
         partial.parts[usize::from(packet.index)] = Some(packet.part.to_vec());
         if partial.parts.iter().any(Option::is_none) {
--- a/crates/wire/src/beat/packet.rs
+++ b/crates/wire/src/beat/packet.rs
@@ -1,7 +1,7 @@
 //! The packets of a message.
 
 use displaydoc::Display;
-use mulberryyoke_decide::aggregate::Member;
+use mulberryyoke_decide::aggregate::MessageId;
 use mulberryyoke_model::Incarnation;
 
 /// Largest packet, in bytes: it crosses an Ethernet link in one piece.
@@ -21,7 +21,7 @@
 /// One part of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Packet<'a> {
-    pub(super) from: Member,
+    pub(super) from: MessageId,
     pub(super) index: u8,
     pub(super) count: u8,
     pub(super) part: &'a [u8],
@@ -53,14 +53,14 @@
 }
 
 /// Divides a message into packets; `None` if it has more parts than can be counted.
-pub(super) fn split(from: Member, bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
+pub(super) fn split(from: MessageId, bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
     let count = u8::try_from(bytes.len().div_ceil(PART).max(1)).ok()?;
     let parts = bytes.chunks(PART).zip(0..count);
     let packets = parts.map(|(part, index)| {
         let mut packet = Vec::with_capacity(HEAD + part.len());
         packet.push(VERSION);
         packet.extend_from_slice(&from.origin.0.to_le_bytes());
-        packet.extend_from_slice(&from.number.to_le_bytes());
+        packet.extend_from_slice(&from.sequence.to_le_bytes());
         packet.extend_from_slice(&[index, count]);
         packet.extend_from_slice(part);
         packet
@@ -80,9 +80,9 @@
     if index >= count {
         return Err(Unreadable::Head);
     }
-    let from = Member {
+    let from = MessageId {
         origin: Incarnation(u64::from_le_bytes(*origin)),
-        number: u32::from_le_bytes(*number),
+        sequence: u32::from_le_bytes(*number),
     };
     Ok(Packet {
         from,
--- a/crates/wire/tests/beat.rs
+++ b/crates/wire/tests/beat.rs
@@ -1,7 +1,7 @@
 //! Messages between gateways and their packets.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::aggregate::{Member, State, Sum};
+use mulberryyoke_decide::aggregate::{MessageId, State, Sum};
 use mulberryyoke_decide::engine::{Load, Part};
 use mulberryyoke_decide::quarantine::{Crash, Suspect};
 use mulberryyoke_decide::share::Flow;
@@ -14,7 +14,7 @@
 /// A message of a fleet with so many servers and customers, and with reads.
 fn beat(number: u32, servers: u32, customers: u32, reads: u32) -> Beat {
     let load = Load {
-        unread: 123_456,
+        prefill_tokens: 123_456,
         queued: 3,
         running: 16,
     };
@@ -24,12 +24,12 @@
     };
     let loads = (0..servers).map(|id| (ServerId(u32::MAX - id), load));
     let flows = (0..customers).map(|id| (CustomerId(u32::MAX - id), flow));
-    let from = |origin, number| Member {
+    let from = |origin, number| MessageId {
         origin: Incarnation(u64::MAX - origin),
-        number,
+        sequence: number,
     };
     let sum = Sum {
-        nodes: 103,
+        gateways: 103,
         members: (0..21).map(|index| from(index, 70_000)).collect(),
         state: State {
             loads: loads.collect(),
