--- a/crates/decide/src/engine/cache.rs
+++ b/crates/decide/src/engine/cache.rs
@@ -1,28 +1,27 @@
-//! The shared prompt parts that a server is believed to keep.
+//! Estimated contents of a model server's prefix cache.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use super::{Part, PartId, Prompt};
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct Entry {
     tokens: u32,
-    used: u64,
+    last_use: u64,
 }
 
-/// Prompt parts in the order of their last use; the least recently used yield
-/// once they exceed a number of tokens.
+/// LRU cache of prompt parts, bounded by their total number of tokens.
 #[derive(Clone, Debug)]
 pub struct Cache {
     capacity: u32,
     tokens: u32,
-    uses: u64,
-    kept: HashMap<u64, Kept>,
-    by_use: BTreeMap<u64, u64>,
-    /// Parts that the server itself listed.
-    listed: HashSet<PartId>,
-    /// Tokens that it may still read before they are taken to have yielded.
-    listed_left: u32,
+    use_count: u64,
+    entries: HashMap<u64, Entry>,
+    by_last_use: BTreeMap<u64, u64>,
+    /// Parts that the server reported as cached.
+    reported: HashSet<PartId>,
+    /// Prefill tokens after which reported parts are assumed to be evicted.
+    reported_tokens_left: u32,
 }
 
 impl Cache {
@@ -32,74 +31,73 @@
         Self {
             capacity,
             tokens: 0,
-            uses: 0,
-            kept: HashMap::new(),
-            by_use: BTreeMap::new(),
-            listed: HashSet::new(),
-            listed_left: 0,
+            use_count: 0,
+            entries: HashMap::new(),
+            by_last_use: BTreeMap::new(),
+            reported: HashSet::new(),
+            reported_tokens_left: 0,
         }
     }
 
-    /// Takes in what the server says it keeps. It counts until as many tokens were read
-    /// as the cache holds: by then parts that were not used since have yielded.
-    pub fn set_reported(&mut self, names: impl IntoIterator<Item = PartId>) {
-        self.listed = names.into_iter().collect();
-        self.listed_left = self.capacity;
+    /// Stores the parts that the server reported as cached. The report expires once the server
+    /// has prefilled a full cache of tokens, which evicts parts that are not in use.
+    pub fn set_reported(&mut self, parts: impl IntoIterator<Item = PartId>) {
+        self.reported = parts.into_iter().collect();
+        self.reported_tokens_left = self.capacity;
     }
 
-    /// Notes that the server is given prompt tokens to read.
+    /// Ages the server's report by a number of prefilled tokens.
     pub fn record_prefill(&mut self, tokens: u32) {
-        self.listed_left = self.listed_left.saturating_sub(tokens);
-        if self.listed_left == 0 && !self.listed.is_empty() {
-            self.listed = HashSet::new();
+        self.reported_tokens_left = self.reported_tokens_left.saturating_sub(tokens);
+        if self.reported_tokens_left == 0 && !self.reported.is_empty() {
+            self.reported = HashSet::new();
         }
     }
 
-    /// Whether a part is kept.
+    /// Whether a part is in the LRU cache; reported parts are not considered.
     #[must_use]
     pub fn contains(&self, part: &Part) -> bool {
-        self.kept.contains_key(&part.key)
+        self.entries.contains_key(&part.key)
     }
 
-    /// Tokens of a prompt's beginning that need not be read again.
+    /// Number of leading prompt tokens that are cached.
     #[must_use]
     pub fn cached_tokens(&self, prompt: &Prompt) -> u32 {
         let parts = prompt.shared.iter().zip(&prompt.part_ids);
-        let held =
-            parts.take_while(|(part, name)| self.contains(part) || self.listed.contains(name));
-        held.map(|(part, _)| part.tokens).sum()
+        let cached =
+            parts.take_while(|(part, id)| self.contains(part) || self.reported.contains(id));
+        cached.map(|(part, _)| part.tokens).sum()
     }
 
-    /// Notes that a prompt is read: its shared parts, given in order, are the
-    /// most recently used.
+    /// Inserts the shared parts of a prompt, given in order, as most recently used.
     pub fn insert(&mut self, shared: &[Part]) {
-        // The first part is touched last: without it those after it are of no use.
+        // Touches the first part last: later parts are usable only with all parts before them.
         for part in shared.iter().rev() {
             self.touch(part.key, part.tokens);
         }
         while self.tokens > self.capacity {
-            let Some((_, key)) = self.by_use.pop_first() else {
+            let Some((_, key)) = self.by_last_use.pop_first() else {
                 break;
             };
-            let kept = self.kept.remove(&key);
-            self.tokens -= kept.map_or(0, |kept| kept.tokens);
+            let entry = self.entries.remove(&key);
+            self.tokens -= entry.map_or(0, |entry| entry.tokens);
         }
     }
 
-    /// Forgets a part that the server no longer keeps.
+    /// Removes a part that the server no longer caches.
     pub fn remove(&mut self, key: u64) {
-        if let Some(kept) = self.kept.remove(&key) {
-            self.by_use.remove(&kept.used);
-            self.tokens -= kept.tokens;
+        if let Some(entry) = self.entries.remove(&key) {
+            self.by_last_use.remove(&entry.last_use);
+            self.tokens -= entry.tokens;
         }
     }
 
     fn touch(&mut self, key: u64, tokens: u32) {
         self.remove(key);
-        self.uses += 1;
-        let used = self.uses;
-        self.kept.insert(key, Kept { tokens, used });
-        self.by_use.insert(used, key);
+        self.use_count += 1;
+        let last_use = self.use_count;
+        self.entries.insert(key, Entry { tokens, last_use });
+        self.by_last_use.insert(last_use, key);
         self.tokens += tokens;
     }
 }
--- a/crates/decide/src/engine/choice.rs
+++ b/crates/decide/src/engine/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of a model server for a prompt.
+//! Selection of a model server for a prompt.
 
 use std::cmp::Reverse;
 
@@ -7,74 +7,71 @@
 use super::{Engine, Prompt, pause};
 use crate::placement::weight;
 
-/// How much a millisecond of reading counts beside one of waiting: reading also
-/// delays those that come after.
-const READ_WEIGHT: f64 = 2.0;
+/// Cost of a millisecond of prefill relative to one of waiting. Prefill also delays the requests
+/// queued behind it.
+const PREFILL_WEIGHT: f64 = 2.0;
 
-/// Cost of a token that is read though another server keeps it, in milliseconds
-/// of waiting. A shared part of some thousand tokens is worth more than an
-/// answer on time.
-const AGAIN_MS: f64 = 0.3;
+/// Cost of recomputing a token that another server has cached, in milliseconds of waiting. For
+/// shared parts of several thousand tokens it outweighs a missed latency objective.
+const RECOMPUTE_MS: f64 = 0.3;
 
-/// As [`AGAIN_MS`], where the prompt would else be refused: a second server then gets to
-/// keep the part, and what is read again is about what reading takes.
-const AGAIN_SOON_MS: f64 = 0.03;
+/// As [`RECOMPUTE_MS`], for prompts that would otherwise be rejected: about the prefill time, so
+/// that a second server caches the part.
+const RECOMPUTE_URGENT_MS: f64 = 0.03;
 
-/// Cost of a token that was sent to a server lately, in milliseconds of waiting:
-/// a shared part that no server keeps gets its home where little is sent.
-const RECENT_MS: f64 = 0.002;
+/// Cost of a token recently sent to a server, in milliseconds of waiting. Places uncached shared
+/// parts on servers with little traffic.
+const RECENT_TOKEN_MS: f64 = 0.002;
 
-/// Advantage of the server of highest rendezvous weight for a prompt that no
-/// server keeps, in milliseconds: routers that do not know of each other's
-/// choices then agree.
-const HOME_MS: f64 = 40.0;
+/// Bonus for the server of highest rendezvous weight if no server has the prompt cached, in
+/// milliseconds. Makes gateways agree without knowing each other's choices.
+const AFFINITY_MS: f64 = 40.0;
 
-/// A server that could take a prompt.
+/// A server eligible for a prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// The server.
     pub server: ServerId,
-    /// What is believed of it.
+    /// Its estimated state.
     pub engine: &'a Engine,
-    /// Time that is added to its cost for failures seen, in milliseconds.
+    /// Cost added for recent failures, in milliseconds.
     pub penalty_ms: f64,
 }
 
-/// A server and what a prompt would meet there.
+/// A selected server with the expected latency of the prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// The server.
     pub server: ServerId,
-    /// Time until the prompt is begun to be read, in milliseconds.
+    /// Time until prefill starts, in milliseconds.
     pub wait_ms: f64,
-    /// Time to read it, in milliseconds.
+    /// Time from the start of prefill to the first token, in milliseconds.
     pub prefill_ms: f64,
-    /// Prompt tokens that have to be read.
+    /// Prompt tokens that are not cached.
     pub uncached: u32,
-    /// Those of them that another server keeps.
+    /// Uncached tokens that another server has cached.
     pub recomputed: u32,
-    /// Time until the servers, taken together, would begin to read it, in milliseconds.
+    /// Mean waiting time over all candidates, in milliseconds.
     pub mean_wait_ms: f64,
 }
 
 impl Choice {
-    /// Time to the first token, in milliseconds.
+    /// Time to first token, in milliseconds.
     #[must_use]
     pub const fn ttft_ms(&self) -> f64 {
         self.wait_ms + self.prefill_ms
     }
 }
 
-/// Servers among which one is chosen.
+/// Maximum number of servers that [`shortlist`] returns.
 ///
-/// The load that it answers: a hundred gateways that know the same of hundreds of servers, and
-/// hear of each other's choices a tenth of a second later. If each looked at all servers, all
-/// would choose the same one meanwhile.
+/// Gateways have the same estimates and learn of each other's choices with a delay. If each one
+/// evaluated all servers, all would pick the same one in the meantime.
 pub const MAX_CANDIDATES: usize = 16;
 
-/// The servers among which one is chosen for a prompt: those that keep most of it, the home of
-/// its last shared part, and for the rest some that `seed` draws, so that gateways which know
-/// the same choose differently.
+/// Selects up to [`MAX_CANDIDATES`] servers: the server with affinity for the last shared part,
+/// those with most of the prompt cached, then random ones. `seed` differs between gateways, so
+/// that they do not all pick the same server.
 #[must_use]
 pub fn shortlist<'a>(
     prompt: &Prompt,
@@ -93,12 +90,12 @@
             .map(|(_, _, candidate)| candidate)
             .collect();
     }
-    let home = prompt.affinity_key().and_then(|key| {
+    let preferred = prompt.affinity_key().and_then(|key| {
         let servers = ranked.iter().map(|(_, _, candidate)| candidate.server);
         servers.max_by_key(|&server| weight(key, server))
     });
-    ranked.sort_unstable_by_key(|(cached, drawn, candidate)| {
-        (home != Some(candidate.server), *cached, *drawn)
+    ranked.sort_unstable_by_key(|(cached, rank, candidate)| {
+        (preferred != Some(candidate.server), *cached, *rank)
     });
     ranked.truncate(MAX_CANDIDATES);
     ranked
@@ -107,43 +104,42 @@
         .collect()
 }
 
-/// Chooses the server where a prompt costs least: the time it waits, twice the
-/// time it is read, what is read again, the streams there that come late, and what is
-/// held against the server. `pause_ms` is the longest pause of a stream on time.
-/// `None` without candidates.
+/// Chooses the server with the lowest cost: waiting time, weighted prefill time, recomputed
+/// tokens, delay of running streams, and the failure penalty. `max_pause_ms` is the longest
+/// acceptable pause of a stream. `None` without candidates.
 pub fn choose<'a>(
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    pause_ms: f64,
+    max_pause_ms: f64,
     now: Millis,
 ) -> Option<Choice> {
-    least(prompt, candidates, pause_ms, AGAIN_MS, now)
+    choose_with(prompt, candidates, max_pause_ms, RECOMPUTE_MS, now)
 }
 
-/// As [`choose`], for a prompt that would come too late there: shared parts are read again
-/// where that brings it forward.
+/// As [`choose`], for a prompt that would miss its objective there: recomputes shared parts where
+/// that lowers the latency.
 pub fn choose_urgent<'a>(
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    pause_ms: f64,
+    max_pause_ms: f64,
     now: Millis,
 ) -> Option<Choice> {
-    least(prompt, candidates, pause_ms, AGAIN_SOON_MS, now)
+    choose_with(prompt, candidates, max_pause_ms, RECOMPUTE_URGENT_MS, now)
 }
 
-fn least<'a>(
+fn choose_with<'a>(
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    pause_ms: f64,
-    again_ms: f64,
+    max_pause_ms: f64,
+    recompute_ms: f64,
     now: Millis,
 ) -> Option<Choice> {
-    let kept = candidates
+    let max_cached = candidates
         .clone()
         .map(|candidate| candidate.engine.cache.cached_tokens(prompt));
-    let kept = kept.max().unwrap_or(0);
-    let is_new = kept < prompt.shared_tokens();
-    let home = prompt.affinity_key().filter(|_| is_new).and_then(|key| {
+    let max_cached = max_cached.max().unwrap_or(0);
+    let is_new = max_cached < prompt.shared_tokens();
+    let preferred = prompt.affinity_key().filter(|_| is_new).and_then(|key| {
         let servers = candidates.clone().map(|candidate| candidate.server);
         servers.max_by_key(|&server| weight(key, server))
     });
@@ -154,19 +150,19 @@
     let mean_wait_ms = sum / f64::from(count.max(1));
     let mut best: Option<(f64, Choice)> = None;
     for candidate in candidates {
-        let choice = meet(prompt, &candidate, kept);
+        let choice = evaluate(prompt, &candidate, max_cached);
         let mut cost = choice.wait_ms
-            + READ_WEIGHT * choice.prefill_ms
-            + again_ms * f64::from(choice.recomputed)
-            + pause::cost_ms(candidate.engine, choice.uncached, pause_ms)
+            + PREFILL_WEIGHT * choice.prefill_ms
+            + recompute_ms * f64::from(choice.recomputed)
+            + pause::cost_ms(candidate.engine, choice.uncached, max_pause_ms)
             + candidate.penalty_ms;
         if is_new {
-            cost += RECENT_MS * candidate.engine.recent_tokens.tokens(now);
+            cost += RECENT_TOKEN_MS * candidate.engine.recent_tokens.tokens(now);
         }
-        if home == Some(candidate.server) {
-            cost -= HOME_MS;
+        if preferred == Some(candidate.server) {
+            cost -= AFFINITY_MS;
         }
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+        if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
             best = Some((cost, choice));
         }
     }
@@ -176,8 +172,9 @@
     })
 }
 
-/// What a prompt would meet at a server; `kept` of its tokens are kept somewhere.
-fn meet(prompt: &Prompt, candidate: &Candidate<'_>, kept: u32) -> Choice {
+/// Expected latency of a prompt at a server. `max_cached` is the largest number of its tokens that
+/// any candidate has cached.
+fn evaluate(prompt: &Prompt, candidate: &Candidate<'_>, max_cached: u32) -> Choice {
     let engine = candidate.engine;
     let cached = engine.cache.cached_tokens(prompt);
     let uncached = prompt.tokens - cached;
@@ -186,7 +183,7 @@
         wait_ms: engine.wait_ms(),
         prefill_ms: engine.first_token_ms(uncached),
         uncached,
-        recomputed: kept.saturating_sub(cached),
+        recomputed: max_cached.saturating_sub(cached),
         mean_wait_ms: 0.0,
     }
 }
--- a/crates/decide/src/engine/prompt.rs
+++ b/crates/decide/src/engine/prompt.rs
@@ -1,89 +1,88 @@
-//! A prompt by its parts.
+//! Prompts as sequences of cacheable parts.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A part of a prompt, together with all parts before it.
+/// A prompt part in its position: the prefix that ends with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Hash of the model, the parts before and the part itself: a server that
-    /// keeps a part under this key need not read it again.
+    /// Hash of the model and of all parts up to this one; the key in a server's prefix cache.
     pub key: u64,
-    /// Length of the part alone, in tokens.
+    /// Length of this part alone, in tokens.
     pub tokens: u32,
 }
 
-/// A prompt part by itself, whatever comes before it: a hash of model and part.
+/// Identity of a prompt part regardless of its position: a hash of model and part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PartId(u64);
 
 impl PartId {
-    /// The name of a model's part.
+    /// The identity of a part for a model.
     #[must_use]
     pub fn new(model: &str, part: u64) -> Self {
-        Self(join(xxh3_64(model.as_bytes()), part))
+        Self(hash_pair(xxh3_64(model.as_bytes()), part))
     }
 }
 
-fn join(before: u64, part: u64) -> u64 {
+fn hash_pair(first: u64, second: u64) -> u64 {
     let mut bytes = [0; 16];
-    bytes[..8].copy_from_slice(&before.to_le_bytes());
-    bytes[8..].copy_from_slice(&part.to_le_bytes());
+    bytes[..8].copy_from_slice(&first.to_le_bytes());
+    bytes[8..].copy_from_slice(&second.to_le_bytes());
     xxh3_64(&bytes)
 }
 
-/// A prompt as its caller describes it.
+/// A prompt as described by its client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Parts that other requests may share, in order.
     pub shared: SmallVec<[Part; 4]>,
-    /// Names of these parts, as servers list them.
+    /// Identities of these parts, as servers report them.
     pub part_ids: SmallVec<[PartId; 4]>,
     /// Length of the whole prompt, in tokens.
     pub tokens: u32,
-    /// Most tokens to be generated.
+    /// Maximum number of generated tokens.
     pub max_output_tokens: u32,
 }
 
 impl Prompt {
-    /// Reads a prompt's parts; the last part is the request's own and not shared.
+    /// Builds a prompt from its parts. The last part belongs to the request alone and is not shared.
     pub fn from_parts(
         model: &str,
         parts: impl IntoIterator<Item = (u64, u32)>,
-        output: u32,
+        max_output_tokens: u32,
     ) -> Self {
         let model = xxh3_64(model.as_bytes());
         let mut key = model;
         let mut tokens: u32 = 0;
         let mut shared = SmallVec::new();
-        let mut names = SmallVec::new();
+        let mut part_ids = SmallVec::new();
         for (id, length) in parts {
-            key = join(key, id);
+            key = hash_pair(key, id);
             tokens = tokens.saturating_add(length);
             shared.push(Part {
                 key,
                 tokens: length,
             });
-            names.push(PartId(join(model, id)));
+            part_ids.push(PartId(hash_pair(model, id)));
         }
         shared.pop();
-        names.pop();
+        part_ids.pop();
         Self {
             shared,
-            part_ids: names,
+            part_ids,
             tokens,
-            max_output_tokens: output,
+            max_output_tokens,
         }
     }
 
-    /// The key by which requests gain from going to the same server.
+    /// Key shared by requests that benefit from the same server's prefix cache.
     #[must_use]
     pub fn affinity_key(&self) -> Option<u64> {
         self.shared.last().map(|part| part.key)
     }
 
-    /// What it takes of the servers: tokens to be read and most to be generated.
+    /// Prompt tokens plus the maximum number of generated tokens.
     #[must_use]
     pub const fn cost(&self) -> u32 {
         self.tokens.saturating_add(self.max_output_tokens)
