--- a/crates/decide/src/shed.rs
+++ b/crates/decide/src/shed.rs
@@ -1,54 +1,50 @@
-//! Whether a prompt is sent to a server now, to which, or when its caller should come back.
+//! Load shedding: selects a server for a prompt or rejects it with a retry delay.
 //!
-//! The load that it answers: a few customers ask many times their portion while servers are
-//! busy with prompts of very different lengths. What cannot be on time is refused at once,
-//! those who have more than their portion first; one who has less is sent wherever it can
-//! still be on time.
+//! A prompt that cannot meet its latency objective is rejected at once. The accepted latency
+//! shrinks for customers above their fair share; prompts of customers below it go to any server
+//! that can still meet the objective.
 
-mod aim;
-mod held;
-mod leeway;
+mod budget;
+mod objective;
+mod rejection;
 
 use mulberryyoke_model::Millis;
 
-pub use self::aim::Objective;
-pub use self::held::Rejection;
-use self::leeway::Leeway;
+use self::budget::Budget;
+pub use self::objective::Objective;
+pub use self::rejection::Rejection;
 use crate::engine::{Candidate, Choice, Prompt, choose, choose_urgent};
 use crate::share::Usage;
 
-/// Part of its portion up to which a customer's prompt is sent where its shared parts are
-/// read again, rather than refused. Large prompts of small customers were refused at the one
-/// server that kept their parts while others were idle. Benefit earned less what it cost, mean
-/// of twenty days before nine servers: 0.665 before and 0.693 after; of what the worst tenth of
-/// customers was owed 0.73 and 0.80 (with the part of the objective for those behind raised from
-/// 0.7 to 0.9, which alone gives 0.01).
-const SOON_PART: f64 = 1.0;
+/// Fraction of its fair share below which a customer's prompt may be sent to a server that has to
+/// recompute its shared parts. Otherwise large prompts would be rejected at the one server that has
+/// the parts cached while others are idle.
+const RECOMPUTE_SHARE: f64 = 1.0;
 
-/// Chooses a server for a prompt of a customer with this standing, or says when its caller
-/// should come back. Without a standing the prompt is sent in any case: what may already
-/// have run is not refused. `None` without candidates.
+/// Chooses a server for a prompt of a customer with this usage, or rejects the prompt. Without
+/// usage data it is always accepted: a request that may already have run must not be rejected.
+/// `None` without candidates.
 pub fn admit<'a>(
     prompt: &Prompt,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    aim: Objective,
-    standing: Option<Usage>,
+    objective: Objective,
+    usage: Option<Usage>,
     now: Millis,
 ) -> Option<Result<Choice, Rejection>> {
-    let choice = choose(prompt, candidates.clone(), aim.max_pause_ms, now)?;
-    let Some(standing) = standing else {
+    let choice = choose(prompt, candidates.clone(), objective.max_pause_ms, now)?;
+    let Some(usage) = usage else {
         return Some(Ok(choice));
     };
-    let leeway = Leeway::of(standing, choice.mean_wait_ms);
-    if leeway.admits(&choice, aim) {
+    let budget = Budget::new(usage, choice.mean_wait_ms);
+    if budget.allows(&choice, objective) {
         return Some(Ok(choice));
     }
-    if standing.of_portion < SOON_PART {
-        let soon = choose_urgent(prompt, candidates, aim.max_pause_ms, now);
-        let soon = soon.filter(|soon| leeway.admits(soon, aim));
-        if let Some(soon) = soon {
-            return Some(Ok(soon));
+    if usage.of_portion < RECOMPUTE_SHARE {
+        let urgent = choose_urgent(prompt, candidates, objective.max_pause_ms, now);
+        let urgent = urgent.filter(|urgent| budget.allows(urgent, objective));
+        if let Some(urgent) = urgent {
+            return Some(Ok(urgent));
         }
     }
-    Some(Err(Rejection::of(choice, leeway, aim)))
+    Some(Err(Rejection::new(choice, budget, objective)))
 }
--- a/crates/decide/src/shed/budget.rs
+++ b/crates/decide/src/shed/budget.rs
@@ -1,62 +1,63 @@
-//! How long a customer's prompts may take to be begun.
+//! Latency budget of a customer's prompts.
 
 use super::Objective;
 use crate::engine::Choice;
-use crate::share::Standing;
+use crate::share::Usage;
 
-/// Part of a stream's objective that the first event may be expected to take, for
-/// a customer that has less than its portion: what is expected is off by a tenth.
-const BEHIND_PART: f64 = 0.9;
+/// Fraction of the objective that the expected time to first token may take for a customer below
+/// its fair share. The rest covers estimation errors.
+const UNDER_SHARE_FRACTION: f64 = 0.9;
 
-/// As [`BEHIND_PART`], for a customer that has its portion.
-const PORTION_PART: f64 = 0.5;
+/// As [`UNDER_SHARE_FRACTION`], for a customer at its fair share.
+const FAIR_SHARE_FRACTION: f64 = 0.5;
 
-/// Part of its portion below which a customer is behind.
-const BEHIND: f64 = 0.8;
+/// Fraction of its fair share below which a customer counts as under-served.
+const UNDER_SHARE: f64 = 0.8;
 
-/// How fast the bound falls for a customer that has more than its portion, and
-/// the multiple of the portion beyond which it falls no more.
-const OVER_POWER: i32 = 2;
-const OVER_MOST: f64 = 2.5;
+/// Exponent by which the budget falls for a customer above its fair share.
+const OVER_SHARE_EXPONENT: i32 = 2;
 
-/// Multiple of its portion of all that is given beyond which a customer is given
-/// nothing until those that have less were served.
-const EVEN: f64 = 1.2;
+/// Multiple of the fair share above which the budget does not fall further.
+const MAX_OVER_SHARE: f64 = 2.5;
 
-/// Time that prompts wait at the servers on average below which there is capacity
-/// for all, in milliseconds: about half a step of an engine that reads.
-const SCARCE_MS: f64 = 30.0;
+/// Multiple of its fair share of the current throughput above which a customer's prompts are
+/// rejected while the servers are contended.
+const MAX_SHARE_OF_THROUGHPUT: f64 = 1.2;
 
-/// Time that a prompt may wait however long it takes to be read, as a part of the objective.
-const WAIT_PART: f64 = 0.15;
+/// Mean waiting time up to which the servers have capacity for everyone: about half an engine step
+/// during prefill.
+const CONTENTION_WAIT_MS: f64 = 30.0;
 
-/// How long a customer's prompts may take to be begun, beside those of one that has its
-/// portion; 0 when none may be sent.
+/// Fraction of the objective that a prompt may wait regardless of its prefill time.
+const WAIT_FRACTION: f64 = 0.15;
+
+/// Latency budget as a multiple of that of a customer at its fair share; 0 rejects all prompts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Leeway(f64);
+pub(super) struct Budget(f64);
 
-impl Leeway {
-    /// That of a customer while prompts wait so long at the servers on average.
-    pub(super) fn of(standing: Standing, mean_wait_ms: f64) -> Self {
-        if standing.of_portion < BEHIND {
-            return Self(BEHIND_PART / PORTION_PART);
+impl Budget {
+    /// Budget of a customer at the current mean waiting time of the servers.
+    pub(super) fn new(usage: Usage, mean_wait_ms: f64) -> Self {
+        if usage.of_portion < UNDER_SHARE {
+            return Self(UNDER_SHARE_FRACTION / FAIR_SHARE_FRACTION);
         }
-        if standing.of_given > EVEN && mean_wait_ms > SCARCE_MS {
+        if usage.of_given > MAX_SHARE_OF_THROUGHPUT && mean_wait_ms > CONTENTION_WAIT_MS {
             return Self(0.0);
         }
-        let over = standing.of_portion.clamp(1.0, OVER_MOST);
-        Self(over.powi(-OVER_POWER))
+        let over = usage.of_portion.clamp(1.0, MAX_OVER_SHARE);
+        Self(over.powi(-OVER_SHARE_EXPONENT))
     }
 
-    /// Time that the first event may take, in milliseconds.
-    pub(super) fn allowed_ms(self, aim: Objective) -> f64 {
-        aim.first_token_ms * PORTION_PART * self.0
+    /// Longest acceptable time to first token, in milliseconds.
+    pub(super) fn allowed_ms(self, objective: Objective) -> f64 {
+        objective.first_token_ms * FAIR_SHARE_FRACTION * self.0
     }
 
-    /// Whether a prompt is sent that would meet this.
-    pub(super) fn admits(self, choice: &Choice, aim: Objective) -> bool {
-        let wait_ms = aim.first_token_ms * WAIT_PART * self.0.min(1.0);
-        let is_soon = choice.ttft_ms() <= self.allowed_ms(aim) || choice.wait_ms <= wait_ms;
-        self.0 > 0.0 && is_soon
+    /// Whether a prompt with this expected latency is within the budget.
+    pub(super) fn allows(self, choice: &Choice, objective: Objective) -> bool {
+        let max_wait_ms = objective.first_token_ms * WAIT_FRACTION * self.0.min(1.0);
+        let is_within =
+            choice.ttft_ms() <= self.allowed_ms(objective) || choice.wait_ms <= max_wait_ms;
+        self.0 > 0.0 && is_within
     }
 }
--- a/crates/decide/src/shed/objective.rs
+++ b/crates/decide/src/shed/objective.rs
@@ -1,10 +1,10 @@
-//! What an answer on time is.
+//! Latency objective of a request.
 
-/// What an answer on time is.
+/// Latency objective of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Objective {
-    /// Time to the first event, in milliseconds.
+    /// Longest acceptable time to first token, in milliseconds.
     pub first_token_ms: f64,
-    /// Longest pause between events, in milliseconds; infinite without a bound.
+    /// Longest acceptable pause between events, in milliseconds; infinite if unlimited.
     pub max_pause_ms: f64,
 }
--- a/crates/decide/src/shed/rejection.rs
+++ b/crates/decide/src/shed/rejection.rs
@@ -1,34 +1,33 @@
-//! Why a prompt is sent to no server.
+//! Rejection of a prompt.
 
 use super::Objective;
-use super::leeway::Leeway;
+use super::budget::Budget;
 use crate::engine::Choice;
 
-/// Least and most time after which a refused caller is asked to come back, in milliseconds:
-/// a short prompt is read within the one, and what customers were given has faded by half
-/// within the other.
-const RETRY_MS: (f64, f64) = (100.0, 1_500.0);
+/// Shortest and longest retry delay: the prefill time of a short prompt and the half-life of
+/// customers' recorded usage.
+const RETRY_AFTER_MS: (f64, f64) = (100.0, 1_500.0);
 
-/// Why a prompt is sent to no server.
+/// A rejected prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// The best server and what the prompt would meet there.
+    /// The best server and the expected latency there.
     pub choice: Choice,
-    /// Time that its first event may take, in milliseconds.
+    /// Time to first token allowed for this customer, in milliseconds.
     pub allowed_ms: f64,
-    /// When the caller should come back: as soon as the best server has read what is too
-    /// much for now, in milliseconds.
+    /// Delay before the client should retry, in milliseconds: the time by which the best server
+    /// exceeds `allowed_ms`, within bounds.
     pub retry_after_ms: f64,
 }
 
 impl Rejection {
-    pub(super) fn of(choice: Choice, leeway: Leeway, aim: Objective) -> Self {
-        let allowed_ms = leeway.allowed_ms(aim);
-        let beyond = choice.ttft_ms() - allowed_ms;
+    pub(super) fn new(choice: Choice, budget: Budget, objective: Objective) -> Self {
+        let allowed_ms = budget.allowed_ms(objective);
+        let excess_ms = choice.ttft_ms() - allowed_ms;
         Self {
             choice,
             allowed_ms,
-            retry_after_ms: beyond.clamp(RETRY_MS.0, RETRY_MS.1),
+            retry_after_ms: excess_ms.clamp(RETRY_AFTER_MS.0, RETRY_AFTER_MS.1),
         }
     }
 }
