--- a/crates/decide/src/aggregate.rs
+++ b/crates/decide/src/aggregate.rs
@@ -1,18 +1,16 @@
-//! What all gateways of a fleet have at the servers, added up by a few of them.
+//! Hierarchical aggregation of the gateways' load on the servers.
 //!
-//! Every gateway tells what it has to the collectors of its availability zone; these tell
-//! their zone's sum to the collectors of the other zones, and the fleet's sum to their own
-//! zone's gateways. Each message holds the whole state of what it speaks of and takes the
-//! place of the one before it, so that loss, repeats and restarts count nothing twice.
+//! Every gateway sends its state to the collectors of its availability zone. Collectors send the
+//! zone's sum to the collectors of other zones, and the fleet's sum to the gateways of their own
+//! zone. Every message carries the full state and replaces the previous one of its sender, so that
+//! lost or repeated messages and restarts never count anything twice.
 //!
-//! The load that it answers: a hundred gateways before hundreds of servers, each of which
-//! would tell a hundred others. Where everyone told everyone with eight milliseconds of
-//! pause for each peer, 103 gateways heard each other every 816 ms, and took each other to
-//! be gone after 600 ms.
+//! Full-mesh exchange does not scale: with a hundred gateways the interval between messages to a
+//! peer exceeds the expiry of its state.
 
 mod collector;
-mod heard;
-mod pace;
+mod interval;
+mod latest;
 mod state;
 mod sum;
 
@@ -21,39 +19,39 @@
 use mulberryyoke_model::{Incarnation, Millis};
 
 pub use self::collector::{COLLECTORS_PER_ZONE, Placement, name_hash, rank_by_cpu};
-use self::heard::Heard;
-pub use self::pace::interval_ms;
+pub use self::interval::interval_ms;
+use self::latest::Latest;
 pub use self::state::State;
 pub use self::sum::{MessageId, Sum};
 
-/// Age from which what another told no longer counts, in milliseconds: four of the longest
-/// intervals between messages, so that three may be lost.
-pub const EXPIRY_MS: u64 = 4 * pace::LONGEST_MS;
+/// Age at which the state of another gateway expires: four of the longest intervals, so that three
+/// consecutive messages may be lost.
+pub const EXPIRY_MS: u64 = 4 * interval::MAX_INTERVAL_MS;
 
-/// Age up to which the sum that holds most gateways is preferred to a later one, in
-/// milliseconds: one interval, and half of one for what is late.
-const FRESH_MS: u64 = pace::LONGEST_MS * 3 / 2;
+/// Age up to which the sum of most gateways is preferred to a later one: one interval plus half of
+/// one for delays.
+const FRESH_MS: u64 = interval::MAX_INTERVAL_MS * 3 / 2;
 
-/// Own states that are remembered: a sum is taken to hold one of them.
-const REMEMBERED: usize = 64;
+/// Number of own states kept for subtraction from the sums that contain them.
+const MAX_OWN_STATES: usize = 64;
 
-/// What a gateway hears of the others.
+/// State received from other gateways.
 #[derive(Clone, Debug, Default)]
 pub struct Aggregate {
     origin: Incarnation,
     zone: u64,
-    /// Own states as they were told, oldest first.
-    told: VecDeque<(u32, State)>,
-    /// Gateways of the zone, by a hash of their names.
-    nodes: HashMap<u64, (Incarnation, Heard<State>)>,
-    /// Sums of zones, by the collector that tells them.
-    zones: HashMap<Incarnation, (u64, Heard<Sum>)>,
-    /// Sums of the fleet, by the collector that tells them.
-    fleets: HashMap<Incarnation, Heard<Sum>>,
+    /// Own states by sequence number, oldest first.
+    own_states: VecDeque<(u32, State)>,
+    /// Gateways of the zone, by name hash.
+    gateways: HashMap<u64, (Incarnation, Latest<State>)>,
+    /// Sums of other zones, by collector.
+    zones: HashMap<Incarnation, (u64, Latest<Sum>)>,
+    /// Sums of the fleet, by collector.
+    fleets: HashMap<Incarnation, Latest<Sum>>,
 }
 
 impl Aggregate {
-    /// That of a gateway which has heard nothing.
+    /// The empty state of a gateway with this incarnation and zone.
     #[must_use]
     pub fn new(origin: Incarnation, zone: &str) -> Self {
         Self {
@@ -63,104 +61,104 @@
         }
     }
 
-    /// Remembers what this gateway tells under a number.
-    pub fn record_own(&mut self, number: u32, state: State) {
-        self.told.push_back((number, state));
-        if self.told.len() > REMEMBERED {
-            self.told.pop_front();
+    /// Records the state that this gateway sends with a sequence number.
+    pub fn record_own(&mut self, sequence: u32, state: State) {
+        self.own_states.push_back((sequence, state));
+        if self.own_states.len() > MAX_OWN_STATES {
+            self.own_states.pop_front();
         }
     }
 
-    /// Takes in what a gateway of the zone has; `false` if a later message came before it.
-    /// Another life of it takes the place of the one before.
+    /// Stores the state of a gateway of the zone; `false` if the message is outdated. A new
+    /// incarnation replaces the previous one.
     pub fn receive_gateway(
         &mut self,
-        node: u64,
+        gateway: u64,
         from: MessageId,
         state: State,
         now: Millis,
     ) -> bool {
-        if let Some((origin, heard)) = self.nodes.get_mut(&node)
+        if let Some((origin, latest)) = self.gateways.get_mut(&gateway)
             && *origin == from.origin
         {
-            return heard.replace(from.sequence, state, now);
+            return latest.replace(from.sequence, state, now);
         }
-        let heard = Heard::new(from.sequence, state, now);
-        self.nodes.insert(node, (from.origin, heard));
+        let latest = Latest::new(from.sequence, state, now);
+        self.gateways.insert(gateway, (from.origin, latest));
         true
     }
 
-    /// Takes in a zone's sum; `false` if a later message came before it, or if the zone is
-    /// this gateway's own, whose gateways tell it themselves.
+    /// Stores the sum of another zone; `false` if the message is outdated or the zone is this
+    /// gateway's own, whose gateways report directly.
     pub fn receive_zone(&mut self, zone: u64, from: MessageId, sum: Sum, now: Millis) -> bool {
         if zone == self.zone {
             return false;
         }
-        if let Some((_, heard)) = self.zones.get_mut(&from.origin) {
-            return heard.replace(from.sequence, sum, now);
+        if let Some((_, latest)) = self.zones.get_mut(&from.origin) {
+            return latest.replace(from.sequence, sum, now);
         }
-        let heard = Heard::new(from.sequence, sum, now);
-        self.zones.insert(from.origin, (zone, heard));
+        let latest = Latest::new(from.sequence, sum, now);
+        self.zones.insert(from.origin, (zone, latest));
         true
     }
 
-    /// Takes in the fleet's sum; `false` if a later message came before it.
+    /// Stores the sum of the fleet; `false` if the message is outdated.
     pub fn receive_fleet(&mut self, from: MessageId, sum: Sum, now: Millis) -> bool {
-        if let Some(heard) = self.fleets.get_mut(&from.origin) {
-            return heard.replace(from.sequence, sum, now);
+        if let Some(latest) = self.fleets.get_mut(&from.origin) {
+            return latest.replace(from.sequence, sum, now);
         }
-        let heard = Heard::new(from.sequence, sum, now);
-        self.fleets.insert(from.origin, heard);
+        let latest = Latest::new(from.sequence, sum, now);
+        self.fleets.insert(from.origin, latest);
         true
     }
 
-    /// Whether a life of another gateway was heard and still counts.
+    /// Whether a message from this incarnation has been received and has not expired.
     #[must_use]
     pub fn knows(&self, origin: Incarnation) -> bool {
-        let mut nodes = self.nodes.values();
-        nodes.any(|(known, _)| *known == origin)
+        let mut gateways = self.gateways.values();
+        gateways.any(|(known, _)| *known == origin)
             || self.zones.contains_key(&origin)
             || self.fleets.contains_key(&origin)
     }
 
-    /// Whether anything that another gateway told still counts.
+    /// Whether any state from other gateways is present.
     #[must_use]
     pub fn has_peers(&self) -> bool {
-        !self.nodes.is_empty() || !self.zones.is_empty() || !self.fleets.is_empty()
+        !self.gateways.is_empty() || !self.zones.is_empty() || !self.fleets.is_empty()
     }
 
-    /// Forgets those that are silent, and names them.
+    /// Removes expired state and returns the incarnations it came from.
     pub fn expire(&mut self, now: Millis) -> Vec<Incarnation> {
-        let mut gone = Vec::new();
-        self.nodes
-            .retain(|_, (origin, heard)| keep(heard.age_ms(now), *origin, &mut gone));
+        let mut expired = Vec::new();
+        self.gateways
+            .retain(|_, (origin, latest)| retain(latest.age_ms(now), *origin, &mut expired));
         self.zones
-            .retain(|origin, (_, heard)| keep(heard.age_ms(now), *origin, &mut gone));
+            .retain(|origin, (_, latest)| retain(latest.age_ms(now), *origin, &mut expired));
         self.fleets
-            .retain(|origin, heard| keep(heard.age_ms(now), *origin, &mut gone));
-        gone
+            .retain(|origin, latest| retain(latest.age_ms(now), *origin, &mut expired));
+        expired
     }
 
-    /// Whether gateways of the zone tell this one what they have.
+    /// Whether gateways of the zone report to this one.
     #[must_use]
     pub fn is_collecting(&self) -> bool {
-        !self.nodes.is_empty()
+        !self.gateways.is_empty()
     }
 
-    /// What the zone's gateways have, this one included.
+    /// Sum over the gateways of the zone, including this one.
     #[must_use]
     pub fn zone_sum(&self) -> Sum {
         let mut sum = Sum::default();
-        if let Some((number, state)) = self.told.back() {
-            sum.add(self.origin, *number, state);
+        if let Some((sequence, state)) = self.own_states.back() {
+            sum.add(self.origin, *sequence, state);
         }
-        for (origin, heard) in self.nodes.values() {
-            sum.add(*origin, heard.number, &heard.told);
+        for (origin, latest) in self.gateways.values() {
+            sum.add(*origin, latest.sequence, &latest.value);
         }
         sum
     }
 
-    /// What the fleet's gateways have, this one included; those of the zone are named.
+    /// Sum over all gateways, including this one; `members` lists only those of the zone.
     #[must_use]
     pub fn fleet_sum(&self, now: Millis) -> Sum {
         let mut sum = self.zone_sum();
@@ -171,13 +169,13 @@
         sum
     }
 
-    /// What all other gateways have, as far as it was told; `None` when nothing was.
+    /// Known state of all other gateways; `None` if none has been received.
     #[must_use]
     pub fn others(&self, now: Millis) -> Option<State> {
-        if !self.nodes.is_empty() || !self.zones.is_empty() {
+        if !self.gateways.is_empty() || !self.zones.is_empty() {
             let mut state = State::default();
-            for (_, heard) in self.nodes.values() {
-                state.add(&heard.told);
+            for (_, latest) in self.gateways.values() {
+                state.add(&latest.value);
             }
             for zone in self.best_zones(now) {
                 state.add(&zone.state);
@@ -192,46 +190,46 @@
         Some(state)
     }
 
-    /// The own state that a sum holds.
+    /// The own state that is contained in a sum.
     fn own_in(&self, sum: &Sum) -> Option<&State> {
         let member = sum.members.iter().find(|m| m.origin == self.origin)?;
-        let mut told = self.told.iter();
-        let (_, state) = told.find(|(number, _)| *number == member.sequence)?;
+        let mut own_states = self.own_states.iter();
+        let (_, state) = own_states.find(|(sequence, _)| *sequence == member.sequence)?;
         Some(state)
     }
 
-    /// The best sum of each other zone.
+    /// The preferred sum of each other zone.
     fn best_zones(&self, now: Millis) -> Vec<&Sum> {
         let mut zones: Vec<u64> = self.zones.values().map(|(zone, _)| *zone).collect();
         zones.sort_unstable();
         zones.dedup();
         let sums = zones.into_iter().filter_map(|zone| {
             let of_zone = self.zones.values().filter(|(of, _)| *of == zone);
-            best(of_zone.map(|(_, heard)| heard), now)
+            best(of_zone.map(|(_, latest)| latest), now)
         });
         sums.collect()
     }
 }
 
-/// Of sums of the same gateways the one that holds most of them, if it is fresh, else the
+/// Selects among sums of the same gateways: the fresh one that covers most gateways, else the
 /// latest.
-fn best<'a>(sums: impl Iterator<Item = &'a Heard<Sum>>, now: Millis) -> Option<&'a Sum> {
-    let best = sums.max_by_key(|heard| {
-        let nodes = if heard.age_ms(now) <= FRESH_MS {
-            heard.told.gateways
+fn best<'a>(sums: impl Iterator<Item = &'a Latest<Sum>>, now: Millis) -> Option<&'a Sum> {
+    let best = sums.max_by_key(|latest| {
+        let gateways = if latest.age_ms(now) <= FRESH_MS {
+            latest.value.gateways
         } else {
             0
         };
-        (nodes, heard.at)
+        (gateways, latest.received_at)
     });
-    best.map(|heard| &heard.told)
+    best.map(|latest| &latest.value)
 }
 
-/// Whether what a life told still counts; if not, it is named among those that are gone.
-fn keep(age_ms: u64, origin: Incarnation, gone: &mut Vec<Incarnation>) -> bool {
-    let is_heard = age_ms < EXPIRY_MS;
-    if !is_heard {
-        gone.push(origin);
+/// Whether state of this age is kept; if not, its origin is added to `expired`.
+fn retain(age_ms: u64, origin: Incarnation, expired: &mut Vec<Incarnation>) -> bool {
+    let is_current = age_ms < EXPIRY_MS;
+    if !is_current {
+        expired.push(origin);
     }
-    is_heard
+    is_current
 }
--- a/crates/decide/src/aggregate/collector.rs
+++ b/crates/decide/src/aggregate/collector.rs
@@ -1,46 +1,45 @@
-//! Which gateways of a zone add up what all of them have.
+//! Selection of the collectors of an availability zone.
 
 use std::cmp::Reverse;
 
 use mulberryyoke_model::whole_u32;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Gateways of a zone that add up what all of them have: one may be gone or cut off.
+/// Number of gateways per zone that aggregate its state; one of them may fail.
 pub const COLLECTORS_PER_ZONE: usize = 2;
 
-/// Steps in which the part of a processor is told, for one whole processor.
-const WHOLE: f64 = 1_000.0;
+const MILLICPUS_PER_CPU: f64 = 1_000.0;
 
-/// Where a gateway runs and what it runs on.
+/// Zone and CPU allocation of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Thousandths of a processor that it has.
+    /// CPU allocation, in thousandths of a CPU.
     pub millicpus: u32,
 }
 
 impl Placement {
-    /// A place with a part of a processor.
+    /// A placement with a number of CPUs, rounded to thousandths.
     #[must_use]
-    pub fn new(zone: &str, processors: f64) -> Self {
-        let thousandths = whole_u32((processors * WHOLE).round());
+    pub fn new(zone: &str, cpus: f64) -> Self {
+        let millicpus = whole_u32((cpus * MILLICPUS_PER_CPU).round());
         Self {
             zone: zone.to_owned(),
-            millicpus: thousandths,
+            millicpus,
         }
     }
 
-    /// The part of a processor that it has.
+    /// CPU allocation, in CPUs.
     #[must_use]
     pub fn cpus(&self) -> f64 {
-        f64::from(self.millicpus) / WHOLE
+        f64::from(self.millicpus) / MILLICPUS_PER_CPU
     }
 }
 
-/// Gateways in the order in which they are to work for others: those with most of a
-/// processor first, so that the smallest only serve callers. All that know the same
-/// gateways agree.
+/// Names of the gateways by descending CPU allocation, ties by name hash. The first ones become
+/// collectors, so that the smallest gateways only serve clients. The order depends on the set of
+/// gateways alone.
 #[must_use]
 pub fn rank_by_cpu<'a>(gateways: impl Iterator<Item = (&'a str, &'a Placement)>) -> Vec<&'a str> {
     let mut ranked: Vec<_> = gateways
@@ -50,7 +49,7 @@
     ranked.into_iter().map(|(_, _, name)| name).collect()
 }
 
-/// A hash of a name, by which gateways of one size are ordered.
+/// Hash of a name; identifies gateways and zones in messages.
 #[must_use]
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
--- a/crates/decide/src/aggregate/latest.rs
+++ b/crates/decide/src/aggregate/latest.rs
@@ -1,33 +1,36 @@
-//! The last message of another gateway.
+//! The latest message of a sender.
 
 use mulberryyoke_model::Millis;
 
-/// The last message of another gateway.
+/// The latest message of a sender.
 #[derive(Clone, Debug)]
-pub(super) struct Heard<T> {
-    /// Its number in its sender's life.
-    pub(super) number: u32,
-    /// When it came.
-    pub(super) at: Millis,
-    pub(super) told: T,
+pub(super) struct Latest<T> {
+    /// Its sequence number within the sender's incarnation.
+    pub(super) sequence: u32,
+    pub(super) received_at: Millis,
+    pub(super) value: T,
 }
 
-impl<T> Heard<T> {
-    pub(super) const fn new(number: u32, told: T, at: Millis) -> Self {
-        Self { number, at, told }
+impl<T> Latest<T> {
+    pub(super) const fn new(sequence: u32, value: T, received_at: Millis) -> Self {
+        Self {
+            sequence,
+            received_at,
+            value,
+        }
     }
 
-    /// Takes in a message; `false` if a later one came before it.
-    pub(super) fn replace(&mut self, number: u32, told: T, at: Millis) -> bool {
-        if number <= self.number {
+    /// Replaces the message; `false` if the new one is not later.
+    pub(super) fn replace(&mut self, sequence: u32, value: T, received_at: Millis) -> bool {
+        if sequence <= self.sequence {
             return false;
         }
-        *self = Self::new(number, told, at);
+        *self = Self::new(sequence, value, received_at);
         true
     }
 
-    /// Time since it came, in milliseconds.
+    /// Time since the message was received, in milliseconds.
     pub(super) const fn age_ms(&self, now: Millis) -> u64 {
-        now.saturating_sub(self.at)
+        now.saturating_sub(self.received_at)
     }
 }
--- a/crates/decide/src/aggregate/state.rs
+++ b/crates/decide/src/aggregate/state.rs
@@ -1,4 +1,4 @@
-//! What gateways have at the servers, and what customers asked of them.
+//! Load of gateways on servers, and demand of customers.
 
 use std::collections::HashMap;
 
@@ -7,18 +7,18 @@
 use crate::engine::Load;
 use crate::share::Flow;
 
-/// What one or more gateways have at the servers, and what customers lately asked of them
-/// and were given. Servers and customers that are not named have nothing.
+/// Load of one or more gateways on servers, and recent demand and usage of their customers.
+/// Missing servers and customers count as zero.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     /// Load by server.
     pub loads: HashMap<ServerId, Load>,
-    /// Tokens by customer.
+    /// Requested and granted tokens by customer.
     pub flows: HashMap<CustomerId, Flow>,
 }
 
 impl State {
-    /// Adds what others have.
+    /// Adds the state of other gateways.
     pub fn add(&mut self, other: &Self) {
         for (&server, &load) in &other.loads {
             self.loads.entry(server).or_default().add(load);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes away what others have; nothing falls below zero.
+    /// Subtracts the state of other gateways, saturating at zero.
     pub fn subtract(&mut self, other: &Self) {
         for (server, &load) in &other.loads {
             if let Some(sum) = self.loads.get_mut(server) {
@@ -45,19 +45,19 @@
         }
     }
 
-    /// What `nodes` others are taken to have that tell nothing: each as much in all as this
-    /// state's one gateway, spread evenly over the servers of each pool.
+    /// Estimates the state of `gateways` others that do not report: each has as much in total as
+    /// this one, spread evenly over the servers of each pool.
     #[must_use]
-    pub fn extrapolate(&self, nodes: u32, pools: &[Vec<ServerId>]) -> Self {
+    pub fn extrapolate(&self, gateways: u32, pools: &[Vec<ServerId>]) -> Self {
         let loads = pools.iter().flat_map(|servers| {
-            let load = self.part(nodes, servers);
+            let load = self.even_share(gateways, servers);
             servers.iter().map(move |&server| (server, load))
         });
-        let times = f64::from(nodes);
+        let factor = f64::from(gateways);
         let flows = self.flows.iter().map(|(&customer, flow)| {
             let flow = Flow {
-                requested: flow.requested * times,
-                granted: flow.granted * times,
+                requested: flow.requested * factor,
+                granted: flow.granted * factor,
             };
             (customer, flow)
         });
@@ -67,18 +67,18 @@
         }
     }
 
-    /// What each of a pool's servers has of `nodes` times this state.
-    fn part(&self, nodes: u32, servers: &[ServerId]) -> Load {
-        let mut all = Load::default();
+    /// Load per server if `gateways` times the load of a pool is spread evenly.
+    fn even_share(&self, gateways: u32, servers: &[ServerId]) -> Load {
+        let mut total = Load::default();
         for load in servers.iter().filter_map(|server| self.loads.get(server)) {
-            all.add(*load);
+            total.add(*load);
         }
         let count = u32::try_from(servers.len()).unwrap_or(u32::MAX).max(1);
-        let part = |sum: u32| sum.saturating_mul(nodes) / count;
+        let share = |sum: u32| sum.saturating_mul(gateways) / count;
         Load {
-            prefill_tokens: part(all.prefill_tokens),
-            queued: part(all.queued),
-            running: part(all.running),
+            prefill_tokens: share(total.prefill_tokens),
+            queued: share(total.queued),
+            running: share(total.running),
         }
     }
 }
--- a/crates/decide/src/aggregate/sum.rs
+++ b/crates/decide/src/aggregate/sum.rs
@@ -1,38 +1,35 @@
-//! The sum of what several gateways have.
+//! Sum of the state of several gateways.
 
 use mulberryyoke_model::Incarnation;
 use serde::{Deserialize, Serialize};
 
 use super::State;
 
-/// A life of a gateway and the number of a message of it.
+/// Identifies a message of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageId {
-    /// The gateway's life.
+    /// The gateway's incarnation.
     pub origin: Incarnation,
-    /// The message's number in that life.
+    /// Sequence number within the incarnation.
     pub sequence: u32,
 }
 
-/// The sum of what several gateways have.
+/// Sum of the state of several gateways.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sum {
-    /// Gateways that it holds.
+    /// Number of gateways included.
     pub gateways: u32,
-    /// Those of the teller's zone, and what was last heard of each.
+    /// Latest included message of each gateway in the sender's zone.
     pub members: Vec<MessageId>,
-    /// What they have together.
+    /// Their combined state.
     pub state: State,
 }
 
 impl Sum {
-    /// Adds what a gateway told.
-    pub(super) fn add(&mut self, origin: Incarnation, number: u32, state: &State) {
+    /// Adds the state of one gateway.
+    pub(super) fn add(&mut self, origin: Incarnation, sequence: u32, state: &State) {
         self.gateways += 1;
-        self.members.push(MessageId {
-            origin,
-            sequence: number,
-        });
+        self.members.push(MessageId { origin, sequence });
         self.state.add(state);
     }
 }
