--- a/crates/decide/tests/aggregate.rs
+++ b/crates/decide/tests/aggregate.rs
@@ -1,4 +1,4 @@
-//! What gateways learn of each other, over collectors.
+//! Aggregation of the gateways' state by collectors.
 
 use std::collections::HashMap;
 
@@ -16,74 +16,82 @@
 const SERVERS: u32 = 180;
 const CUSTOMERS: u32 = 60;
 
-/// A gateway of a fleet that is played.
-struct Node {
+/// A simulated gateway.
+struct Gateway {
     name: String,
-    place: Placement,
+    placement: Placement,
     origin: Incarnation,
-    number: u32,
+    sequence: u32,
     state: State,
     aggregate: Aggregate,
     is_up: bool,
 }
 
-impl Node {
-    fn new(index: u64, zone: usize, processors: f64) -> Self {
+impl Gateway {
+    fn new(index: u64, zone: usize, cpus: f64) -> Self {
         let zone = format!("z{zone}");
         let origin = Incarnation(index + 1);
         Self {
             name: format!("g{index}"),
             aggregate: Aggregate::new(origin, &zone),
-            place: Placement::new(&zone, processors),
+            placement: Placement::new(&zone, cpus),
             origin,
-            number: 0,
+            sequence: 0,
             state: State::default(),
             is_up: true,
         }
     }
 
-    fn next(&mut self) -> MessageId {
-        self.number += 1;
+    fn next_message(&mut self) -> MessageId {
+        self.sequence += 1;
         MessageId {
             origin: self.origin,
-            sequence: self.number,
+            sequence: self.sequence,
         }
     }
 }
 
-/// A fleet whose messages all arrive, but for those of nodes that are down.
+/// A simulated fleet that loses no messages except those of gateways that are down.
 struct Fleet {
-    nodes: Vec<Node>,
+    gateways: Vec<Gateway>,
     zones: usize,
     rng: ChaCha8Rng,
 }
 
 impl Fleet {
-    fn new(nodes: u64, zones: usize) -> Self {
-        let node = |index| {
-            let place = usize::try_from(index).unwrap_or(0);
-            let processors = if place / zones < 3 { 0.5 } else { 0.09 };
-            Node::new(index, place % zones, processors)
+    fn new(gateways: u64, zones: usize) -> Self {
+        let gateway = |index| {
+            let position = usize::try_from(index).unwrap_or(0);
+            let cpus = if position / zones < 3 { 0.5 } else { 0.09 };
+            Gateway::new(index, position % zones, cpus)
         };
         Self {
-            nodes: (0..nodes).map(node).collect(),
+            gateways: (0..gateways).map(gateway).collect(),
             zones,
-            rng: ChaCha8Rng::seed_from_u64(nodes),
+            rng: ChaCha8Rng::seed_from_u64(gateways),
         }
     }
 
-    /// Gives every node new requests at some servers.
-    fn work(&mut self) {
-        for node in &mut self.nodes {
-            node.state = state(&mut self.rng);
+    /// Replaces the state of every gateway by a random one.
+    fn randomize(&mut self) {
+        for gateway in &mut self.gateways {
+            gateway.state = random_state(&mut self.rng);
         }
     }
 
     fn collectors(&self, zone: usize) -> Vec<usize> {
         let zone = format!("z{zone}");
-        let nodes = self.nodes.iter().filter(|node| node.place.zone == zone);
-        let names = rank_by_cpu(nodes.map(|node| (node.name.as_str(), &node.place)));
-        let index = |name: &str| self.nodes.iter().position(|node| node.name == name);
+        let gateways = self
+            .gateways
+            .iter()
+            .filter(|gateway| gateway.placement.zone == zone);
+        let names =
+            rank_by_cpu(gateways.map(|gateway| (gateway.name.as_str(), &gateway.placement)));
+        let index = |name: &str| {
+            self.gateways
+                .iter()
+                .position(|gateway| gateway.name == name)
+        };
         let indices = names
             .into_iter()
             .take(COLLECTORS_PER_ZONE)
@@ -91,20 +99,21 @@
         indices.collect()
     }
 
-    /// One round: own states to the collectors, zones' sums between them, and the fleet's down.
+    /// One round: own states to the collectors, zone sums between collectors, fleet sums to the
+    /// other gateways.
     fn round(&mut self, now: Millis) {
-        for index in 0..self.nodes.len() {
-            let node = &mut self.nodes[index];
-            node.aggregate.expire(now);
-            let (from, state) = (node.next(), node.state.clone());
-            node.aggregate.record_own(from.sequence, state.clone());
-            let (name, zone) = (name_hash(&node.name), index % self.zones);
-            if !node.is_up {
+        for index in 0..self.gateways.len() {
+            let gateway = &mut self.gateways[index];
+            gateway.aggregate.expire(now);
+            let (from, state) = (gateway.next_message(), gateway.state.clone());
+            gateway.aggregate.record_own(from.sequence, state.clone());
+            let (name, zone) = (name_hash(&gateway.name), index % self.zones);
+            if !gateway.is_up {
                 continue;
             }
             for collector in self.collectors(zone) {
                 if collector != index {
-                    let aggregate = &mut self.nodes[collector].aggregate;
+                    let aggregate = &mut self.gateways[collector].aggregate;
                     aggregate.receive_gateway(name, from, state.clone(), now);
                 }
             }
@@ -115,22 +124,22 @@
         let up: Vec<usize> = all
             .iter()
             .copied()
-            .filter(|index| self.nodes[*index].is_up)
+            .filter(|index| self.gateways[*index].is_up)
             .collect();
         for &index in &up {
-            let node = &mut self.nodes[index];
-            let (from, sum) = (node.next(), node.aggregate.zone_sum());
-            let zone = name_hash(&node.place.zone);
+            let gateway = &mut self.gateways[index];
+            let (from, sum) = (gateway.next_message(), gateway.aggregate.zone_sum());
+            let zone = name_hash(&gateway.placement.zone);
             for &other in &all {
-                let aggregate = &mut self.nodes[other].aggregate;
+                let aggregate = &mut self.gateways[other].aggregate;
                 aggregate.receive_zone(zone, from, sum.clone(), now);
             }
         }
         for index in up {
-            let node = &mut self.nodes[index];
-            let (from, sum) = (node.next(), node.aggregate.fleet_sum(now));
+            let gateway = &mut self.gateways[index];
+            let (from, sum) = (gateway.next_message(), gateway.aggregate.fleet_sum(now));
             let zone = index % self.zones;
-            let members = self.nodes.iter_mut().enumerate();
+            let members = self.gateways.iter_mut().enumerate();
             let members = members.filter(|(other, _)| other % self.zones == zone);
             for (_, member) in members.filter(|(other, _)| !all.contains(other)) {
                 member.aggregate.receive_fleet(from, sum.clone(), now);
@@ -138,29 +147,32 @@
         }
     }
 
-    /// What all nodes but one that are up have.
-    fn truth(&self, but: usize) -> State {
+    /// Combined state of all gateways that are up except one.
+    fn truth(&self, except: usize) -> State {
         let mut state = State::default();
-        let nodes = self.nodes.iter().enumerate();
-        for (_, node) in nodes.filter(|(index, node)| *index != but && node.is_up) {
-            state.add(&node.state);
+        let gateways = self.gateways.iter().enumerate();
+        for (_, gateway) in gateways.filter(|(index, gateway)| *index != except && gateway.is_up) {
+            state.add(&gateway.state);
         }
         state
     }
 
-    /// Nodes that are up and do not know what the others have to the token.
-    fn wrong(&self, now: Millis) -> Vec<usize> {
-        let up = (0..self.nodes.len()).filter(|index| self.nodes[*index].is_up);
-        let wrong = up.filter(|index| {
-            let told = self.nodes[*index].aggregate.others(now).unwrap_or_default();
-            plain(&told) != plain(&self.truth(*index))
+    /// Gateways that are up whose view of the others is not exact.
+    fn inexact(&self, now: Millis) -> Vec<usize> {
+        let up = (0..self.gateways.len()).filter(|index| self.gateways[*index].is_up);
+        let inexact = up.filter(|index| {
+            let known = self.gateways[*index]
+                .aggregate
+                .others(now)
+                .unwrap_or_default();
+            normalized(&known) != normalized(&self.truth(*index))
         });
-        wrong.collect()
+        inexact.collect()
     }
 }
 
-/// A state without what is nothing, and without fractions.
-fn plain(state: &State) -> (HashMap<ServerId, Load>, HashMap<CustomerId, (i64, i64)>) {
+/// A state rounded to whole tokens and without zero entries.
+fn normalized(state: &State) -> (HashMap<ServerId, Load>, HashMap<CustomerId, (i64, i64)>) {
     let loads = state
         .loads
         .iter()
@@ -177,7 +189,7 @@
     )
 }
 
-fn state(rng: &mut impl Rng) -> State {
+fn random_state(rng: &mut impl Rng) -> State {
     let mut state = State::default();
     for _ in 0..25 {
         let load = Load {
@@ -200,42 +212,45 @@
 }
 
 #[gtest]
-fn every_gateway_knows_what_all_others_have() {
-    for (nodes, zones) in [(1, 1), (3, 3), (5, 4), (8, 1), (21, 4), (103, 5)] {
-        let mut fleet = Fleet::new(nodes, zones);
+fn every_gateway_knows_the_state_of_all_others() {
+    for (gateways, zones) in [(1, 1), (3, 3), (5, 4), (8, 1), (21, 4), (103, 5)] {
+        let mut fleet = Fleet::new(gateways, zones);
         for round in 1..4 {
-            fleet.work();
+            fleet.randomize();
             fleet.round(100 * round);
             expect_that!(
-                fleet.wrong(100 * round),
+                fleet.inexact(100 * round),
                 is_empty(),
-                "{nodes} nodes in {zones} zones"
+                "{gateways} gateways in {zones} zones"
             );
         }
     }
 }
 
 #[gtest]
-fn a_lost_collector_is_not_missed_and_counts_nothing_twice() {
+fn losing_a_collector_per_zone_loses_and_duplicates_nothing() {
     let mut fleet = Fleet::new(103, 5);
-    fleet.work();
+    fleet.randomize();
     fleet.round(100);
     let lost: Vec<usize> = (0..5).map(|zone| fleet.collectors(zone)[0]).collect();
     for index in &lost {
-        fleet.nodes[*index].is_up = false;
+        fleet.gateways[*index].is_up = false;
     }
     let mut now = 200;
-    fleet.work();
+    fleet.randomize();
     fleet.round(now);
     for index in (0..103).filter(|index| !lost.contains(index)) {
-        let told = fleet.nodes[index].aggregate.others(now).unwrap_or_default();
+        let known = fleet.gateways[index]
+            .aggregate
+            .others(now)
+            .unwrap_or_default();
         let truth = fleet.truth(index);
         for (server, load) in &truth.loads {
-            let told = told.loads.get(server).copied().unwrap_or_default();
+            let known = known.loads.get(server).copied().unwrap_or_default();
             expect_that!(
-                told.prefill_tokens,
+                known.prefill_tokens,
                 ge(load.prefill_tokens),
-                "what lives is known at once"
+                "known in the same round"
             );
         }
     }
@@ -243,59 +258,63 @@
         now += 100;
         fleet.round(now);
     }
-    expect_that!(fleet.wrong(now), is_empty(), "what was lost is forgotten");
+    expect_that!(fleet.inexact(now), is_empty(), "expired");
 }
 
 #[gtest]
 fn a_gateway_that_restarts_counts_once() {
     let mut collector = Aggregate::new(Incarnation(1), "a");
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let (before, after) = (state(&mut rng), state(&mut rng));
-    let member = |origin, number| MessageId {
+    let (before, after) = (random_state(&mut rng), random_state(&mut rng));
+    let message = |origin, sequence| MessageId {
         origin: Incarnation(origin),
-        sequence: number,
+        sequence,
     };
-    collector.receive_gateway(name_hash("g"), member(5, 900), before, 0);
-    collector.receive_gateway(name_hash("g"), member(6, 1), after.clone(), 10);
+    collector.receive_gateway(name_hash("g"), message(5, 900), before, 0);
+    collector.receive_gateway(name_hash("g"), message(6, 1), after.clone(), 10);
     expect_that!(
-        plain(&collector.others(10).unwrap_or_default()),
-        eq(&plain(&after))
+        normalized(&collector.others(10).unwrap_or_default()),
+        eq(&normalized(&after))
     );
     expect_that!(collector.knows(Incarnation(5)), eq(false));
 }
 
 #[gtest]
-fn a_late_message_changes_nothing() {
+fn an_outdated_message_is_ignored() {
     let mut aggregate = Aggregate::new(Incarnation(1), "a");
     let mut rng = ChaCha8Rng::seed_from_u64(8);
-    let (first, second) = (state(&mut rng), state(&mut rng));
-    let member = |number| MessageId {
+    let (first, second) = (random_state(&mut rng), random_state(&mut rng));
+    let message = |sequence| MessageId {
         origin: Incarnation(2),
-        sequence: number,
+        sequence,
     };
     expect_that!(
-        aggregate.receive_gateway(9, member(4), second.clone(), 0),
+        aggregate.receive_gateway(9, message(4), second.clone(), 0),
         eq(true)
     );
-    for number in [3, 4] {
+    for sequence in [3, 4] {
         expect_that!(
-            aggregate.receive_gateway(9, member(number), first.clone(), 1),
+            aggregate.receive_gateway(9, message(sequence), first.clone(), 1),
             eq(false)
         );
     }
     expect_that!(
-        plain(&aggregate.others(1).unwrap_or_default()),
-        eq(&plain(&second))
+        normalized(&aggregate.others(1).unwrap_or_default()),
+        eq(&normalized(&second))
     );
 }
 
 #[gtest]
-fn own_requests_are_taken_out_as_they_were_when_they_were_told() {
+fn the_own_state_is_subtracted_as_of_the_message_in_the_sum() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
-    let (own, later, others) = (state(&mut rng), state(&mut rng), state(&mut rng));
-    let mut member = Aggregate::new(Incarnation(1), "a");
-    member.record_own(1, own.clone());
-    member.record_own(2, later);
+    let (own, later, others) = (
+        random_state(&mut rng),
+        random_state(&mut rng),
+        random_state(&mut rng),
+    );
+    let mut aggregate = Aggregate::new(Incarnation(1), "a");
+    aggregate.record_own(1, own.clone());
+    aggregate.record_own(2, later);
     let mut together = own;
     together.add(&others);
     let sum = Sum {
@@ -310,42 +329,42 @@
         origin: Incarnation(2),
         sequence: 1,
     };
-    member.receive_fleet(from, sum, 5);
+    aggregate.receive_fleet(from, sum, 5);
     expect_that!(
-        plain(&member.others(5).unwrap_or_default()),
-        eq(&plain(&others))
+        normalized(&aggregate.others(5).unwrap_or_default()),
+        eq(&normalized(&others))
     );
 }
 
 #[gtest]
-fn of_two_collectors_of_a_zone_the_one_that_hears_more_counts() {
+fn the_fresh_sum_of_most_gateways_is_preferred() {
     let mut aggregate = Aggregate::new(Incarnation(1), "a");
     let mut rng = ChaCha8Rng::seed_from_u64(10);
-    let (all, part) = (state(&mut rng), state(&mut rng));
-    let sum = |nodes, state: &State| Sum {
-        gateways: nodes,
+    let (all, part) = (random_state(&mut rng), random_state(&mut rng));
+    let sum = |gateways, state: &State| Sum {
+        gateways,
         members: Vec::new(),
         state: state.clone(),
     };
-    let member = |origin| MessageId {
+    let message = |origin| MessageId {
         origin: Incarnation(origin),
         sequence: 1,
     };
-    aggregate.receive_zone(name_hash("b"), member(2), sum(20, &all), 0);
-    aggregate.receive_zone(name_hash("b"), member(3), sum(4, &part), 50);
+    aggregate.receive_zone(name_hash("b"), message(2), sum(20, &all), 0);
+    aggregate.receive_zone(name_hash("b"), message(3), sum(4, &part), 50);
     expect_that!(
-        plain(&aggregate.others(60).unwrap_or_default()),
-        eq(&plain(&all))
+        normalized(&aggregate.others(60).unwrap_or_default()),
+        eq(&normalized(&all))
     );
-    // The first is silent since.
+    // The sum of the first is no longer fresh.
     expect_that!(
-        plain(&aggregate.others(600).unwrap_or_default()),
-        eq(&plain(&part))
+        normalized(&aggregate.others(600).unwrap_or_default()),
+        eq(&normalized(&part))
     );
 }
 
 #[gtest]
-fn without_any_word_peers_are_taken_to_have_as_much_spread_evenly() {
+fn silent_peers_are_extrapolated_evenly_over_each_pool() {
     let aggregate = Aggregate::new(Incarnation(1), "a");
     expect_that!(aggregate.others(0), none());
     let pools = [(0..4).map(ServerId).collect(), vec![ServerId(9)]];
@@ -380,26 +399,21 @@
 }
 
 #[gtest]
-fn however_many_packets_a_gateway_is_never_silent_between_two_rounds() {
-    // With eight milliseconds of pause for each of 102 peers a gateway was heard every
-    // 816 ms, and taken to be gone after 600 ms: every peer went and came all the time.
+fn the_interval_stays_below_the_expiry_for_any_number_of_packets() {
+    // An interval that grows with the number of peers must not let them expire.
     for packets in [0, 1, 2, 13, 96, 102, 699, 100_000] {
-        for processors in [0.01, 0.09, 0.19, 0.5, 1.0, 8.0] {
-            for collects in [false, true] {
-                let ms = interval_ms(packets, processors, collects);
+        for cpus in [0.01, 0.09, 0.19, 0.5, 1.0, 8.0] {
+            for is_collector in [false, true] {
+                let ms = interval_ms(packets, cpus, is_collector);
                 expect_that!(ms, ge(20));
-                expect_that!(
-                    4 * ms,
-                    le(EXPIRY_MS),
-                    "{packets} packets, {processors} processors"
-                );
+                expect_that!(4 * ms, le(EXPIRY_MS), "{packets} packets, {cpus} cpus");
             }
         }
     }
 }
 
 #[gtest]
-fn a_packet_takes_more_time_where_there_is_less_processor() {
+fn the_interval_grows_with_packets_per_cpu() {
     expect_that!(interval_ms(2, 0.09, false), eq(40));
     expect_that!(interval_ms(4, 0.5, true), eq(20));
     expect_that!(interval_ms(96, 0.5, true), all!(gt(50), lt(90)));
@@ -407,15 +421,24 @@
 }
 
 #[gtest]
-fn the_largest_gateways_collect_and_all_agree() {
-    let places = [
+fn collectors_are_the_largest_gateways_in_any_order() {
+    let placements = [
         ("small", Placement::new("a", 0.09)),
         ("large", Placement::new("a", 0.5)),
         ("larger", Placement::new("a", 2.0)),
         ("tiny", Placement::new("a", 0.05)),
     ];
-    let names = rank_by_cpu(places.iter().map(|(name, place)| (*name, place)));
+    let names = rank_by_cpu(
+        placements
+            .iter()
+            .map(|(name, placement)| (*name, placement)),
+    );
     expect_that!(names, eq(&["larger", "large", "small", "tiny"]));
-    let back = rank_by_cpu(places.iter().rev().map(|(name, place)| (*name, place)));
+    let back = rank_by_cpu(
+        placements
+            .iter()
+            .rev()
+            .map(|(name, placement)| (*name, placement)),
+    );
     expect_that!(back, eq(&names));
 }
--- a/crates/decide/tests/engine.rs
+++ b/crates/decide/tests/engine.rs
@@ -1,4 +1,4 @@
-//! What a router believes of model servers, and which one it chooses.
+//! Estimated state of model servers, and selection of one for a prompt.
 
 use googletest::prelude::*;
 use mulberryyoke_decide::engine::{
@@ -7,10 +7,10 @@
 };
 use mulberryyoke_model::ServerId;
 
-/// Longest pause of a stream on time, in milliseconds.
-const PAUSE_MS: f64 = 500.0;
+/// Longest acceptable pause of a stream.
+const MAX_PAUSE_MS: f64 = 500.0;
 
-/// A prompt of a shared part and 500 tokens of its own.
+/// A prompt with a shared part and 500 unshared tokens.
 fn prompt(shared: u64, tokens: u32) -> Prompt {
     Prompt::from_parts("m", [(1, 100), (shared, tokens), (0xffff, 500)], 80)
 }
@@ -25,11 +25,11 @@
         engine,
         penalty_ms: 0.0,
     });
-    choose(prompt, candidates, PAUSE_MS, 0).map(|choice| choice.server.0 as usize)
+    choose(prompt, candidates, MAX_PAUSE_MS, 0).map(|choice| choice.server.0 as usize)
 }
 
 #[gtest]
-fn a_part_counts_only_with_all_parts_before_it() {
+fn a_part_is_cached_only_with_all_parts_before_it() {
     let mut cache = Cache::new(10_000);
     cache.insert(&Prompt::from_parts("m", [(1, 100), (2, 300), (9, 50)], 1).shared);
     let table = [
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn the_least_recently_used_parts_yield() {
+fn the_least_recently_used_parts_are_evicted() {
     let mut cache = Cache::new(1_000);
     let [first, second, third] =
         [10, 11, 12].map(|id| Prompt::from_parts("m", [(id, 400), (0, 1)], 1));
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn what_a_server_lists_counts_until_as_much_was_read_as_it_holds() {
+fn reported_parts_expire_after_a_full_cache_of_prefill() {
     let mut cache = Cache::new(10_000);
     let known = Prompt::from_parts("m", [(1, 100), (2, 300), (9, 50)], 1);
     let partly = Prompt::from_parts("m", [(3, 100), (2, 300), (9, 50)], 1);
@@ -81,29 +81,29 @@
 }
 
 #[gtest]
-fn a_prompt_goes_where_its_shared_part_is_kept_though_others_are_idle() {
+fn a_prompt_prefers_a_cached_long_part_over_an_idle_server() {
     let prompt = prompt(5, 4_000);
-    let (mut keeper, idle) = (engine(), engine());
-    keeper.record_send(&prompt, 0);
-    keeper.others = Load {
+    let (mut cached, idle) = (engine(), engine());
+    cached.record_send(&prompt, 0);
+    cached.others = Load {
         prefill_tokens: 30_000,
         queued: 3,
         running: 2,
     };
-    expect_that!(chosen(&prompt, &[&idle, &keeper]), some(eq(1)));
+    expect_that!(chosen(&prompt, &[&idle, &cached]), some(eq(1)));
 }
 
 #[gtest]
-fn a_short_shared_part_is_read_again_where_nothing_waits() {
+fn a_short_shared_part_is_recomputed_on_an_idle_server() {
     let prompt = prompt(5, 60);
-    let (mut keeper, idle) = (engine(), engine());
-    keeper.record_send(&prompt, 0);
-    keeper.others.prefill_tokens = 30_000;
-    expect_that!(chosen(&prompt, &[&idle, &keeper]), some(eq(0)));
+    let (mut cached, idle) = (engine(), engine());
+    cached.record_send(&prompt, 0);
+    cached.others.prefill_tokens = 30_000;
+    expect_that!(chosen(&prompt, &[&idle, &cached]), some(eq(0)));
 }
 
 #[gtest]
-fn a_long_prompt_goes_where_it_holds_up_few_streams() {
+fn a_long_prompt_prefers_the_server_with_fewer_streams() {
     let streams = |running, unread| {
         let mut engine = Engine::new(32, 100_000);
         engine.others = Load {
@@ -114,7 +114,7 @@
         engine
     };
     let (full, few) = (streams(12, 0), streams(1, 6_000));
-    // Reading 30,000 tokens takes about the longest pause.
+    // Prefilling 30,000 tokens takes about as long as the longest acceptable pause.
     let table = [(30_000, 1), (2_000, 0)];
     for (tokens, server) in table {
         let prompt = Prompt::from_parts("m", [(9, tokens)], 80);
@@ -127,7 +127,7 @@
 }
 
 #[gtest]
-fn what_peers_sent_counts_as_what_was_sent_here() {
+fn load_from_other_gateways_counts() {
     let mut loaded = engine();
     let idle = engine();
     loaded.others.prefill_tokens = 50_000;
@@ -137,12 +137,12 @@
 }
 
 #[gtest]
-fn without_servers_none_is_chosen() {
+fn no_candidates_yield_no_choice() {
     expect_that!(chosen(&prompt(5, 10), &[]), none());
 }
 
 #[gtest]
-fn routers_that_know_nothing_agree_on_the_home_of_a_part() {
+fn uncached_prompts_prefer_the_same_server_in_any_candidate_order() {
     let engines = [engine(), engine(), engine()];
     for shared in 0..50 {
         let prompt = prompt(shared, 2_000);
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn counts_come_back_to_nothing() {
+fn load_returns_to_zero() {
     let mut engine = engine();
     let prompt = prompt(5, 1_000);
     let first = engine.record_send(&prompt, 0);
@@ -168,7 +168,7 @@
 }
 
 #[gtest]
-fn the_rate_follows_what_is_seen_within_bounds() {
+fn the_prefill_rate_follows_observations_within_bounds() {
     let mut rate = PoolStats::default();
     let before = rate.tokens_per_ms();
     rate.record_prefill(100, 1_000.0);
@@ -184,7 +184,7 @@
 }
 
 #[gtest]
-fn what_was_sent_fades() {
+fn recent_tokens_decay() {
     let mut recent = DecayedTokens::default();
     recent.add(1_000, 0);
     expect_that!(recent.tokens(4_000), near(500.0, 1.0));
@@ -193,7 +193,7 @@
 }
 
 #[gtest]
-fn where_slots_are_few_a_queue_lasts_as_long_as_streams_do() {
+fn the_wait_for_a_slot_follows_the_hold_time() {
     let mut engine = Engine::new(16, 100_000);
     let mut pace = PoolStats::default();
     for _ in 0..400 {
@@ -210,7 +210,7 @@
 }
 
 #[gtest]
-fn a_slow_server_is_told_from_its_pool() {
+fn relative_speed_follows_a_slow_server() {
     let (mut engine, pace) = (Engine::new(16, 100_000), PoolStats::default());
     for _ in 0..100 {
         engine.relative_speed.record_prefill(10_000, 520.0, pace);
@@ -224,11 +224,11 @@
     expect_that!(engine.relative_speed.ratio(), ge(0.29));
 }
 
-/// Servers that keep nothing, but for those named, which keep the prompt's shared part.
-fn many(count: u32, prompt: &Prompt, keepers: &[u32]) -> Vec<Engine> {
+/// Servers of which only `cached_on` have the shared parts of the prompt cached.
+fn fleet(count: u32, prompt: &Prompt, cached_on: &[u32]) -> Vec<Engine> {
     let engine = |index| {
         let mut engine = Engine::new(16, 100_000);
-        if keepers.contains(&index) {
+        if cached_on.contains(&index) {
             engine.cache.insert(&prompt.shared);
         }
         engine
@@ -236,8 +236,8 @@
     (0..count).map(engine).collect()
 }
 
-/// The servers among which one is chosen.
-fn narrowed(engines: &[Engine], prompt: &Prompt, seed: u64) -> Vec<u32> {
+/// Ids of the shortlisted servers, sorted.
+fn shortlisted(engines: &[Engine], prompt: &Prompt, seed: u64) -> Vec<u32> {
     let candidates = engines.iter().zip(0..).map(|(engine, id)| Candidate {
         server: ServerId(id),
         engine,
@@ -252,37 +252,37 @@
 }
 
 #[gtest]
-fn of_many_servers_some_are_looked_at_and_all_that_keep_the_prompt() {
+fn the_shortlist_contains_all_servers_with_the_prompt_cached() {
     let prompt = Prompt::from_parts("m", [(1, 500), (2, 5_000), (3, 600)], 10);
-    let keepers = [17, 99, 140];
-    let engines = many(180, &prompt, &keepers);
-    let first = narrowed(&engines, &prompt, 1);
+    let cached_on = [17, 99, 140];
+    let engines = fleet(180, &prompt, &cached_on);
+    let first = shortlisted(&engines, &prompt, 1);
     expect_that!(first.len(), eq(MAX_CANDIDATES));
-    for keeper in &keepers {
-        expect_that!(first.contains(keeper), eq(true));
+    for cached in &cached_on {
+        expect_that!(first.contains(cached), eq(true));
     }
-    let second = narrowed(&engines, &prompt, 2);
+    let second = shortlisted(&engines, &prompt, 2);
     let both = first
         .iter()
         .filter(|server| second.contains(server))
         .count();
-    // The keepers, the home, and by chance one or two of twelve.
+    // The three with the prompt cached, the preferred one, and random overlap in the other twelve.
     expect_that!(both, all!(ge(4), le(9)));
 }
 
 #[gtest]
-fn few_servers_are_all_looked_at() {
+fn few_servers_are_all_shortlisted() {
     let prompt = Prompt::from_parts("m", [(1, 500), (2, 600)], 10);
     for count in [0, 1, 9, 16] {
-        let engines = many(count, &prompt, &[]);
+        let engines = fleet(count, &prompt, &[]);
         let all: Vec<u32> = (0..count).collect();
-        expect_that!(narrowed(&engines, &prompt, 5), eq(&all));
+        expect_that!(shortlisted(&engines, &prompt, 5), eq(&all));
     }
 }
 
 #[gtest]
-fn gateways_that_know_the_same_do_not_all_choose_one_server() {
-    let engines = many(180, &Prompt::default(), &[]);
+fn gateways_with_equal_estimates_spread_their_choices() {
+    let engines = fleet(180, &Prompt::default(), &[]);
     let mut chosen = std::collections::HashMap::new();
     for seed in 0..300 {
         let prompt = Prompt::from_parts("m", [(seed, 900)], 10);
@@ -295,7 +295,7 @@
         let choice = choose(&prompt, some.iter().copied(), 600.0, 0).expect("servers");
         *chosen.entry(choice.server).or_insert(0) += 1;
     }
-    // 300 at one server when each looks at all.
+    // Without a shortlist all 300 prompts go to one server.
     expect_that!(chosen.values().copied().max(), some(le(12)));
     expect_that!(chosen.len(), ge(100));
 }
