--- a/crates/decide/tests/replay/gateway.rs
+++ b/crates/decide/tests/replay/gateway.rs
@@ -1,111 +1,112 @@
-//! What one gateway believes.
+//! A simulated gateway.
 
 use mulberryyoke_decide::engine::{Candidate, Engine, Part, PoolStats};
 use mulberryyoke_decide::share::Shares;
 use mulberryyoke_decide::shed::{self, Objective, Rejection};
 use mulberryyoke_model::{CustomerId, Millis, ServerId};
 
-use crate::load::{Job, KINDS};
+use crate::workload::{KINDS, Request};
 
-/// Longest pause of a stream on time, in milliseconds.
-pub(crate) const PAUSE_MS: f64 = 600.0;
+/// Longest acceptable pause of a stream.
+pub(crate) const MAX_PAUSE_MS: f64 = 600.0;
 
-/// Where a request was sent.
+/// A request sent to a server.
 #[derive(Clone, Copy)]
-pub(crate) struct Sent {
+pub(crate) struct Dispatch {
     pub(crate) server: usize,
-    /// Prompt tokens that the server is believed to have to read for it, and before it.
+    /// Estimated prefill tokens of the request.
     pub(crate) tokens: u32,
+    /// Estimated prefill tokens queued before it.
     pub(crate) ahead: u32,
-    /// Whether the server is believed to have had a free slot.
+    /// Whether the server was estimated to have a free slot.
     pub(crate) had_slot: bool,
 }
 
 pub(crate) struct Gateway {
     pub(crate) engines: Vec<Engine>,
-    /// What was learnt of all servers together.
-    pace: PoolStats,
+    /// Observations of all servers.
+    pool_stats: PoolStats,
     pub(crate) shares: Shares,
-    /// Shared parts that it had servers read since it last told its peers.
-    pub(crate) reads: Vec<(usize, Vec<Part>, u32)>,
+    /// Shared parts sent to servers since the last exchange with peers, with the prefill tokens.
+    pub(crate) prefills: Vec<(usize, Vec<Part>, u32)>,
 }
 
 impl Gateway {
-    pub(crate) fn new(servers: usize, memory: u32, slots: u32) -> Self {
+    pub(crate) fn new(servers: usize, cache_tokens: u32, slots: u32) -> Self {
         Self {
-            engines: vec![Engine::new(slots, memory); servers],
-            pace: PoolStats::default(),
+            engines: vec![Engine::new(slots, cache_tokens); servers],
+            pool_stats: PoolStats::default(),
             shares: Shares::default(),
-            reads: Vec::new(),
+            prefills: Vec::new(),
         }
     }
 
-    /// Notes the first event of a request.
-    pub(crate) fn first(&mut self, sent: &Sent, elapsed_ms: f64) {
-        let engine = &mut self.engines[sent.server];
-        engine.record_first_token(sent.tokens);
-        if sent.had_slot {
-            let tokens = sent.ahead + sent.tokens;
+    /// Records the first event of a request.
+    pub(crate) fn record_first_token(&mut self, dispatch: &Dispatch, elapsed_ms: f64) {
+        let engine = &mut self.engines[dispatch.server];
+        engine.record_first_token(dispatch.tokens);
+        if dispatch.had_slot {
+            let tokens = dispatch.ahead + dispatch.tokens;
             engine
                 .relative_speed
-                .record_prefill(tokens, elapsed_ms, self.pace);
-            self.pace.record_prefill(tokens, elapsed_ms);
+                .record_prefill(tokens, elapsed_ms, self.pool_stats);
+            self.pool_stats.record_prefill(tokens, elapsed_ms);
         }
-        self.spread();
+        self.update_engines();
     }
 
-    /// Notes the end of a request whose stream took so long.
-    pub(crate) fn end(&mut self, sent: &Sent, stream_ms: f64) {
-        let engine = &mut self.engines[sent.server];
+    /// Records the end of a request and the duration of its stream.
+    pub(crate) fn record_completion(&mut self, dispatch: &Dispatch, stream_ms: f64) {
+        let engine = &mut self.engines[dispatch.server];
         engine.record_completion();
-        self.pace
-            .record_hold(engine.first_token_ms(sent.tokens) + stream_ms);
-        self.spread();
+        self.pool_stats
+            .record_hold(engine.first_token_ms(dispatch.tokens) + stream_ms);
+        self.update_engines();
     }
 
-    fn spread(&mut self) {
+    fn update_engines(&mut self) {
         for engine in &mut self.engines {
-            engine.pool_stats = self.pace;
+            engine.pool_stats = self.pool_stats;
         }
     }
 
-    /// Time that prompts are believed to wait at the servers on average, in milliseconds.
+    /// Estimated mean waiting time over the servers, in milliseconds.
     pub(crate) fn mean_wait_ms(&self) -> f64 {
         let waits: f64 = self.engines.iter().map(Engine::wait_ms).sum();
         waits / f64::from(u32::try_from(self.engines.len()).unwrap_or(u32::MAX))
     }
 
-    /// Sends a request to one of the servers that are not gone, or says why not.
-    pub(crate) fn place(
+    /// Sends a request to one of the servers that are up, or rejects it.
+    pub(crate) fn dispatch(
         &mut self,
-        job: &Job,
-        gone: &[bool],
+        request: &Request,
+        is_down: &[bool],
         now: Millis,
-    ) -> Result<Sent, Rejection> {
-        let customer = CustomerId(job.customer);
-        self.shares.record_request(customer, job.prompt.cost());
-        let standing = self.shares.usage(customer);
+    ) -> Result<Dispatch, Rejection> {
+        let customer = CustomerId(request.customer);
+        self.shares.record_request(customer, request.prompt.cost());
+        let usage = self.shares.usage(customer);
         let engines = self.engines.iter().enumerate();
-        let open = engines.filter(|(index, _)| !gone[*index]);
-        let candidates = open.map(|(index, engine)| Candidate {
+        let up = engines.filter(|(index, _)| !is_down[*index]);
+        let candidates = up.map(|(index, engine)| Candidate {
             server: ServerId(u32::try_from(index).unwrap_or(u32::MAX)),
             engine,
             penalty_ms: 0.0,
         });
-        let aim = Objective {
-            first_token_ms: KINDS[job.kind].objective_ms,
-            max_pause_ms: PAUSE_MS,
+        let objective = Objective {
+            first_token_ms: KINDS[request.kind].objective_ms,
+            max_pause_ms: MAX_PAUSE_MS,
         };
-        let placed = shed::admit(&job.prompt, candidates, aim, Some(standing), now);
-        let choice = placed.expect("a server is there")?;
-        self.shares.record_grant(customer, job.prompt.cost());
+        let admitted = shed::admit(&request.prompt, candidates, objective, Some(usage), now);
+        let choice = admitted.expect("a server is up")?;
+        self.shares.record_grant(customer, request.prompt.cost());
         let server = choice.server.0 as usize;
         let ahead = self.engines[server].backlog();
         let had_slot = self.engines[server].excess_requests() == 0;
-        let tokens = self.engines[server].record_send(&job.prompt, now);
-        let shared = job.prompt.shared.to_vec();
-        self.reads.push((server, shared, tokens));
-        Ok(Sent {
+        let tokens = self.engines[server].record_send(&request.prompt, now);
+        let shared = request.prompt.shared.to_vec();
+        self.prefills.push((server, shared, tokens));
+        Ok(Dispatch {
             server,
             tokens,
             ahead,
--- a/crates/decide/tests/replay/main.rs
+++ b/crates/decide/tests/replay/main.rs
@@ -1,10 +1,10 @@
-//! Seeded loads played against the decisions on prompts and a small model of engines:
-//! no processes, no sockets, no clock.
+//! Discrete-event simulation of gateways and model servers under seeded workloads: no processes,
+//! sockets or wall clock.
 
 mod gateway;
-mod load;
 mod report;
 mod server;
-mod world;
+mod simulation;
+mod workload;
 
-mod patterns;
+mod scenarios;
--- a/crates/decide/tests/replay/report.rs
+++ b/crates/decide/tests/replay/report.rs
@@ -1,92 +1,91 @@
-//! What became of the requests.
+//! Outcomes of the requests of a simulation.
 
 use std::fmt::Write as _;
 
-use crate::load::{CUSTOMERS, KINDS};
+use crate::workload::{CUSTOMERS, KINDS};
 
-/// Requests by what became of them.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Tally {
-    pub(crate) asked: u32,
+    pub(crate) total: u32,
     pub(crate) on_time: u32,
-    /// On time from the second attempt.
-    pub(crate) after_refusal: u32,
+    /// On time in a later attempt.
+    pub(crate) on_time_after_retry: u32,
     pub(crate) late: u32,
-    /// Refused once and then again.
-    pub(crate) refused: u32,
-    /// Tokens of the prompts asked, and of those that were sent.
+    /// Rejected in the last attempt.
+    pub(crate) rejected: u32,
+    /// Tokens of all prompts and of those sent to servers.
     pub(crate) tokens: (u64, u64),
 }
 
 impl Tally {
-    /// Part of the requests that were answered on time at the first or second attempt.
+    /// Fraction of the requests that were on time in any attempt.
     pub(crate) fn served(&self) -> f64 {
-        f64::from(self.on_time + self.after_refusal) / f64::from(self.asked.max(1))
+        f64::from(self.on_time + self.on_time_after_retry) / f64::from(self.total.max(1))
     }
 
     fn add(&mut self, other: &Self) {
-        self.asked += other.asked;
+        self.total += other.total;
         self.on_time += other.on_time;
-        self.after_refusal += other.after_refusal;
+        self.on_time_after_retry += other.on_time_after_retry;
         self.late += other.late;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.tokens.0 += other.tokens.0;
         self.tokens.1 += other.tokens.1;
     }
 }
 
-/// What became of the requests of a load.
+/// Outcomes of the requests of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Report {
-    by: Vec<[Tally; KINDS.len()]>,
-    /// Tokens read though another server kept them.
-    pub(crate) again: u64,
-    /// Part of the time in which servers read prompts.
+    tallies: Vec<[Tally; KINDS.len()]>,
+    /// Tokens recomputed though another server had them cached.
+    pub(crate) recomputed: u64,
+    /// Fraction of the time that servers spent on prefill.
     pub(crate) utilisation: f64,
 }
 
 impl Report {
     pub(crate) fn new() -> Self {
         Self {
-            by: vec![Default::default(); CUSTOMERS as usize],
+            tallies: vec![Default::default(); CUSTOMERS as usize],
             ..Self::default()
         }
     }
 
-    pub(crate) fn of(&mut self, customer: u32, kind: usize) -> &mut Tally {
-        &mut self.by[customer as usize][kind]
+    pub(crate) fn tally(&mut self, customer: u32, kind: usize) -> &mut Tally {
+        &mut self.tallies[customer as usize][kind]
     }
 
-    /// Those of these customers and kinds.
+    /// Sum over these customers and kinds.
     pub(crate) fn sum(&self, customers: impl Iterator<Item = u32>, kinds: &[usize]) -> Tally {
         let mut sum = Tally::default();
         for customer in customers {
             for &kind in kinds {
-                sum.add(&self.by[customer as usize][kind]);
+                sum.add(&self.tallies[customer as usize][kind]);
             }
         }
         sum
     }
 
-    /// Largest difference between customers in the part of their tokens that was sent,
-    /// among those that ask less than an even portion.
+    /// Largest difference between customers in the fraction of their tokens sent to servers.
     pub(crate) fn gap(&self, customers: impl Iterator<Item = u32>) -> f64 {
-        let parts = customers.map(|customer| {
+        let fractions = customers.map(|customer| {
             let Tally {
-                tokens: (asked, sent),
+                tokens: (total, sent),
                 ..
             } = self.sum(customer..=customer, &[0, 1, 2]);
-            #[expect(clippy::cast_precision_loss, reason = "some million tokens")]
-            let part = sent as f64 / asked.max(1) as f64;
-            part
+            #[expect(clippy::cast_precision_loss, reason = "millions of tokens")]
+            let fraction = sent as f64 / total.max(1) as f64;
+            fraction
         });
-        let (least, most) = parts.fold((1.0_f64, 0.0_f64), |(least, most), part| {
-            (least.min(part), most.max(part))
+        let (min, max) = fractions.fold((1.0_f64, 0.0_f64), |(min, max), fraction| {
+            (min.min(fraction), max.max(fraction))
         });
-        most - least
+        max - min
     }
 
-    /// A line for each kind, and one for the whole.
+    /// One line per kind and one for all.
     pub(crate) fn lines(&self) -> String {
         let mut lines = String::new();
         for (kind, name) in KINDS.iter().map(|kind| kind.name).enumerate() {
@@ -94,19 +93,19 @@
             let small = self.sum(1..CUSTOMERS, &[kind]);
             let _ = writeln!(
                 lines,
-                "{name}: {} asked, {:.3} served ({:.3} but for customer 0), {} after a refusal, {} late, {} refused again",
-                all.asked,
+                "{name}: {} requests, {:.3} on time ({:.3} without customer 0), {} of them after a retry, {} late, {} rejected",
+                all.total,
                 all.served(),
                 small.served(),
-                all.after_refusal,
+                all.on_time_after_retry,
                 all.late,
-                all.refused
+                all.rejected
             );
         }
         let _ = writeln!(
             lines,
-            "read again {}, utilisation {:.2}, gap {:.3}",
-            self.again,
+            "recomputed {}, utilisation {:.2}, gap {:.3}",
+            self.recomputed,
             self.utilisation,
             self.gap(1..CUSTOMERS)
         );
--- /dev/null
+++ b/crates/decide/tests/replay/scenarios.rs
@@ -0,0 +1,162 @@
+//! Service levels of each scenario.
+
+use googletest::prelude::*;
+
+use crate::report::{Report, Tally};
+use crate::simulation::simulate;
+use crate::workload::{BASELINE, CUSTOMERS, Scenario};
+
+/// Customers that request less than an equal share in every scenario.
+const SMALL: std::ops::Range<u32> = 3..CUSTOMERS;
+
+/// The kinds of [`crate::workload::KINDS`].
+const LONG: usize = 0;
+const ALL: [usize; 3] = [LONG, 1, 2];
+
+/// Seeds that the results are averaged over.
+const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
+
+/// One customer sends seven times its usual requests.
+const HOT: Scenario = Scenario {
+    hot: 7.0,
+    ..BASELINE
+};
+
+/// About one in seven long prompts has 50,000 unshared tokens.
+const HUGE: Scenario = Scenario {
+    huge: 0.15,
+    ..BASELINE
+};
+
+/// All clients return at once after three seconds.
+const RECONNECT_BURST: Scenario = Scenario {
+    reconnect_burst: true,
+    ..BASELINE
+};
+
+/// One customer sends seven times its usual requests to servers that run out of slots before
+/// prefill capacity.
+const FEW_SLOTS: Scenario = Scenario {
+    hot: 7.0,
+    slots: 12,
+    ..BASELINE
+};
+
+const SCENARIOS: [(&str, Scenario); 10] = [
+    ("baseline", BASELINE),
+    ("hot customer", HOT),
+    (
+        "burst of one kind",
+        Scenario {
+            burst: (LONG, 2.5),
+            ..BASELINE
+        },
+    ),
+    (
+        "hot part",
+        Scenario {
+            hot_part: 0.5,
+            ..BASELINE
+        },
+    ),
+    ("huge prompts", HUGE),
+    (
+        "half the servers down",
+        Scenario {
+            down: 0.5,
+            ..BASELINE
+        },
+    ),
+    (
+        "slow servers",
+        Scenario {
+            slowdown: 2.0,
+            ..BASELINE
+        },
+    ),
+    ("reconnect burst", RECONNECT_BURST),
+    ("few slots", FEW_SLOTS),
+    (
+        "immediate retries",
+        Scenario {
+            hot: 7.0,
+            immediate_retries: 3,
+            ..BASELINE
+        },
+    ),
+];
+
+/// Mean of a metric over the seeds.
+fn mean(scenario: Scenario, metric: impl Fn(&Report) -> f64) -> f64 {
+    let values: Vec<f64> = SEEDS
+        .map(|seed| metric(&simulate(scenario, seed)))
+        .collect();
+    values.iter().sum::<f64>() / f64::from(u32::try_from(values.len()).unwrap_or(1))
+}
+
+fn small_customers(report: &Report, kinds: &[usize]) -> Tally {
+    report.sum(SMALL, kinds)
+}
+
+#[gtest]
+fn small_customers_are_served_in_every_scenario() {
+    for (name, scenario) in SCENARIOS {
+        let served = mean(scenario, |report| small_customers(report, &ALL).served());
+        let min = match name {
+            "reconnect burst" | "huge prompts" => 0.90,
+            _ => 0.97,
+        };
+        expect_that!(served, ge(min), "{name}");
+    }
+}
+
+#[gtest]
+fn long_prompts_of_small_customers_are_recomputed_rather_than_rejected() {
+    // Not reached without a second choice of server.
+    let served = mean(HUGE, |report| small_customers(report, &[LONG]).served());
+    expect_that!(served, ge(0.78));
+}
+
+#[gtest]
+fn prompts_are_not_diverted_for_acceptable_pauses() {
+    // Not reached if streams count as late from half of the longest acceptable pause.
+    let served = mean(HOT, |report| report.sum(0..CUSTOMERS, &ALL).served());
+    expect_that!(served, ge(0.70));
+}
+
+#[gtest]
+fn accepted_requests_meet_their_objective() {
+    for (name, scenario) in SCENARIOS {
+        let late = mean(scenario, |report| {
+            let all = report.sum(0..CUSTOMERS, &ALL);
+            f64::from(all.late) / f64::from(all.total)
+        });
+        expect_that!(late, le(0.05), "{name}");
+    }
+}
+
+#[gtest]
+fn every_request_ends_once_and_reports_are_deterministic() {
+    for (name, scenario) in SCENARIOS {
+        let report = simulate(scenario, 9);
+        let all = report.sum(0..CUSTOMERS, &ALL);
+        let ended = all.on_time + all.on_time_after_retry + all.late + all.rejected;
+        expect_that!(ended, eq(all.total), "{name}");
+        expect_that!(report, eq(&simulate(scenario, 9)), "{name}");
+    }
+}
+
+#[gtest]
+fn small_customers_are_served_evenly() {
+    for (name, scenario) in SCENARIOS {
+        let report = simulate(scenario, 1);
+        println!(
+            "{name}\n{}small gap {:.3}",
+            report.lines(),
+            report.gap(SMALL)
+        );
+        let gap = mean(scenario, |report| report.gap(SMALL));
+        let max = if name == "huge prompts" { 0.45 } else { 0.28 };
+        expect_that!(gap, le(max), "{name}");
+    }
+}
--- /dev/null
+++ b/crates/decide/tests/replay/simulation.rs
@@ -0,0 +1,278 @@
+//! Discrete-event simulation of gateways and servers.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap};
+
+use mulberryyoke_decide::engine::Load;
+use mulberryyoke_decide::share::Flow;
+use mulberryyoke_model::Millis;
+
+use crate::gateway::{Dispatch, Gateway, MAX_PAUSE_MS};
+use crate::report::Report;
+use crate::server::Server;
+use crate::workload::{KINDS, Request, Scenario};
+
+const SERVERS: usize = 9;
+const GATEWAYS: usize = 6;
+
+/// Prefix cache of a server, in tokens.
+const CACHE_TOKENS: u32 = 300_000;
+
+/// Interval between exchanges of the gateways.
+const EXCHANGE_MS: f64 = 20.0;
+
+/// Every how many exchanges the customers' usage is included.
+const USAGE_PERIOD: u64 = 5;
+
+/// Capacity of all servers, in tokens per second.
+const CAPACITY: f64 = 230_000.0;
+
+/// Time after the last arrival for which exchanges continue, long enough for all retries.
+const DRAIN_MS: f64 = 5_000.0;
+
+enum Event {
+    Arrival(Request),
+    /// First event of a stream.
+    FirstToken {
+        gateway: usize,
+        dispatch: Dispatch,
+        sent_ms: f64,
+        stream_ms: f64,
+    },
+    /// End of a stream.
+    Completion {
+        gateway: usize,
+        dispatch: Dispatch,
+        stream_ms: f64,
+    },
+    Exchange,
+}
+
+pub(crate) struct Simulation {
+    scenario: Scenario,
+    servers: Vec<Server>,
+    gateways: Vec<Gateway>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    events: HashMap<u64, Event>,
+    next_event: u64,
+    exchanges: u64,
+    report: Report,
+}
+
+/// Simulates a scenario to its end.
+pub(crate) fn simulate(scenario: Scenario, seed: u64) -> Report {
+    let mut simulation = Simulation {
+        scenario,
+        servers: vec![Server::new(CACHE_TOKENS, scenario.slots); SERVERS],
+        gateways: (0..GATEWAYS)
+            .map(|_| Gateway::new(SERVERS, CACHE_TOKENS, scenario.slots))
+            .collect(),
+        queue: BinaryHeap::new(),
+        events: HashMap::new(),
+        next_event: 0,
+        exchanges: 0,
+        report: Report::new(),
+    };
+    for request in scenario.requests(seed) {
+        simulation.push(request.at_ms, Event::Arrival(request));
+    }
+    simulation.push(0.0, Event::Exchange);
+    simulation.run()
+}
+
+impl Simulation {
+    fn push(&mut self, at_ms: f64, event: Event) {
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            reason = "seconds in microseconds"
+        )]
+        let due = (at_ms * 1_000.0) as u64;
+        self.queue.push(Reverse((due, self.next_event)));
+        self.events.insert(self.next_event, event);
+        self.next_event += 1;
+    }
+
+    fn run(mut self) -> Report {
+        let end_ms = f64::from(self.scenario.seconds) * 1_000.0;
+        while let Some(Reverse((at_us, key))) = self.queue.pop() {
+            #[expect(clippy::cast_precision_loss, reason = "seconds in microseconds")]
+            let now_ms = at_us as f64 / 1_000.0;
+            match self.events.remove(&key) {
+                Some(Event::Arrival(request)) => self.arrive(request, now_ms),
+                Some(Event::FirstToken {
+                    gateway,
+                    dispatch,
+                    sent_ms,
+                    stream_ms,
+                }) => {
+                    self.gateways[gateway].record_first_token(&dispatch, now_ms - sent_ms);
+                    let completion = Event::Completion {
+                        gateway,
+                        dispatch,
+                        stream_ms,
+                    };
+                    self.push(now_ms + stream_ms, completion);
+                }
+                Some(Event::Completion {
+                    gateway,
+                    dispatch,
+                    stream_ms,
+                }) => self.gateways[gateway].record_completion(&dispatch, stream_ms),
+                Some(Event::Exchange) if now_ms < end_ms + DRAIN_MS => {
+                    self.exchange(now_ms);
+                    self.push(now_ms + EXCHANGE_MS, Event::Exchange);
+                }
+                Some(Event::Exchange) | None => {}
+            }
+        }
+        let busy: f64 = self.servers.iter().map(|server| server.busy_ms).sum();
+        self.report.utilisation = busy / end_ms / f64::from(u32::try_from(SERVERS).unwrap_or(1));
+        self.report
+    }
+
+    fn arrive(&mut self, request: Request, now_ms: f64) {
+        let gateway = usize::try_from(self.next_event).unwrap_or(0) % GATEWAYS;
+        let tally = self.report.tally(request.customer, request.kind);
+        if request.attempt == 0 {
+            tally.total += 1;
+            tally.tokens.0 += u64::from(request.prompt.tokens);
+        }
+        let is_down: Vec<bool> = self.servers.iter().map(|server| server.is_down).collect();
+        match self.gateways[gateway].dispatch(&request, &is_down, millis(now_ms)) {
+            Ok(dispatch) => self.send(gateway, &dispatch, &request, now_ms),
+            Err(rejection) => self.reject(request, rejection.retry_after_ms, now_ms),
+        }
+    }
+
+    fn send(&mut self, gateway: usize, dispatch: &Dispatch, request: &Request, now_ms: f64) {
+        let server = dispatch.server;
+        let max_cached = self
+            .servers
+            .iter()
+            .map(|server| server.cache.cached_tokens(&request.prompt))
+            .max()
+            .unwrap_or(0);
+        let pause_ms = self.servers[server].pause_ms(now_ms);
+        let execution =
+            self.servers[server].execute(&request.prompt, now_ms, KINDS[request.kind].stream_ms);
+        let cached = request.prompt.tokens - execution.prefilled;
+        self.report.recomputed += u64::from(max_cached.saturating_sub(cached));
+        let kind = &KINDS[request.kind];
+        let is_late = execution.first_ms - now_ms > kind.objective_ms || pause_ms > MAX_PAUSE_MS;
+        let tally = self.report.tally(request.customer, request.kind);
+        tally.tokens.1 += u64::from(request.prompt.tokens);
+        match (is_late, request.attempt) {
+            (true, _) => tally.late += 1,
+            (false, 0) => tally.on_time += 1,
+            (false, _) => tally.on_time_after_retry += 1,
+        }
+        let first = Event::FirstToken {
+            gateway,
+            dispatch: *dispatch,
+            sent_ms: now_ms,
+            stream_ms: kind.stream_ms,
+        };
+        self.push(execution.first_ms, first);
+    }
+
+    fn reject(&mut self, mut request: Request, retry_after_ms: f64, now_ms: f64) {
+        let tally = self.report.tally(request.customer, request.kind);
+        request.attempt += 1;
+        if request.attempt > self.scenario.immediate_retries.max(1) {
+            tally.rejected += 1;
+            return;
+        }
+        let wait_ms = if self.scenario.immediate_retries > 0 {
+            1.0
+        } else {
+            retry_after_ms
+        };
+        self.push(now_ms + wait_ms, Event::Arrival(request));
+    }
+
+    /// Exchanges load and prefilled parts between all gateways and applies server faults.
+    fn exchange(&mut self, now_ms: f64) {
+        self.exchanges += 1;
+        let now = millis(now_ms);
+        let own: Vec<Vec<Load>> = self
+            .gateways
+            .iter()
+            .map(|gateway| gateway.engines.iter().map(|engine| engine.own).collect())
+            .collect();
+        let prefills: Vec<_> = self
+            .gateways
+            .iter_mut()
+            .map(|gateway| std::mem::take(&mut gateway.prefills))
+            .collect();
+        for (index, gateway) in self.gateways.iter_mut().enumerate() {
+            for (server, engine) in gateway.engines.iter_mut().enumerate() {
+                let mut others = Load::default();
+                for (_, loads) in own.iter().enumerate().filter(|(other, _)| *other != index) {
+                    others.add(loads[server]);
+                }
+                engine.others = others;
+            }
+            let others = prefills
+                .iter()
+                .enumerate()
+                .filter(|(other, _)| *other != index);
+            for (server, shared, tokens) in others.flat_map(|(_, prefills)| prefills) {
+                let engine = &mut gateway.engines[*server];
+                engine.cache.insert(shared);
+                engine.recent_tokens.add(*tokens, now);
+            }
+        }
+        if self.exchanges.is_multiple_of(USAGE_PERIOD) {
+            self.exchange_usage();
+        }
+        for gateway in &mut self.gateways {
+            let wait_ms = gateway.mean_wait_ms();
+            gateway.shares.rebalance(CAPACITY, wait_ms, now);
+        }
+        if now_ms >= 6_000.0 {
+            self.apply_faults();
+        }
+    }
+
+    fn exchange_usage(&mut self) {
+        let own: Vec<HashMap<_, Flow>> = self
+            .gateways
+            .iter()
+            .map(|gateway| gateway.shares.local().collect())
+            .collect();
+        for (index, gateway) in self.gateways.iter_mut().enumerate() {
+            let mut others: HashMap<_, Flow> = HashMap::new();
+            for (_, flows) in own.iter().enumerate().filter(|(other, _)| *other != index) {
+                for (&customer, flow) in flows {
+                    let sum = others.entry(customer).or_default();
+                    sum.requested += flow.requested;
+                    sum.granted += flow.granted;
+                }
+            }
+            gateway.shares.set_remote(&others);
+        }
+    }
+
+    fn apply_faults(&mut self) {
+        for (index, server) in self.servers.iter_mut().enumerate() {
+            let position = f64::from(u32::try_from(index).unwrap_or(0))
+                / f64::from(u32::try_from(SERVERS).unwrap_or(1));
+            server.is_down = position < self.scenario.down;
+            server.slowdown = if position >= 0.6 {
+                self.scenario.slowdown
+            } else {
+                1.0
+            };
+        }
+    }
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "seconds in milliseconds"
+)]
+fn millis(ms: f64) -> Millis {
+    ms as Millis
+}
--- a/crates/decide/tests/replay/load.rs
+++ b/crates/decide/tests/replay/workload.rs
@@ -1,4 +1,4 @@
-//! Loads: who asks what, and when.
+//! Seeded workloads: the requests of all customers over time.
 
 use mulberryyoke_decide::engine::Prompt;
 use rand::{RngExt, SeedableRng};
@@ -8,13 +8,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
     pub(crate) name: &'static str,
-    /// Its part of the requests.
-    pub(crate) part: f64,
+    /// Fraction of all requests.
+    pub(crate) fraction: f64,
     pub(crate) objective_ms: f64,
-    /// Shared parts and their length in tokens.
+    /// Number of distinct shared parts and their length in tokens.
     pub(crate) shared: (u64, u32),
-    /// Middle and most of a prompt's own tokens.
-    pub(crate) own: (f64, f64),
+    /// Median and maximum of a prompt's unshared tokens.
+    pub(crate) own_tokens: (f64, f64),
     /// Time from the first event to the last, in milliseconds.
     pub(crate) stream_ms: f64,
 }
@@ -22,89 +22,89 @@
 pub(crate) const KINDS: [Kind; 3] = [
     Kind {
         name: "long",
-        part: 0.25,
+        fraction: 0.25,
         objective_ms: 1_000.0,
         shared: (56, 5_400),
-        own: (2_500.0, 54_000.0),
+        own_tokens: (2_500.0, 54_000.0),
         stream_ms: 2_500.0,
     },
     Kind {
         name: "short",
-        part: 0.4,
+        fraction: 0.4,
         objective_ms: 1_000.0,
         shared: (200, 200),
-        own: (380.0, 3_300.0),
+        own_tokens: (380.0, 3_300.0),
         stream_ms: 2_000.0,
     },
     Kind {
         name: "tag",
-        part: 0.35,
+        fraction: 0.35,
         objective_ms: 2_000.0,
         shared: (120, 570),
-        own: (800.0, 6_900.0),
+        own_tokens: (800.0, 6_900.0),
         stream_ms: 200.0,
     },
 ];
 
-/// A request of a caller.
+/// A client's request.
 #[derive(Clone, Debug)]
-pub(crate) struct Job {
+pub(crate) struct Request {
     pub(crate) at_ms: f64,
     pub(crate) customer: u32,
     pub(crate) kind: usize,
     pub(crate) prompt: Prompt,
-    /// Which attempt of its caller it is, from 0.
+    /// Number of the client's attempt, from 0.
     pub(crate) attempt: u32,
 }
 
-/// A load, and what happens to the servers meanwhile.
+/// A workload and the faults of the servers during it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pattern {
-    /// Requests a second.
+pub(crate) struct Scenario {
+    /// Requests per second.
     pub(crate) per_s: f64,
     pub(crate) seconds: u32,
-    /// Customer 0 asks this many times its usual.
+    /// Multiple of the usual request rate of customer 0.
     pub(crate) hot: f64,
-    /// Requests of one kind come this many times as often from 4 to 8 s.
+    /// A kind, and the multiple of its request rate from 4 to 8 s.
     pub(crate) burst: (usize, f64),
-    /// Part of the long requests that are about one shared part.
-    pub(crate) one_part: f64,
-    /// Part of the servers that are gone from 6 s on.
-    pub(crate) gone: f64,
-    /// How much slower a third of the servers work from 6 s on.
-    pub(crate) slow: f64,
-    /// Nobody asks before 3 s, and then all who would have asked ask at once.
-    pub(crate) pent_up: bool,
-    /// Refused callers repeat at once, this many times.
-    pub(crate) repeats: u32,
-    /// Part of the long prompts that have 50,000 tokens.
+    /// Fraction of the long requests that use the same shared part.
+    pub(crate) hot_part: f64,
+    /// Fraction of the servers that are down from 6 s on.
+    pub(crate) down: f64,
+    /// Slowdown factor of a third of the servers from 6 s on.
+    pub(crate) slowdown: f64,
+    /// Requests of the first 3 s all arrive at 3 s.
+    pub(crate) reconnect_burst: bool,
+    /// Number of immediate retries after a rejection; 0 for one retry after the given delay.
+    pub(crate) immediate_retries: u32,
+    /// Fraction of the long prompts that have 50,000 unshared tokens.
     pub(crate) huge: f64,
-    /// Requests that a server runs at once.
+    /// Maximum number of concurrent requests per server.
     pub(crate) slots: u32,
 }
 
-pub(crate) const CALM: Pattern = Pattern {
+pub(crate) const BASELINE: Scenario = Scenario {
     per_s: 75.0,
     seconds: 20,
     hot: 1.0,
     burst: (0, 1.0),
-    one_part: 0.0,
-    gone: 0.0,
-    slow: 1.0,
-    pent_up: false,
-    repeats: 0,
+    hot_part: 0.0,
+    down: 0.0,
+    slowdown: 1.0,
+    reconnect_burst: false,
+    immediate_retries: 0,
     huge: 0.0,
     slots: 64,
 };
 
-/// Customers; the usual requests of each are half of those of the one before, down to a floor.
+/// Number of customers. The usual request rate halves from each to the next, down to a floor.
 pub(crate) const CUSTOMERS: u32 = 16;
 
-impl Pattern {
-    /// Every request of the load, in their order.
-    pub(crate) fn jobs(&self, seed: u64) -> Vec<Job> {
+impl Scenario {
+    /// All requests of the workload, by time step.
+    pub(crate) fn requests(&self, seed: u64) -> Vec<Request> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut jobs = Vec::new();
+        let mut requests = Vec::new();
         let step_ms = 10.0;
         let steps = self.seconds * 100;
         for step in 0..steps {
@@ -114,14 +114,14 @@
                     let mean = self.rate(kind, customer, at_ms) * step_ms / 1_000.0;
                     if rng.random::<f64>() < mean {
                         let at_ms = at_ms + rng.random::<f64>() * step_ms;
-                        let at_ms = if self.pent_up {
+                        let at_ms = if self.reconnect_burst {
                             at_ms.max(3_000.0)
                         } else {
                             at_ms
                         };
                         let prompt = self.prompt(kind, &mut rng);
                         let attempt = 0;
-                        jobs.push(Job {
+                        requests.push(Request {
                             at_ms,
                             customer,
                             kind,
@@ -132,13 +132,13 @@
                 }
             }
         }
-        jobs
+        requests
     }
 
-    /// Requests a second of a kind and customer.
+    /// Requests per second of a kind and customer.
     fn rate(&self, kind: usize, customer: u32, at_ms: f64) -> f64 {
         let weights: f64 = (0..CUSTOMERS).map(weight).sum();
-        let mut rate = self.per_s * KINDS[kind].part * weight(customer) / weights;
+        let mut rate = self.per_s * KINDS[kind].fraction * weight(customer) / weights;
         if customer == 0 {
             rate *= self.hot;
         }
@@ -151,24 +151,24 @@
     fn prompt(&self, kind: usize, rng: &mut ChaCha8Rng) -> Prompt {
         let Kind {
             shared: (parts, tokens),
-            own: (middle, most),
+            own_tokens: (median, max),
             ..
         } = KINDS[kind];
-        let part = if kind == 0 && rng.random::<f64>() < self.one_part {
+        let part = if kind == 0 && rng.random::<f64>() < self.hot_part {
             0
         } else {
             rng.random_range(0..parts)
         };
-        // A sum of even draws is near enough to the bell of a logarithm.
-        let bell: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-        let mut own = (middle * (1.4 * bell).exp()).clamp(20.0, most);
+        // Approximates a normal distribution, for log-normal prompt lengths.
+        let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
+        let mut own = (median * (1.4 * normal).exp()).clamp(20.0, max);
         if kind == 0 && rng.random::<f64>() < self.huge {
             own = 50_000.0;
         }
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "some thousand tokens"
+            reason = "thousands of tokens"
         )]
         let own = own as u32;
         let part = part + 1_000 * (kind as u64 + 1);
