--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of the sidecar's decisions by number of backlogged customers.
+//! Admission control in the sidecar, by number of customers with waiting requests.
 
 use std::hint::black_box;
 
@@ -9,14 +9,14 @@
     Attempt, Class, CustomerId, Grant, Incarnation, Interest, Kind, PoolId, ServerId, Ticket, Usage,
 };
 
-/// Customers of today, those backlogged at the aim, and all at the aim.
+/// Number of customers: a small fleet, and the waiting and all customers of a large one.
 const CUSTOMERS: [u32; 3] = [16, 620, 6_200];
 
-const ROUTER: Incarnation = Incarnation(7);
+const GATEWAY: Incarnation = Incarnation(7);
 
 const SLOTS: u32 = 8;
 
-struct Bench {
+struct Fixture {
     admission: Admission,
     link: LinkKey,
     grants: Vec<Grant>,
@@ -33,7 +33,7 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     fn open(customers: u32) -> Self {
         let setup = Setup {
             server: ServerId(1),
@@ -46,31 +46,31 @@
             retention_ms: 600_000,
         };
         let mut admission = Admission::open(setup);
-        admission.open_home(&Past::None, &[ROUTER], 0);
+        admission.open_home(&Past::None, &[GATEWAY], 0);
         let link = admission.connect();
-        admission.introduce(link, ROUTER, 0);
+        admission.introduce(link, GATEWAY, 0);
         let all: Vec<Interest> = (0..customers).map(interest).collect();
         admission.declare(link, true, &all, 1);
-        let mut bench = Self {
+        let mut fixture = Self {
             admission,
             link,
             grants: Vec::new(),
             running: Vec::new(),
             request: 0,
         };
-        bench.start();
-        bench
+        fixture.start_granted();
+        fixture
     }
 
-    /// Starts a request under each grant and declares what waits then.
-    fn start(&mut self) {
+    /// Starts a request for each grant and declares the remaining ones.
+    fn start_granted(&mut self) {
         self.admission.take_woken();
         let (grants, _) = self.admission.answer(self.link, 2);
         self.grants.extend(grants);
         while let Some(grant) = self.grants.pop() {
             self.request += 1;
             let attempt = Attempt {
-                origin: ROUTER,
+                origin: GATEWAY,
                 request: self.request,
                 number: 0,
             };
@@ -91,21 +91,21 @@
         }
     }
 
-    /// One request ends, the next is chosen, granted, and starts.
-    fn turn(&mut self) {
+    /// Ends a request, then grants and starts the next.
+    fn cycle(&mut self) {
         let attempt = self.running.remove(0);
         self.admission.meter(attempt, 430);
         self.admission.end(attempt, Ending::Whole(None), 2);
-        self.start();
+        self.start_granted();
     }
 }
 
-fn turns(criterion: &mut Criterion) {
-    let mut group = criterion.benchmark_group("turn");
+fn cycles(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("cycle");
     for customers in CUSTOMERS {
-        let mut bench = Bench::open(customers);
+        let mut fixture = Fixture::open(customers);
         let id = BenchmarkId::from_parameter(customers);
-        group.bench_function(id, |bencher| bencher.iter(|| bench.turn()));
+        group.bench_function(id, |bencher| bencher.iter(|| fixture.cycle()));
     }
     group.finish();
 }
@@ -113,11 +113,11 @@
 fn meters(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("meter");
     for customers in CUSTOMERS {
-        let mut bench = Bench::open(customers);
-        let attempt = bench.running[0];
+        let mut fixture = Fixture::open(customers);
+        let attempt = fixture.running[0];
         let id = BenchmarkId::from_parameter(customers);
         group.bench_function(id, |bencher| {
-            bencher.iter(|| bench.admission.meter(black_box(attempt), 1));
+            bencher.iter(|| fixture.admission.meter(black_box(attempt), 1));
         });
     }
     group.finish();
@@ -126,7 +126,7 @@
 fn polls(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("poll");
     for customers in CUSTOMERS {
-        let mut bench = Bench::open(customers);
+        let mut fixture = Fixture::open(customers);
         let mut tokens = 0;
         let id = BenchmarkId::from_parameter(customers);
         group.bench_function(id, |bencher| {
@@ -138,12 +138,12 @@
                     tokens,
                 });
                 let fleet: Vec<Usage> = fleet.collect();
-                bench.admission.poll(bench.link, 0, &fleet, 2, 2);
+                fixture.admission.poll(fixture.link, 0, &fleet, 2, 2);
             });
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, turns, meters, polls);
+criterion_group!(benches, cycles, meters, polls);
 criterion_main!(benches);
--- a/crates/decide/benches/shed.rs
+++ b/crates/decide/benches/shed.rs
@@ -1,5 +1,5 @@
-//! Cost of one decision on a prompt by number of servers: sent where its part is kept, sent
-//! elsewhere because that is too late, refused.
+//! Admission of one prompt, by number of servers: sent to the server with its part cached, sent to
+//! another server, or rejected.
 
 use std::hint::black_box;
 
@@ -9,25 +9,23 @@
 use mulberryyoke_decide::shed::{self, Objective};
 use mulberryyoke_model::ServerId;
 
-/// Servers of the fleets of today.
 const SERVERS: [u32; 3] = [9, 55, 180];
 
-const AIM: Objective = Objective {
+const OBJECTIVE: Objective = Objective {
     first_token_ms: 1_000.0,
     max_pause_ms: 600.0,
 };
 
-/// What happens to the prompt.
 #[derive(Clone, Copy, Debug)]
-enum End {
-    Kept,
-    Elsewhere,
-    Refused,
+enum Outcome {
+    Cached,
+    Recomputed,
+    Rejected,
 }
 
-/// Servers of which the first keeps the prompt's part; `unread` tokens wait there and
-/// `others` at each other server.
-fn engines(servers: u32, prompt: &Prompt, unread: u32, others: u32) -> Vec<Engine> {
+/// Servers of which the first has the prompt's part cached, with a prefill backlog of `first`
+/// tokens there and `others` on each other server.
+fn engines(servers: u32, prompt: &Prompt, first: u32, others: u32) -> Vec<Engine> {
     let mut engines = vec![Engine::new(64, 600_000); servers as usize];
     for engine in &mut engines {
         engine.others = Load {
@@ -36,7 +34,7 @@
             running: 20,
         };
     }
-    engines[0].others.prefill_tokens = unread;
+    engines[0].others.prefill_tokens = first;
     engines[0].cache.insert(&prompt.shared);
     engines
 }
@@ -47,14 +45,14 @@
         of_portion: 0.5,
         of_given: 0.5,
     };
-    for (end, unread, others) in [
-        (End::Kept, 3_000, 3_000),
-        (End::Elsewhere, 60_000, 3_000),
-        (End::Refused, 90_000, 90_000),
+    for (outcome, first, others) in [
+        (Outcome::Cached, 3_000, 3_000),
+        (Outcome::Recomputed, 60_000, 3_000),
+        (Outcome::Rejected, 90_000, 90_000),
     ] {
-        let mut group = criterion.benchmark_group(format!("shed {end:?}"));
+        let mut group = criterion.benchmark_group(format!("shed {outcome:?}"));
         for servers in SERVERS {
-            let engines = engines(servers, &prompt, unread, others);
+            let engines = engines(servers, &prompt, first, others);
             let candidates = (0..).zip(&engines).map(|(server, engine)| Candidate {
                 server: ServerId(server),
                 engine,
@@ -66,7 +64,7 @@
                     shed::admit(
                         black_box(&prompt),
                         candidates.clone(),
-                        AIM,
+                        OBJECTIVE,
                         Some(standing),
                         2,
                     )
