--- a/crates/decide/src/engine/cache.rs
+++ b/crates/decide/src/engine/cache.rs
@@ -20,7 +20,7 @@
     by_last_use: BTreeMap<u64, u64>,
     /// Parts that the server reported as cached.
     reported: HashSet<PartId>,
-    /// Prefill tokens after which reported parts are assumed to be evicted.
+    /// Prefill tokens left until the reported parts are assumed to be evicted.
     reported_tokens_left: u32,
 }
 
@@ -40,7 +40,7 @@
     }
 
     /// Stores the parts that the server reported as cached. The report expires once the server
-    /// has prefilled a full cache of tokens, which evicts parts that are not in use.
+    /// has prefilled a full cache of tokens, by which time unused parts are evicted.
     pub fn set_reported(&mut self, parts: impl IntoIterator<Item = PartId>) {
         self.reported = parts.into_iter().collect();
         self.reported_tokens_left = self.capacity;
