--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold.rs
@@ -43,7 +43,7 @@
 }
 
 /// Returns this gateway's quota of a server's `requests` a second. `own` and `others` are the
-/// ranks of this and the other gateways ([`crate::aggregate::rank`]).
+/// ranks of this and the other gateways ([`crate::aggregate::name_hash`]).
 pub fn share(server: ServerId, requests: u32, own: u64, others: impl Iterator<Item = u64>) -> u32 {
     let weigh = |rank: u64| (weight(rank, u64::from(server.0)), rank);
     let own = weigh(own);
--- a/crates/decide/src/cold/members.rs
+++ b/crates/decide/src/cold/members.rs
@@ -4,7 +4,7 @@
 
 use mulberryyoke_model::Millis;
 
-use crate::aggregate::rank;
+use crate::aggregate::name_hash;
 
 /// Time for which a gateway still counts after its registration ended, in milliseconds; three
 /// times the registration lease. During an outage of the key-value service all registrations
@@ -33,7 +33,7 @@
 
     /// Adds a registered gateway.
     pub fn join(&mut self, name: &str) {
-        let joined = (rank(name), None);
+        let joined = (name_hash(name), None);
         let before = self.names.insert(name.to_owned(), joined);
         self.changes += u64::from(before.is_none());
     }
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -23,7 +23,7 @@
 use self::record::Record;
 pub use self::suspect::{Crash, Suspect};
 pub use self::verdict::Verdict;
-use crate::aggregate::rank;
+use crate::aggregate::name_hash;
 use crate::rendezvous::weight;
 
 /// Maximum number of records, about 1 MB. Those with the fewest and oldest crashes are evicted
@@ -56,7 +56,7 @@
         reason = "half of a hash is still uniformly distributed"
     )]
     let subject = digest.0 as u64;
-    names.max_by_key(|name| (weight(rank(name), subject), *name))
+    names.max_by_key(|name| (weight(name_hash(name), subject), *name))
 }
 
 /// A gateway's records of requests that crashed servers.
--- a/crates/decide/src/sample.rs
+++ b/crates/decide/src/sample.rs
@@ -9,7 +9,7 @@
 use crate::rendezvous::weight;
 
 /// Returns whether a node uses a server, out of `count` servers of which it uses about `size`.
-/// `node` is the node's rank ([`crate::aggregate::rank`]).
+/// `node` is the node's rank ([`crate::aggregate::name_hash`]).
 #[must_use]
 pub fn is_sampled(node: u64, server: ServerId, count: usize, size: usize) -> bool {
     let hash = u128::from(weight(node, u64::from(server.0)));
--- a/crates/decide/tests/cold/gateway.rs
+++ b/crates/decide/tests/cold/gateway.rs
@@ -1,6 +1,6 @@
 //! Simulated gateway and its strategies for splitting the rate limit of a cold server.
 
-use mulberryyoke_decide::aggregate::rank;
+use mulberryyoke_decide::aggregate::name_hash;
 use mulberryyoke_decide::cold::{Members, Window, share};
 use mulberryyoke_model::{Millis, ServerId};
 
@@ -61,7 +61,7 @@
             let share = share(
                 server,
                 LIMIT.requests_per_s(),
-                rank(&self.name),
+                name_hash(&self.name),
                 ranks.into_iter(),
             );
             return self.window.try_acquire(share, now);
@@ -71,7 +71,7 @@
         let first = if strategy == Strategy::EvenSplit {
             cold_ms
         } else {
-            cold_ms + rank(&self.name) % interval
+            cold_ms + name_hash(&self.name) % interval
         };
         let next_send = self.next_send.get_or_insert(first);
         let is_allowed = now >= *next_send;
--- a/crates/decide/tests/cold/main.rs
+++ b/crates/decide/tests/cold/main.rs
@@ -4,7 +4,7 @@
 mod gateway;
 
 use googletest::prelude::*;
-use mulberryyoke_decide::aggregate::rank;
+use mulberryyoke_decide::aggregate::name_hash;
 use mulberryyoke_decide::cold::{Limit, Members, Window, share};
 use mulberryyoke_model::ServerId;
 
@@ -63,7 +63,9 @@
         (3, 0),
         (7, 1),
     ] {
-        let ranks: Vec<u64> = (0..gateways).map(|n| rank(&format!("g-{n}"))).collect();
+        let ranks: Vec<u64> = (0..gateways)
+            .map(|n| name_hash(&format!("g-{n}")))
+            .collect();
         for server in 0..50 {
             let quotas = ranks.iter().map(|&own| {
                 let others = ranks.iter().copied().filter(|rank| *rank != own);
--- a/crates/decide/tests/sample.rs
+++ b/crates/decide/tests/sample.rs
@@ -1,7 +1,7 @@
 //! Sampling of the servers that a node uses.
 
 use googletest::prelude::*;
-use mulberryyoke_decide::aggregate::rank;
+use mulberryyoke_decide::aggregate::name_hash;
 use mulberryyoke_decide::sample::is_sampled;
 use mulberryyoke_model::ServerId;
 
@@ -11,7 +11,7 @@
 /// Returns the servers that a node uses out of `servers`.
 fn sample(node: &str, servers: u32) -> Vec<u32> {
     let count = usize::try_from(servers).expect("a few thousand");
-    let sample = (0..servers).filter(|id| is_sampled(rank(node), ServerId(*id), count, SIZE));
+    let sample = (0..servers).filter(|id| is_sampled(name_hash(node), ServerId(*id), count, SIZE));
     sample.collect()
 }
 
