--- a/crates/decide/benches/shed.rs
+++ b/crates/decide/benches/shed.rs
@@ -41,7 +41,7 @@
 
 fn decisions(criterion: &mut Criterion) {
     let prompt = Prompt::from_parts("m", [(1, 512), (2, 4_870), (3, 6_610)], 380);
-    let standing = Usage {
+    let usage = Usage {
         of_portion: 0.5,
         of_given: 0.5,
     };
@@ -65,7 +65,7 @@
                         black_box(&prompt),
                         candidates.clone(),
                         OBJECTIVE,
-                        Some(standing),
+                        Some(usage),
                         2,
                     )
                 });
