--- a/crates/gateway/examples/cost.rs
+++ b/crates/gateway/examples/cost.rs
@@ -173,7 +173,7 @@
                     .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| n.checked_sub(1))
                     .is_ok()
                 {
-                    let is_whole = match kind {
+                    let is_complete = match kind {
                         Load::Fresh => fresh().await,
                         Load::Long => long().await,
                         Load::Kept => {
@@ -181,7 +181,7 @@
                             return;
                         }
                     };
-                    whole.fetch_add(u32::from(is_whole), Ordering::Relaxed);
+                    whole.fetch_add(u32::from(is_complete), Ordering::Relaxed);
                 }
             }));
         }
@@ -199,7 +199,7 @@
 async fn fresh() -> bool {
     let request = caller::request("/stream/", "x-tokens: 500\r\n");
     let reply = caller::send(gateway(), &request).await;
-    reply.status == 200 && reply.is_whole
+    reply.status == 200 && reply.is_complete
 }
 
 async fn long() -> bool {
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -17,7 +17,7 @@
 pub(crate) use self::life::Life;
 pub(crate) use self::running::Running;
 pub(crate) use self::seen::Seen;
-use crate::conn::{Conn, Conns};
+use crate::connection_pool::{Connection, ConnectionPool};
 use crate::plan::Model;
 use crate::protocol::Reading;
 use crate::server::Server;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct Backend {
     pub(crate) server: Server,
-    pub(crate) conns: Conns,
+    pub(crate) conns: ConnectionPool,
     pub(crate) engine: Mutex<Engine>,
     /// How fast servers of its pool read prompts and end requests.
     pub(crate) pace: Arc<Mutex<PoolStats>>,
@@ -59,7 +59,7 @@
         let cache_tokens = model.map_or(0, |model| model.memory_tokens / CACHE_PART);
         let slots = model.map_or(server.slots, |model| model.slots);
         Self {
-            conns: Conns::new(server.address),
+            conns: ConnectionPool::new(server.address),
             engine: Mutex::new(Engine::new(slots, cache_tokens)),
             pace,
             health: Mutex::new(Health::default()),
@@ -99,15 +99,15 @@
     }
 
     /// Keeps a connection whose answer was read whole, if another request may go there.
-    pub(crate) fn give(&self, conn: Conn, reading: Reading) {
+    pub(crate) fn give(&self, conn: Connection, reading: Reading) {
         if !reading.is_last && self.is_open() {
-            self.conns.give(conn, reading.idle_ms);
+            self.conns.release(conn, reading.idle_ms);
         }
     }
 
     /// Lets it get no more requests; those that run go on.
     pub(crate) fn close(&self) {
         self.is_closed.store(true, Ordering::Relaxed);
-        self.conns.clear();
+        self.conns.close_idle();
     }
 }
--- a/crates/gateway/src/backend/running.rs
+++ b/crates/gateway/src/backend/running.rs
@@ -8,7 +8,7 @@
 
 use super::Backend;
 use crate::clock;
-use crate::conn::Conn;
+use crate::connection_pool::Connection;
 use crate::protocol::Reading;
 
 /// A request at a server, counted in what the server is believed to have until
@@ -66,7 +66,7 @@
     }
 
     /// Notes that its answer has come whole, and keeps the connection on which it came.
-    pub(crate) fn finish(mut self, conn: Conn, reading: Reading) {
+    pub(crate) fn finish(mut self, conn: Connection, reading: Reading) {
         self.first();
         self.backend.health.lock().succeed(Instant::now());
         self.backend.give(conn, reading);
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -84,7 +84,7 @@
     let open = servers.iter().filter(|backend| backend.is_open());
     let waits = open.map(|backend| backend.life.wait_ms(now_ms));
     let first_ms = waits.min().filter(|wait_ms| *wait_ms > 0)?;
-    Some(Refusal::Resting(retry_after_ms(
+    Some(Refusal::Pushback(retry_after_ms(
         first_ms,
         rand::rng().random(),
     )))
@@ -207,7 +207,7 @@
         "of_given" => whole_u32(standing.of_given * 100.0));
     let retry_ms = whole_u32(held.retry_after_ms);
     if standing.of_portion > 1.0 {
-        return Refusal::Share(retry_ms);
+        return Refusal::OverShare(retry_ms);
     }
     Refusal::Busy(retry_ms)
 }
--- a/crates/gateway/src/pass.rs
+++ b/crates/gateway/src/body_relay.rs
@@ -7,15 +7,15 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use crate::answer::Broken;
 use crate::backend::Running;
 use crate::call::Call;
 use crate::clock;
-use crate::conn::Conn;
+use crate::connection_pool::Connection;
 use crate::core::Core;
 use crate::failure::fail;
 use crate::protocol::Reading;
 use crate::quarantine;
+use crate::response_body::BodyError;
 
 /// Pieces that wait for the caller's connection; more hold the server up.
 const PIECES: usize = 4;
@@ -26,18 +26,18 @@
     core: &Arc<Core>,
     call: &Arc<Call>,
     running: Running,
-    (conn, reading): (Conn, Reading),
+    (conn, reading): (Connection, Reading),
     begun: Bytes,
     rest: Incoming,
-) -> mpsc::Receiver<Result<Bytes, Broken>> {
+) -> mpsc::Receiver<Result<Bytes, BodyError>> {
     let (pieces, receiver) = mpsc::channel(PIECES);
     let (core, call) = (Arc::clone(core), Arc::clone(call));
     tokio::spawn(async move {
         let passed = tokio::select! {
             () = pieces.closed() => return,
             passed = pass(&pieces, begun, rest) => passed,
-            () = clock::wait_until(call.deadline) => Err(Broken::Late),
-            () = core.stop.end.cancelled() => Err(Broken::Stopping),
+            () = clock::wait_until(call.deadline_ms) => Err(BodyError::TimedOut),
+            () = core.stop.end.cancelled() => Err(BodyError::Stopping),
         };
         match passed {
             Ok(()) => {
@@ -54,7 +54,7 @@
                 );
                 // A caller that is gone has no use for it.
                 let _ = pieces.send(Err(broken)).await;
-                if broken == Broken::Server {
+                if broken == BodyError::Truncated {
                     quarantine::witness(&core, &call, &running).await;
                 }
             }
@@ -64,16 +64,16 @@
 }
 
 async fn pass(
-    pieces: &mpsc::Sender<Result<Bytes, Broken>>,
+    pieces: &mpsc::Sender<Result<Bytes, BodyError>>,
     begun: Bytes,
     mut rest: Incoming,
-) -> Result<(), Broken> {
+) -> Result<(), BodyError> {
     let mut piece = Some(begun);
     while let Some(bytes) = piece {
         // That nobody reads it is noticed by the task that calls.
         let _ = pieces.send(Ok(bytes)).await;
         let frame = rest.frame().await.transpose();
-        let frame = frame.map_err(|_| Broken::Server)?;
+        let frame = frame.map_err(|_| BodyError::Truncated)?;
         piece = frame.map(|frame| frame.into_data().unwrap_or_default());
     }
     Ok(())
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -28,10 +28,10 @@
     /// The event after which the caller wants the stream to go on.
     pub(crate) resume_after: Option<u64>,
     /// When its head had come.
-    pub(crate) since: Instant,
+    pub(crate) received_at: Instant,
     /// When its answer is of no more use to the caller, or its route's time is over.
     /// In milliseconds of the boot clock.
-    pub(crate) deadline: u64,
+    pub(crate) deadline_ms: u64,
     pub(crate) method: Method,
     pub(crate) path: PathAndQuery,
     /// The caller's end-to-end headers.
@@ -49,7 +49,7 @@
 
     /// Time until its deadline, in milliseconds.
     pub(crate) fn left_ms(&self) -> u64 {
-        self.deadline.saturating_sub(clock::now_ms())
+        self.deadline_ms.saturating_sub(clock::now_ms())
     }
 
     /// What it has in common with its repeats.
--- a/crates/gateway/src/conn.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -31,14 +31,14 @@
 
 /// An open connection. Dropping it closes it at once.
 #[derive(Debug)]
-pub(crate) struct Conn {
+pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     /// Whether it has carried a request before.
     pub(crate) is_used: bool,
 }
 
-impl Drop for Conn {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -46,20 +46,20 @@
 
 #[derive(Debug)]
 struct Idle {
-    conn: Conn,
+    conn: Connection,
     /// In milliseconds of the boot clock: a server closes it while the machine is suspended.
     until_ms: u64,
 }
 
 /// The connections of one server.
 #[derive(Debug)]
-pub(crate) struct Conns {
+pub(crate) struct ConnectionPool {
     address: SocketAddr,
     idle: Mutex<Vec<Idle>>,
     opened: AtomicU32,
 }
 
-impl Conns {
+impl ConnectionPool {
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -69,14 +69,14 @@
     }
 
     /// A connection that was used before, if one is idle, else a new one.
-    pub(crate) async fn take(&self) -> io::Result<Conn> {
+    pub(crate) async fn acquire(&self) -> io::Result<Connection> {
         if let Some(conn) = self.reuse() {
             return Ok(conn);
         }
-        self.open().await
+        self.connect().await
     }
 
-    fn reuse(&self) -> Option<Conn> {
+    fn reuse(&self) -> Option<Connection> {
         let now = clock::now_ms();
         let mut idle = self.idle.lock();
         idle.retain(|idle| idle.until_ms > now && !idle.conn.sender.is_closed());
@@ -85,9 +85,9 @@
     }
 
     /// Opens a new connection.
-    pub(crate) async fn open(&self) -> io::Result<Conn> {
+    pub(crate) async fn connect(&self) -> io::Result<Connection> {
         let stream = timeout(CONNECT, TcpStream::connect(self.address)).await??;
-        socket::tune(&stream)?;
+        socket::configure(&stream)?;
         let shaken = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
@@ -97,7 +97,7 @@
         metrics::counter!("connections_opened_total").increment(1);
         // How a connection fails is seen in its requests.
         let task = tokio::spawn(async move { drop(connection.await) });
-        Ok(Conn {
+        Ok(Connection {
             sender,
             task: task.abort_handle(),
             is_used: false,
@@ -105,7 +105,7 @@
     }
 
     /// Keeps a connection whose answer was read whole. `idle_ms` is what the server tells.
-    pub(crate) fn give(&self, mut conn: Conn, idle_ms: Option<u64>) {
+    pub(crate) fn release(&self, mut conn: Connection, idle_ms: Option<u64>) {
         if conn.sender.is_closed() {
             return;
         }
@@ -116,7 +116,7 @@
     }
 
     /// Closes all idle connections.
-    pub(crate) fn clear(&self) {
+    pub(crate) fn close_idle(&self) {
         self.idle.lock().clear();
     }
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -12,12 +12,12 @@
 use parking_lot::Mutex;
 use tokio_util::task::TaskTracker;
 
-use crate::budgets::Budgets;
 use crate::exchange::Exchange;
 use crate::mirror::Mirror;
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
 use crate::registry::Registry;
+use crate::retry_budgets::RetryBudgets;
 use crate::stop::Stop;
 use crate::strain::Strain;
 use crate::view::View;
@@ -34,7 +34,7 @@
     pub(crate) exchange: Exchange,
     pub(crate) shares: Mutex<Shares>,
     pub(crate) quarantine: Quarantine,
-    pub(crate) budgets: Budgets,
+    pub(crate) retry_budgets: RetryBudgets,
     /// Callers' open connections.
     pub(crate) connections: AtomicU32,
     pub(crate) strain: Strain,
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -10,7 +10,6 @@
 use smallvec::SmallVec;
 use tokio::time::Instant;
 
-use crate::answer::Answer;
 use crate::backend::Running;
 use crate::balance;
 use crate::call::Call;
@@ -19,6 +18,7 @@
 use crate::outcome::Outcome;
 use crate::quarantine;
 use crate::refusal::Refusal;
+use crate::response_body::ResponseBody;
 
 /// Times that one request is sent though none of the servers may have run it.
 const MOST_UNSENT: u32 = 3;
@@ -60,7 +60,7 @@
         call: &Arc<Call>,
         resume_after: Option<u64>,
         mut last: Refusal,
-    ) -> Result<Response<Answer>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         loop {
             let (outcome, server) = match self.next(core, call, resume_after).await {
                 Ok(sent) => sent,
@@ -71,18 +71,18 @@
             let (again, refusal) = match outcome {
                 Outcome::Answered(response) => return Ok(response),
                 Outcome::Failed(response) if !self.may_repeat(core, call) => return Ok(response),
-                Outcome::Failed(_) => (true, Refusal::Unknown),
+                Outcome::Failed(_) => (true, Refusal::OutcomeUnknown),
                 Outcome::Withheld => (call.left_ms() > 0, last),
                 Outcome::TurnedAway | Outcome::OtherServer | Outcome::Unsent => {
                     let refusal = if self.ran == 0 {
-                        balance::resting(core, call.pool).unwrap_or(Refusal::TurnedAway)
+                        balance::resting(core, call.pool).unwrap_or(Refusal::Rejected)
                     } else {
                         last
                     };
                     (self.may_move(core, call), refusal)
                 }
-                Outcome::Unknown => (self.may_repeat(core, call), Refusal::Unknown),
-                Outcome::Garbled => (self.may_repeat(core, call), Refusal::Garbled),
+                Outcome::Unknown => (self.may_repeat(core, call), Refusal::OutcomeUnknown),
+                Outcome::Garbled => (self.may_repeat(core, call), Refusal::InvalidResponse),
                 Outcome::Stalled => (true, Refusal::TimedOut),
                 Outcome::TimedOut => (false, Refusal::TimedOut),
             };
@@ -140,7 +140,7 @@
 
     /// Whether the request may be sent once more after it may have run.
     pub(crate) fn may_repeat(&self, core: &Core, call: &Call) -> bool {
-        self.has_another(call) && call.left_ms() > 0 && core.budgets.spend(call.pool)
+        self.has_another(call) && call.left_ms() > 0 && core.retry_budgets.try_withdraw(call.pool)
     }
 
     /// Whether another server may run the request besides those that may have.
@@ -173,16 +173,16 @@
     /// Whether the request may be sent once more after a server did not run it.
     fn may_move(&self, core: &Core, call: &Call) -> bool {
         let may = self.not_run < MOST_UNSENT && call.left_ms() > 0;
-        may && core.budgets.spend(call.pool)
+        may && core.retry_budgets.try_withdraw(call.pool)
     }
 }
 
 /// Answers a request, or refuses it truthfully.
-pub(crate) async fn answer(
+pub(crate) async fn run(
     core: &Arc<Core>,
     call: &Arc<Call>,
-) -> Result<Response<Answer>, Refusal> {
-    core.budgets.earn(call.pool);
+) -> Result<Response<ResponseBody>, Refusal> {
+    core.retry_budgets.deposit(call.pool);
     let mut trials = Trials::default();
     trials.run(core, call, None, Refusal::NoServer).await
 }
@@ -197,5 +197,5 @@
         "unread" => running.ahead(),
         "uncached" => running.tokens,
         "view_age_ms" => core.view.age_ms(),
-        "elapsed_ms" => clock::between_ms(call.since, Instant::now()));
+        "elapsed_ms" => clock::between_ms(call.received_at, Instant::now()));
 }
--- a/crates/gateway/src/dispatch/send.rs
+++ b/crates/gateway/src/dispatch/send.rs
@@ -8,17 +8,17 @@
 use hyper::header::CONTENT_ENCODING;
 use hyper::{Request, Response, StatusCode};
 
-use crate::answer::Answer;
 use crate::backend::Running;
 use crate::call::Call;
-use crate::conn::Conn;
+use crate::connection_pool::Connection;
 use crate::core::Core;
 use crate::dispatch::Trials;
 use crate::failure::fail;
 use crate::header;
 use crate::outcome::Outcome;
 use crate::protocol::{Order, Proof};
-use crate::{clock, notice, pass, pump, quarantine};
+use crate::response_body::ResponseBody;
+use crate::{body_relay, clock, notice, quarantine, stream_relay};
 
 /// Largest answer that is kept until it is whole, in bytes; larger ones are passed on as they come.
 const WHOLE_BYTES: usize = 256 << 10;
@@ -34,8 +34,8 @@
 ) -> Outcome {
     let backend = Arc::clone(&running.backend);
     let opened = tokio::select! {
-        opened = backend.conns.take() => opened,
-        () = clock::wait_until(call.deadline) => return Outcome::Unsent,
+        opened = backend.conns.acquire() => opened,
+        () = clock::wait_until(call.deadline_ms) => return Outcome::Unsent,
     };
     let mut conn = match opened {
         Ok(conn) => conn,
@@ -60,14 +60,14 @@
     let sent = loop {
         tokio::select! {
             sent = &mut sent => break sent,
-            () = clock::wait_until(call.deadline) => {
+            () = clock::wait_until(call.deadline_ms) => {
                 fail(core, call, &running, "no answer in time", "");
                 return Outcome::TimedOut;
             }
             () = clock::wait_for(stall) => {}
         }
         stall = None;
-        if core.budgets.spend(call.pool) {
+        if core.retry_budgets.try_withdraw(call.pool) {
             fail(core, call, &running, "no answer for long", "");
             return Outcome::Stalled;
         }
@@ -114,7 +114,7 @@
     call: &Arc<Call>,
     running: Running,
     trials: &Trials,
-    conn: Conn,
+    conn: Connection,
     response: Response<Incoming>,
 ) -> Outcome {
     let (mut head, body) = response.into_parts();
@@ -150,15 +150,15 @@
         }
     }
     let is_success = head.status.is_success();
-    header::end_to_end(&mut head.headers);
+    header::strip_hop_by_hop(&mut head.headers);
     if call.route.kind.is_stream() && is_success {
         let trials = trials.after_run();
-        let pieces = pump::spawn(core, call, running, trials, (conn, reading), body);
-        return Outcome::Answered(Response::from_parts(head, Answer::Pieces(pieces)));
+        let pieces = stream_relay::spawn(core, call, running, trials, (conn, reading), body);
+        return Outcome::Answered(Response::from_parts(head, ResponseBody::Stream(pieces)));
     }
     let collected = tokio::select! {
         collected = collect(body) => collected,
-        () = clock::wait_until(call.deadline) => {
+        () = clock::wait_until(call.deadline_ms) => {
             fail(core, call, &running, "no whole answer in time", "");
             return Outcome::TimedOut;
         }
@@ -167,11 +167,11 @@
         Ok(Collected::Whole(whole)) => {
             quarantine::survived(core, || call.digest());
             running.finish(conn, reading);
-            Answer::whole(whole)
+            ResponseBody::full(whole)
         }
         Ok(Collected::Large(begun, rest)) => {
-            let pieces = pass::spawn(core, call, running, (conn, reading), begun, rest);
-            Answer::Pieces(pieces)
+            let pieces = body_relay::spawn(core, call, running, (conn, reading), begun, rest);
+            ResponseBody::Stream(pieces)
         }
         Err(error) => {
             fail(core, call, &running, "answer broke off", &error.to_string());
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -60,8 +60,8 @@
     );
     let settings = core.settings.load();
     let nodes = core.exchange.gateways();
-    core.budgets
-        .bound(settings.retry_ratio, settings.retry_slack, nodes);
+    core.retry_budgets
+        .set_limits(settings.retry_ratio, settings.retry_slack, nodes);
 }
 
 /// Sends a round of messages, and returns the number of packets.
--- a/crates/gateway/src/failure.rs
+++ b/crates/gateway/src/failure.rs
@@ -18,5 +18,5 @@
         "server" => &backend.server.name,
         "what" => what,
         "error" => why,
-        "elapsed_ms" => clock::between_ms(call.since, Instant::now()));
+        "elapsed_ms" => clock::between_ms(call.received_at, Instant::now()));
 }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -16,7 +16,6 @@
 use tokio::time::sleep;
 use tokio_util::task::TaskTracker;
 
-use crate::budgets::Budgets;
 use crate::core::Core;
 use crate::error::Error;
 use crate::exchange::{self, Exchange};
@@ -24,6 +23,7 @@
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
 use crate::registry::Registry;
+use crate::retry_budgets::RetryBudgets;
 use crate::stop::Stop;
 use crate::strain::Strain;
 use crate::view::View;
@@ -73,7 +73,7 @@
         let exchange = Exchange::new(&settings.name, place);
         let registry = Registry::new(&settings.name);
         let core = Arc::new(Core {
-            budgets: Budgets::default(),
+            retry_budgets: RetryBudgets::default(),
             settings: ArcSwap::from_pointee(settings),
             protocol,
             feed,
@@ -93,7 +93,7 @@
             let settings = core.settings.load();
             (settings.retry_ratio, settings.retry_slack)
         };
-        core.budgets.bound(ratio, slack, 1);
+        core.retry_budgets.set_limits(ratio, slack, 1);
         tokio::spawn(exchange::announce(Arc::clone(&core)));
         tokio::spawn(strain::measure(Arc::clone(&core)));
         tokio::spawn(exchange::run(Arc::clone(&core), beats));
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -46,7 +46,7 @@
 /// another moment, and a caller must not see it undone.
 async fn ask(core: &Core, target: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = timeout(CONNECT, TcpStream::connect(target)).await??;
-    socket::tune(&stream)?;
+    socket::configure(&stream)?;
     send(&mut stream, core.view.latest_version()).await?;
     let version = receive(&mut stream).await?;
     core.view.record_peer_version(version);
--- a/crates/gateway/src/header.rs
+++ b/crates/gateway/src/header.rs
@@ -6,7 +6,7 @@
 
 /// Removes the headers that concern one connection only, those that frame the
 /// body among them.
-pub(crate) fn end_to_end(headers: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     hop::strip(headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove(EXPECT);
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -56,9 +56,9 @@
     /// Finds route and customer, then reads the body.
     pub(crate) async fn read(mut self, core: &Core) -> Result<Call, Refusal> {
         if core.view.predates_suspension() || core.view.is_superseded() {
-            return Err(Refusal::NoView);
+            return Err(Refusal::NoConfiguration);
         }
-        let plan = core.view.plan().ok_or(Refusal::NoView)?;
+        let plan = core.view.plan().ok_or(Refusal::NoConfiguration)?;
         let route = Arc::clone(self.route(core, &plan)?);
         let customer = self.customer(core, &plan, &route)?;
         let pool = route.pool(rand::rng().random()).ok_or(Refusal::NoServer)?;
@@ -69,17 +69,17 @@
         let body = read_body(self.body, plan.limits().body_bytes);
         let body = tokio::select! {
             body = body => body,
-            () = clock::wait_until(deadline) => Err(Refusal::Slow),
+            () = clock::wait_until(deadline) => Err(Refusal::BodyTimeout),
         }?;
-        header::end_to_end(&mut self.parts.headers);
+        header::strip_hop_by_hop(&mut self.parts.headers);
         Ok(Call {
             id: self.ask.id,
             pool,
             customer,
             prompt: self.ask.prompt,
             resume_after: self.ask.resume_after,
-            since: self.since,
-            deadline,
+            received_at: self.since,
+            deadline_ms: deadline,
             method: self.parts.method,
             path: path(&self.parts.uri),
             headers: self.parts.headers,
@@ -110,13 +110,13 @@
         }
         let fresh_ms = core.settings.load().keys_fresh_ms;
         if fresh_ms.is_some_and(|fresh_ms| core.view.age_ms() >= fresh_ms) {
-            return Err(Refusal::NoView);
+            return Err(Refusal::NoConfiguration);
         }
         let key = self.ask.key.as_deref();
         let customer = key.and_then(|key| plan.customer(key));
         match customer {
             Some(customer) => Ok(Some(Arc::clone(customer))),
-            None => Err(deny(core, Refusal::NoCustomer)),
+            None => Err(deny(core, Refusal::UnknownCustomer)),
         }
     }
 }
@@ -125,7 +125,7 @@
 /// of what a newer one may allow.
 fn deny(core: &Core, refusal: Refusal) -> Refusal {
     if core.view.age_ms() > DENY_MS {
-        return Refusal::NoView;
+        return Refusal::NoConfiguration;
     }
     refusal
 }
@@ -138,7 +138,7 @@
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
-        Err(_) => Err(Refusal::Cut),
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Refusal::BodyTooLarge),
+        Err(_) => Err(Refusal::BodyTruncated),
     }
 }
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -68,7 +68,7 @@
 }
 
 async fn ask(core: &Core, backend: &Backend, path: &'static str) -> Result<Vec<PartId>, Error> {
-    let mut conn = backend.conns.take().await?;
+    let mut conn = backend.conns.acquire().await?;
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = PathAndQuery::from_static(path).into();
     let address = backend.server.address.to_string();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,13 +4,12 @@
 //! for each request by what the server is believed to keep and to have waiting,
 //! and passes answers on as they come.
 
-mod answer;
 mod backend;
 mod balance;
-mod budgets;
+mod body_relay;
 mod call;
 pub mod clock;
-mod conn;
+mod connection_pool;
 mod control;
 mod core;
 mod dispatch;
@@ -27,18 +26,19 @@
 mod mirror;
 mod notice;
 mod outcome;
-mod pass;
 pub mod plan;
 pub mod protocol;
-mod pump;
 mod quarantine;
 mod ready;
 mod refusal;
 mod registry;
+mod response_body;
+mod retry_budgets;
 mod server;
 mod socket;
 mod stop;
 mod strain;
+mod stream_relay;
 mod view;
 
 pub use self::error::Error;
--- a/crates/gateway/src/listen/connection.rs
+++ b/crates/gateway/src/listen/connection.rs
@@ -17,10 +17,10 @@
 use tokio::time::Instant;
 
 use super::way::Way;
-use crate::answer::Answer;
 use crate::core::Core;
 use crate::intake::Intake;
 use crate::refusal::Refusal;
+use crate::response_body::ResponseBody;
 use crate::{clock, dispatch};
 
 /// Largest head of a request before a configuration tells another bound, in bytes.
@@ -69,7 +69,7 @@
     core: Arc<Core>,
     request: Request<Incoming>,
     way: Way,
-) -> Result<Response<Answer>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let since = Instant::now();
     metrics::counter!("requests_total").increment(1);
     let mut response = match Intake::open(&core, request) {
@@ -87,19 +87,19 @@
     Ok(response)
 }
 
-async fn run(core: &Arc<Core>, intake: Intake) -> Result<Response<Answer>, Refusal> {
+async fn run(core: &Arc<Core>, intake: Intake) -> Result<Response<ResponseBody>, Refusal> {
     if core.stop.refuse.is_cancelled() {
         return Err(Refusal::Stopping);
     }
     let call = Arc::new(intake.read(core).await?);
-    let response = dispatch::answer(core, &call).await?;
-    let elapsed = Instant::now() - call.since;
+    let response = dispatch::run(core, &call).await?;
+    let elapsed = Instant::now() - call.received_at;
     let kind = call.route.kind.word();
     metrics::histogram!("first_answer_seconds", "kind" => kind).record(elapsed.as_secs_f64());
     log!(core.logger, Event::Answered,
         "request" => &call.id,
         "status" => response.status().as_u16(),
-        "elapsed_ms" => clock::between_ms(call.since, Instant::now()));
+        "elapsed_ms" => clock::between_ms(call.received_at, Instant::now()));
     Ok(response)
 }
 
@@ -124,13 +124,13 @@
 }
 
 /// Records a refusal and words it for the caller.
-fn refuse(core: &Core, id: &str, since: Instant, refusal: Refusal) -> Response<Answer> {
-    metrics::counter!("refused_total", "why" => refusal.word()).increment(1);
+fn refuse(core: &Core, id: &str, since: Instant, refusal: Refusal) -> Response<ResponseBody> {
+    metrics::counter!("refused_total", "why" => refusal.code()).increment(1);
     log!(core.logger, Event::Refused,
         "request" => id,
-        "code" => refusal.word(),
-        "retry_ms" => refusal.retry_ms(),
+        "code" => refusal.code(),
+        "retry_ms" => refusal.retry_after_ms(),
         "view_age_ms" => core.view.age_ms(),
         "elapsed_ms" => clock::between_ms(since, Instant::now()));
-    refusal.response()
+    refusal.into_response()
 }
--- a/crates/gateway/src/listen/port.rs
+++ b/crates/gateway/src/listen/port.rs
@@ -72,7 +72,7 @@
 
 /// Takes connections until the node has more to do than its processor can.
 async fn accept(core: &Arc<Core>, shutdown: &GracefulShutdown, listener: TcpListener, way: Way) {
-    if let Err(error) = socket::tune(&listener) {
+    if let Err(error) = socket::configure(&listener) {
         log!(core.logger, Event::AcceptFailed, "error" => error.to_string());
     }
     let mut inherits = None;
@@ -85,7 +85,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let inherits = *inherits.get_or_insert_with(|| socket::is_tuned(&stream));
+                let inherits = *inherits.get_or_insert_with(|| socket::is_configured(&stream));
                 if inherits || is_usable(core, &stream) {
                     route(core, shutdown, stream, way);
                 }
@@ -112,7 +112,7 @@
 
 /// Sets a connection's options; `false` if the caller has gone meanwhile.
 fn is_usable(core: &Core, stream: &TcpStream) -> bool {
-    let tuned = socket::tune(stream);
+    let tuned = socket::configure(stream);
     if let Err(error) = &tuned {
         log!(core.logger, Event::AcceptFailed, "error" => error.to_string());
     }
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -2,13 +2,13 @@
 
 use hyper::Response;
 
-use crate::answer::Answer;
+use crate::response_body::ResponseBody;
 
 /// What came of sending a request to a server.
 #[derive(Debug)]
 pub(crate) enum Outcome {
     /// The server's answer.
-    Answered(Response<Answer>),
+    Answered(Response<ResponseBody>),
     /// The server says that it has not run it and never will.
     TurnedAway,
     /// Another server has the address.
@@ -18,7 +18,7 @@
     /// The server left or asked for rest before anything of it was sent.
     Withheld,
     /// The server failed, and its answer says so. It has run.
-    Failed(Response<Answer>),
+    Failed(Response<ResponseBody>),
     /// It may run or have run; nothing more is known.
     Unknown,
     /// What came was no answer to it. It may have run.
--- a/crates/gateway/src/quarantine/witness.rs
+++ b/crates/gateway/src/quarantine/witness.rs
@@ -57,10 +57,10 @@
     if is_alive {
         return false;
     }
-    match timeout(PROBE, backend.conns.open()).await {
+    match timeout(PROBE, backend.conns.connect()).await {
         Ok(Ok(conn)) => {
             seen.alive = Some(Instant::now());
-            backend.conns.give(conn, None);
+            backend.conns.release(conn, None);
             false
         }
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -4,7 +4,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use crate::answer::Answer;
+use crate::response_body::ResponseBody;
 
 /// Why a request gets no answer from a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,35 +12,35 @@
     /// A header has not the form it must have.
     Malformed,
     /// The body is larger than allowed.
-    TooLarge,
+    BodyTooLarge,
     /// The body did not come whole.
-    Cut,
+    BodyTruncated,
     /// The body did not come in time.
-    Slow,
+    BodyTimeout,
     /// No route has this host and path.
     NoRoute,
     /// The key names no customer.
-    NoCustomer,
+    UnknownCustomer,
     /// No configuration is known, or it is too old to go by.
-    NoView,
+    NoConfiguration,
     /// No server of the pool may be asked.
     NoServer,
     /// Every server of the pool has asked for rest; come back after so many milliseconds.
-    Resting(u32),
+    Pushback(u32),
     /// The servers have more to do than fits in time; come back after so many milliseconds.
     Busy(u32),
     /// The customer has more than its portion; come back after so many milliseconds.
-    Share(u32),
+    OverShare(u32),
     /// A server turned the request away and no other may be asked.
-    TurnedAway,
+    Rejected,
     /// The node stops.
     Stopping,
     /// It ends servers, or is under suspicion of it while another copy runs.
     Quarantined,
     /// A server was asked and what became of it is unknown.
-    Unknown,
+    OutcomeUnknown,
     /// A server's answer was no answer to this request.
-    Garbled,
+    InvalidResponse,
     /// The time is over and a server may still run the request.
     TimedOut,
 }
@@ -52,64 +52,68 @@
     /// Its status. 429 and 503 promise that the request has not run and never will.
     pub(crate) const fn status(self) -> StatusCode {
         match self {
-            Self::Malformed | Self::Cut => StatusCode::BAD_REQUEST,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
-            Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::Malformed | Self::BodyTruncated => StatusCode::BAD_REQUEST,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoCustomer => StatusCode::UNAUTHORIZED,
-            Self::Share(_) => StatusCode::TOO_MANY_REQUESTS,
-            Self::NoView
+            Self::UnknownCustomer => StatusCode::UNAUTHORIZED,
+            Self::OverShare(_) => StatusCode::TOO_MANY_REQUESTS,
+            Self::NoConfiguration
             | Self::NoServer
-            | Self::Resting(_)
+            | Self::Pushback(_)
             | Self::Busy(_)
-            | Self::TurnedAway
+            | Self::Rejected
             | Self::Stopping => StatusCode::SERVICE_UNAVAILABLE,
             // It has run under an earlier id, so that nothing that promises it has not may be said.
-            Self::Quarantined | Self::Unknown | Self::Garbled => StatusCode::BAD_GATEWAY,
+            Self::Quarantined | Self::OutcomeUnknown | Self::InvalidResponse => {
+                StatusCode::BAD_GATEWAY
+            }
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
     /// Its name in logs, metrics and bodies.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn code(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
-            Self::TooLarge => "body_too_large",
-            Self::Cut => "body_cut",
-            Self::Slow => "body_slow",
+            Self::BodyTooLarge => "body_too_large",
+            Self::BodyTruncated => "body_cut",
+            Self::BodyTimeout => "body_slow",
             Self::NoRoute => "no_route",
-            Self::NoCustomer => "no_customer",
-            Self::NoView => "no_configuration",
+            Self::UnknownCustomer => "no_customer",
+            Self::NoConfiguration => "no_configuration",
             Self::NoServer => "no_server",
-            Self::Resting(_) => "resting",
+            Self::Pushback(_) => "resting",
             Self::Busy(_) => "busy",
-            Self::Share(_) => "over_share",
-            Self::TurnedAway => "turned_away",
+            Self::OverShare(_) => "over_share",
+            Self::Rejected => "turned_away",
             Self::Stopping => "stopping",
             Self::Quarantined => "quarantined",
-            Self::Unknown => "outcome_unknown",
-            Self::Garbled => "garbled_answer",
+            Self::OutcomeUnknown => "outcome_unknown",
+            Self::InvalidResponse => "garbled_answer",
             Self::TimedOut => "timed_out",
         }
     }
 
     /// When to come back, in milliseconds.
-    pub(crate) const fn retry_ms(self) -> Option<u32> {
+    pub(crate) const fn retry_after_ms(self) -> Option<u32> {
         match self {
-            Self::Resting(ms) | Self::Busy(ms) | Self::Share(ms) => Some(ms),
-            Self::NoView | Self::NoServer | Self::TurnedAway | Self::Stopping => Some(SOON_MS),
+            Self::Pushback(ms) | Self::Busy(ms) | Self::OverShare(ms) => Some(ms),
+            Self::NoConfiguration | Self::NoServer | Self::Rejected | Self::Stopping => {
+                Some(SOON_MS)
+            }
             _ => None,
         }
     }
 
     /// The answer that tells it.
-    pub(crate) fn response(self) -> Response<Answer> {
-        let body = format!("{{\"error\":\"{}\"}}\n", self.word());
-        let mut response = Response::new(Answer::whole(Bytes::from(body)));
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
+        let body = format!("{{\"error\":\"{}\"}}\n", self.code());
+        let mut response = Response::new(ResponseBody::full(Bytes::from(body)));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(ms) = self.retry_ms() {
+        if let Some(ms) = self.retry_after_ms() {
             let text = format!("{}.{:03}", ms / 1_000, ms % 1_000);
             let value = HeaderValue::from_str(&text).expect("digits are a header value");
             headers.insert(RETRY_AFTER, value);
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/response_body.rs
@@ -12,47 +12,47 @@
 
 /// An answer's body.
 #[derive(Debug)]
-pub(crate) enum Answer {
+pub(crate) enum ResponseBody {
     /// Known as a whole.
-    Whole(Full<Bytes>),
+    Full(Full<Bytes>),
     /// Passed on as it comes from a server.
-    Pieces(mpsc::Receiver<Result<Bytes, Broken>>),
+    Stream(mpsc::Receiver<Result<Bytes, BodyError>>),
 }
 
 /// Why an answer is not whole.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(crate) enum Broken {
+pub(crate) enum BodyError {
     /// answer broke off
-    Server,
+    Truncated,
     /// answer took longer than its route allows
-    Late,
+    TimedOut,
     /// router is stopping
     Stopping,
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
-impl Answer {
+impl ResponseBody {
     /// A body known as a whole.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+    pub(crate) fn full(bytes: Bytes) -> Self {
+        Self::Full(Full::new(bytes))
     }
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(whole) => {
+            Self::Full(whole) => {
                 let frame = ready!(Pin::new(whole).poll_frame(cx));
                 Poll::Ready(frame.map(|frame| frame.map_err(never)))
             }
-            Self::Pieces(pieces) => {
+            Self::Stream(pieces) => {
                 let piece = ready!(pieces.poll_recv(cx));
                 Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
             }
@@ -61,19 +61,19 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(whole) => whole.is_end_stream(),
-            Self::Pieces(_) => false,
+            Self::Full(whole) => whole.is_end_stream(),
+            Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(whole) => whole.size_hint(),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Full(whole) => whole.size_hint(),
+            Self::Stream(_) => SizeHint::default(),
         }
     }
 }
 
-fn never(never: Infallible) -> Broken {
+fn never(never: Infallible) -> BodyError {
     match never {}
 }
--- a/crates/gateway/src/budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -16,7 +16,7 @@
 /// The retries that this node may make, by pool: those of one pool do not count
 /// for another.
 #[derive(Debug, Default)]
-pub(crate) struct Budgets {
+pub(crate) struct RetryBudgets {
     inner: Mutex<Inner>,
 }
 
@@ -38,10 +38,10 @@
     }
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Bounds the retries: the fleet may make `ratio` for each request and `slack`
     /// beyond, and this node is one of `nodes`.
-    pub(crate) fn bound(&self, ratio: f64, slack: f64, nodes: usize) {
+    pub(crate) fn set_limits(&self, ratio: f64, slack: f64, nodes: usize) {
         let percent = whole_u32(ratio * RATIO_PART * 100.0);
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX).max(1);
         let full = u64::from(whole_u32(slack * SLACK_PART * 100.0 / f64::from(nodes)));
@@ -59,12 +59,12 @@
     }
 
     /// Counts a first attempt.
-    pub(crate) fn earn(&self, pool: PoolId) {
+    pub(crate) fn deposit(&self, pool: PoolId) {
         self.inner.lock().of(pool).deposit();
     }
 
     /// Spends a retry; `false` when none is left.
-    pub(crate) fn spend(&self, pool: PoolId) -> bool {
+    pub(crate) fn try_withdraw(&self, pool: PoolId) -> bool {
         self.inner.lock().of(pool).try_withdraw()
     }
 }
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -18,7 +18,7 @@
 
 /// Sets what both sides of the router need: no delay of small writes, and an
 /// error within seconds when the peer's machine is gone.
-pub(crate) fn tune<'a>(socket: impl Into<SockRef<'a>>) -> io::Result<()> {
+pub(crate) fn configure<'a>(socket: impl Into<SockRef<'a>>) -> io::Result<()> {
     let socket = socket.into();
     socket.set_tcp_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
@@ -29,9 +29,9 @@
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
 }
 
-/// Whether a connection has what [`tune`] sets. Linux hands the options of a listening
+/// Whether a connection has what [`configure`] sets. Linux hands the options of a listening
 /// socket on to the connections that it accepts, which saves six calls for each of them.
-pub(crate) fn is_tuned(stream: &TcpStream) -> bool {
+pub(crate) fn is_configured(stream: &TcpStream) -> bool {
     let socket = SockRef::from(stream);
     let has_nodelay = socket.tcp_nodelay().unwrap_or(false);
     let has_keepalive = socket.keepalive().unwrap_or(false);
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/stream_relay.rs
@@ -11,17 +11,17 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::answer::{Answer, Broken};
 use crate::backend::Running;
 use crate::call::Call;
 use crate::clock;
-use crate::conn::Conn;
+use crate::connection_pool::Connection;
 use crate::core::Core;
 use crate::dispatch::Trials;
 use crate::failure::fail;
 use crate::protocol::Reading;
 use crate::quarantine;
 use crate::refusal::Refusal;
+use crate::response_body::{BodyError, ResponseBody};
 
 /// Pieces that wait for the caller's connection; more hold the server up.
 const PIECES: usize = 4;
@@ -62,7 +62,7 @@
     running: Running,
     body: Incoming,
     events: Events,
-    pieces: mpsc::Sender<Result<Bytes, Broken>>,
+    pieces: mpsc::Sender<Result<Bytes, BodyError>>,
     passed: u32,
     /// When events were last passed on.
     passed_at: Instant,
@@ -80,9 +80,9 @@
     call: &Arc<Call>,
     running: Running,
     trials: Trials,
-    (conn, reading): (Conn, Reading),
+    (conn, reading): (Connection, Reading),
     body: Incoming,
-) -> mpsc::Receiver<Result<Bytes, Broken>> {
+) -> mpsc::Receiver<Result<Bytes, BodyError>> {
     let (pieces, receiver) = mpsc::channel(PIECES);
     let pump = Pump {
         core: Arc::clone(core),
@@ -102,7 +102,7 @@
 }
 
 impl Pump {
-    async fn run(mut self, conn: Conn, reading: Reading) {
+    async fn run(mut self, conn: Connection, reading: Reading) {
         let end = self.pass().await;
         let is_stalled = end == End::Stalled;
         if is_stalled || (end == End::Broken && self.trials.may_repeat(&self.core, &self.call)) {
@@ -111,9 +111,9 @@
         }
         let broken = match end {
             End::Whole | End::HungUp => None,
-            End::Broken | End::Stalled => Some(Broken::Server),
-            End::Late => Some(Broken::Late),
-            End::Stopping => Some(Broken::Stopping),
+            End::Broken | End::Stalled => Some(BodyError::Truncated),
+            End::Late => Some(BodyError::TimedOut),
+            End::Stopping => Some(BodyError::Stopping),
         };
         self.note(end);
         if let Some(broken) = broken {
@@ -144,20 +144,20 @@
         }
         let rest = self
             .trials
-            .run(core, call, self.last_event, Refusal::Unknown);
+            .run(core, call, self.last_event, Refusal::OutcomeUnknown);
         let rest: Pin<Box<dyn Future<Output = _> + Send + '_>> = Box::pin(rest);
         let rest = rest.await;
         log!(core.logger, Event::Resumed,
             "request" => &call.id,
             "after" => self.last_event,
-            "outcome" => rest.as_ref().map_or_else(|refusal| refusal.word(), |_| "answered"));
+            "outcome" => rest.as_ref().map_or_else(|refusal| refusal.code(), |_| "answered"));
         let Ok(response) = rest else {
             // A caller that is gone has no use for it.
-            let _ = self.pieces.send(Err(Broken::Server)).await;
+            let _ = self.pieces.send(Err(BodyError::Truncated)).await;
             return;
         };
-        let Answer::Pieces(mut rest) = response.into_body() else {
-            let _ = self.pieces.send(Err(Broken::Server)).await;
+        let ResponseBody::Stream(mut rest) = response.into_body() else {
+            let _ = self.pieces.send(Err(BodyError::Truncated)).await;
             return;
         };
         loop {
@@ -180,7 +180,7 @@
         let core = Arc::clone(&self.core);
         let pieces = self.pieces.clone();
         let mut closed = pin!(pieces.closed());
-        let mut late = pin!(clock::wait_until(self.call.deadline));
+        let mut late = pin!(clock::wait_until(self.call.deadline_ms));
         let mut stopping = pin!(core.stop.end.cancelled());
         let mut stall = self.stall();
         let mut stalled = pin!(clock::wait_for(stall));
@@ -246,7 +246,7 @@
     }
 
     fn note(&self, end: End) {
-        let elapsed_ms = clock::between_ms(self.call.since, Instant::now());
+        let elapsed_ms = clock::between_ms(self.call.received_at, Instant::now());
         log!(self.core.logger, Event::Streamed,
             "request" => &self.call.id,
             "server" => &self.running.backend.server.name,
--- a/crates/gateway/tests/gateway/crashes.rs
+++ b/crates/gateway/tests/gateway/crashes.rs
@@ -85,7 +85,7 @@
         ]
     };
     let (first, copies) = tokio::join!(first, copies);
-    expect_that!(first.is_whole, eq(true));
+    expect_that!(first.is_complete, eq(true));
     for copy in copies {
         expect_that!(copy.status, eq(502));
         expect_that!(copy.body, contains_substring("quarantined"));
@@ -93,7 +93,7 @@
     sleep(PAUSE).await;
     let copies = (0..3).map(|node| fleet.ask(node, "/resumable/", &body));
     for copy in join_all(copies).await {
-        expect_that!((copy.status, copy.is_whole), eq((200, true)));
+        expect_that!((copy.status, copy.is_complete), eq((200, true)));
     }
     expect_that!(ended(&fleet.servers), eq(1));
 }
@@ -110,11 +110,11 @@
     // What they share is kept by one server, which either would be sent to.
     let fields = format!("{PROMPT}x-shared: 7\r\n");
     let asked = bodies.each_ref().map(async |body| {
-        let request = caller::with_body("/resumable/", &fields, body);
+        let request = caller::request_with_body("/resumable/", &fields, body);
         caller::send(fleet.nodes[0].callers, &request).await
     });
     for reply in join_all(asked).await {
-        expect_that!(reply.is_whole, eq(true));
+        expect_that!(reply.is_complete, eq(true));
     }
     let shares = |head: &String| head.contains("x-shared");
     let servers = fleet.servers.iter();
@@ -137,7 +137,7 @@
         };
         let (beside, _) = tokio::join!(join_all(beside), bad);
         sleep(PAUSE).await;
-        for (body, first) in beside.into_iter().filter(|(_, first)| !first.is_whole) {
+        for (body, first) in beside.into_iter().filter(|(_, first)| !first.is_complete) {
             let again = fleet.ask(round + 1, "/resumable/", &body).await;
             expect_that!(again.status, eq(200), "{body} after {}", first.status);
         }
@@ -185,7 +185,7 @@
 #[tokio::test]
 async fn a_server_that_ends_in_an_evacuated_zone_is_evidence_as_well() {
     let fleet = Fleet::spawn(Name::New, 1, Way::Hang).await;
-    let request = caller::with_body("/once/", PROMPT, "any");
+    let request = caller::request_with_body("/once/", PROMPT, "any");
     // Servers of a zone that was evacuated are cold, and it has to know the fleet for those.
     sleep(KNOWN).await;
     for _ in 0..MOST {
@@ -216,12 +216,12 @@
     let running = fleet.ask(0, "/resumable/", "good");
     let failing = async {
         sleep(Duration::from_millis(100)).await;
-        let request = caller::with_body("/resumable/", PANICS, "good");
+        let request = caller::request_with_body("/resumable/", PANICS, "good");
         caller::send(fleet.nodes[0].callers, &request).await
     };
     let (running, failing) = tokio::join!(running, failing);
     expect_that!(failing.status, eq(0));
-    expect_that!(running.is_whole, eq(true));
+    expect_that!(running.is_complete, eq(true));
     // Writing a panic down can take so long that callers are kept away for seconds.
     fleet.nodes[0].wait_ready().await;
     expect_that!(fleet.ask(0, "/resumable/", "good").await.status, eq(200));
--- a/crates/gateway/tests/gateway/fleet.rs
+++ b/crates/gateway/tests/gateway/fleet.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::backend::Backend;
-use crate::caller::{self, Reply};
+use crate::caller::{self, Response};
 use crate::feed::{Client, Service};
 use crate::protocol::Words;
 
@@ -92,7 +92,7 @@
     }
 
     /// Sends a request.
-    pub(crate) async fn ask(&self, path: &str, fields: &str) -> Reply {
+    pub(crate) async fn ask(&self, path: &str, fields: &str) -> Response {
         caller::send(self.callers, &caller::request(path, fields)).await
     }
 
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -2,7 +2,6 @@
 //! are all played by the test.
 
 mod admission;
-mod answers;
 mod backend;
 mod caller;
 mod cold;
@@ -22,8 +21,9 @@
 mod notices;
 mod peers;
 mod protocol;
-mod repeats;
+mod responses;
 mod restore;
+mod retries;
 mod stop;
 mod strain;
 mod streams;
--- a/crates/gateway/tests/gateway/mortals.rs
+++ b/crates/gateway/tests/gateway/mortals.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use crate::backend::Way;
-use crate::caller::{self, Reply};
+use crate::caller::{self, Response};
 use crate::feed::Service;
 use crate::fleet::Node;
 use crate::mortal::{Luck, Mortal, Name};
@@ -55,8 +55,8 @@
     }
 
     /// Sends a request to a gateway.
-    pub(crate) async fn ask(&self, node: usize, path: &str, body: &str) -> Reply {
-        let request = caller::with_body(path, PROMPT, body);
+    pub(crate) async fn ask(&self, node: usize, path: &str, body: &str) -> Response {
+        let request = caller::request_with_body(path, PROMPT, body);
         caller::send(self.nodes[node % self.nodes.len()].callers, &request).await
     }
 }
--- a/crates/gateway/tests/gateway/notices.rs
+++ b/crates/gateway/tests/gateway/notices.rs
@@ -134,7 +134,7 @@
         let last = begun.pop().expect("a request");
         let mut head = [0; 64];
         let read = last.peek(&mut head).await.expect("an answer begins");
-        expect_that!(caller::read(&head[..read]).status, eq(status), "{way:?}");
+        expect_that!(caller::parse(&head[..read]).status, eq(status), "{way:?}");
         let before = came(&leaving);
         for _ in 0..4 {
             expect_that!(node.ask(path, "x-tokens: 10\r\n").await.status, eq(200));
--- a/crates/gateway/tests/gateway/answers.rs
+++ b/crates/gateway/tests/gateway/responses.rs
@@ -32,7 +32,7 @@
         let (_service, node) = ready(&[&backend]).await;
         let reply = node.ask(path, "").await;
         expect_that!(reply.status, eq(status), "{way:?} {path}");
-        expect_that!(reply.is_whole, eq(true), "{way:?} {path}");
+        expect_that!(reply.is_complete, eq(true), "{way:?} {path}");
         expect_that!(backend.state.heads().len(), eq(1), "{way:?} {path}");
     }
 }
@@ -174,7 +174,7 @@
     let (_service, node) = ready(&[&backend]).await;
     for path in ["/once/", "/idempotent/"] {
         let reply = node.ask(path, "").await;
-        expect_that!((reply.status, reply.is_whole), eq((200, true)), "{path}");
+        expect_that!((reply.status, reply.is_complete), eq((200, true)), "{path}");
         let came = reply.body.bytes().filter(|byte| *byte == b'x').count();
         expect_that!(came, eq(LARGE), "{path}");
     }
--- a/crates/gateway/tests/gateway/stop.rs
+++ b/crates/gateway/tests/gateway/stop.rs
@@ -19,7 +19,7 @@
     sleep(Duration::from_millis(100)).await;
     expect_that!(node.ready().await, eq(503));
     let reply = node.ask("/stream/", "x-tokens: 100\r\n").await;
-    expect_that!((reply.status, reply.is_whole), eq((200, true)));
+    expect_that!((reply.status, reply.is_complete), eq((200, true)));
     expect_that!(reply.head, contains_substring("connection: close"));
     sleep(Duration::from_millis(2_700)).await;
     let before = backend.state.heads().len();
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -6,14 +6,14 @@
 use tokio::time::sleep;
 
 use crate::backend::{Backend, Way, field};
-use crate::caller::{self, Reply};
+use crate::caller::{self, Response};
 use crate::fleet::{ready, register};
 use crate::protocol::{LONG_PROMPT, TIMEOUT_MS};
 
 const PROMPT: &str = "x-tokens: 100\r\n";
 
 /// The numbers of the events that came whole, in their order.
-fn events(reply: &Reply) -> Vec<u64> {
+fn events(reply: &Response) -> Vec<u64> {
     let lines = reply
         .body
         .lines()
@@ -33,7 +33,7 @@
             events(&reply),
             elements_are![eq(&1), eq(&2), eq(&3), eq(&4)]
         );
-        expect_that!(reply.is_whole, eq(true));
+        expect_that!(reply.is_complete, eq(true));
     }
 }
 
@@ -48,7 +48,7 @@
     let reply = node.ask("/stream/", PROMPT).await;
     expect_that!(reply.status, eq(200));
     expect_that!(events(&reply), elements_are![eq(&1), eq(&2)]);
-    expect_that!(reply.is_whole, eq(false));
+    expect_that!(reply.is_complete, eq(false));
     let came = cut.state.heads().len() + other.state.heads().len();
     expect_that!(came, eq(1));
 }
@@ -61,7 +61,7 @@
     for _ in 0..5 {
         let reply = node.ask("/stream/", PROMPT).await;
         expect_that!(events(&reply), elements_are![eq(&1), eq(&2)]);
-        expect_that!(reply.is_whole, eq(false));
+        expect_that!(reply.is_complete, eq(false));
     }
 }
 
@@ -78,7 +78,7 @@
                 elements_are![eq(&1), eq(&2), eq(&3), eq(&4)],
                 "{way:?}"
             );
-            expect_that!(reply.is_whole, eq(true), "{way:?}");
+            expect_that!(reply.is_complete, eq(true), "{way:?}");
         }
         let heads = good.state.heads();
         let resumed = heads
@@ -95,7 +95,7 @@
     let (_service, node) = ready(&[&backend]).await;
     let begun = tokio::time::Instant::now();
     let reply = node.ask("/stream/", PROMPT).await;
-    expect_that!(reply.is_whole, eq(false));
+    expect_that!(reply.is_complete, eq(false));
     expect_that!(begun.elapsed(), lt(Duration::from_millis(TIMEOUT_MS + 500)));
 }
 
@@ -123,7 +123,7 @@
     let replies = futures::future::join_all(asks).await;
     let whole = replies
         .iter()
-        .filter(|reply| reply.status == 200 && reply.is_whole);
+        .filter(|reply| reply.status == 200 && reply.is_complete);
     let begun = replies.iter().filter(|reply| reply.status == 200);
     expect_that!(whole.count(), eq(begun.count()));
 }
--- a/crates/gateway/tests/suspension/main.rs
+++ b/crates/gateway/tests/suspension/main.rs
@@ -155,7 +155,7 @@
     }
     let node = Node::spawn(&service, "g0").await;
     node.wait_ready().await;
-    let request = caller::with_body("/once/", "", BAD);
+    let request = caller::request_with_body("/once/", "", BAD);
     for _ in 0..4 {
         caller::send(node.callers, &request).await;
         sleep(TRIAL).await;
