--- a/crates/gateway/examples/cost.rs
+++ b/crates/gateway/examples/cost.rs
@@ -37,9 +37,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::runtime::Builder;
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::feed::Service;
-use crate::protocol::Words;
+use crate::protocol::TestProtocol;
 
 /// Ticks of the system's clock a second.
 const TICKS_S: f64 = 100.0;
@@ -66,9 +66,9 @@
     let word = words.next().unwrap_or_default();
     let is_refused = word == "refused";
     let way = match word.as_str() {
-        "refused" => Way::Hang,
-        "long" => Way::LongStream,
-        _ => Way::Stream,
+        "refused" => Behavior::Hang,
+        "long" => Behavior::LongStream,
+        _ => Behavior::Stream,
     };
     let service = Service::new();
     let (sender, receiver) = mpsc::channel();
@@ -103,7 +103,7 @@
     );
 }
 
-async fn service_with_servers(service: &Service, way: Way, servers: u32) {
+async fn service_with_servers(service: &Service, way: Behavior, servers: u32) {
     service.set("config", Some("1 secret"));
     for index in 0..servers {
         let backend = Backend::spawn(way).await;
@@ -136,7 +136,7 @@
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let feed = feed::Client::new(service);
-        let words = Words {
+        let words = TestProtocol {
             gateway: "g0".to_owned(),
         };
         let gateway = Gateway::spawn(settings, Arc::new(words), feed, logger).await;
--- a/crates/gateway/src/backend/cold.rs
+++ b/crates/gateway/src/backend/cold_limiter.rs
@@ -7,7 +7,7 @@
 
 /// How long a server is cold, and what this gateway may send it meanwhile.
 #[derive(Debug, Default)]
-pub(crate) struct Cold {
+pub(crate) struct ColdLimiter {
     /// Until when it is cold, in milliseconds of the boot clock.
     until_ms: AtomicU64,
     /// Requests a second that this gateway may send meanwhile.
@@ -17,7 +17,7 @@
     sent: Mutex<Window>,
 }
 
-impl Cold {
+impl ColdLimiter {
     /// Notes that it is cold until an instant at least.
     pub(crate) fn extend(&self, until_ms: u64) {
         self.until_ms.fetch_max(until_ms, Ordering::Relaxed);
@@ -29,7 +29,7 @@
     }
 
     /// Whether its share was found by an earlier view of the fleet than this one.
-    pub(crate) fn is_behind(&self, view: u64) -> bool {
+    pub(crate) fn is_share_stale(&self, view: u64) -> bool {
         self.view.load(Ordering::Relaxed) != view
     }
 
@@ -41,7 +41,7 @@
 
     /// Whether this gateway may send a request now. One that is out of touch may send nothing
     /// to a cold server: others may have been given its share.
-    pub(crate) fn has_room(&self, now_ms: u64, is_in_touch: bool) -> bool {
+    pub(crate) fn has_capacity(&self, now_ms: u64, is_in_touch: bool) -> bool {
         if !self.is_cold(now_ms) {
             return true;
         }
@@ -50,7 +50,7 @@
     }
 
     /// Counts a request that is sent now.
-    pub(crate) fn count(&self, now_ms: u64) {
+    pub(crate) fn record_send(&self, now_ms: u64) {
         if self.is_cold(now_ms) {
             let share = self.share.load(Ordering::Relaxed);
             self.sent.lock().try_acquire(share, now_ms);
--- a/crates/gateway/src/backend/health.rs
+++ b/crates/gateway/src/backend/health.rs
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     penalty_ms: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl Health {
     /// Time that is added to the cost of choosing the server, in milliseconds.
     pub(crate) fn penalty_ms(&self, now: Instant) -> f64 {
-        let Some(at) = self.at else {
+        let Some(at) = self.updated_at else {
             return 0.0;
         };
         #[expect(clippy::cast_precision_loss, reason = "some seconds in milliseconds")]
@@ -36,17 +36,17 @@
     }
 
     /// Notes a failure.
-    pub(crate) fn fail(&mut self, now: Instant) {
+    pub(crate) fn record_failure(&mut self, now: Instant) {
         self.penalty_ms = (self.penalty_ms(now) * 2.0 + FAILURE_MS).min(MOST_MS);
-        self.at = Some(now);
+        self.updated_at = Some(now);
     }
 
     /// Notes a success.
-    pub(crate) fn succeed(&mut self, now: Instant) {
-        if self.at.is_none() {
+    pub(crate) fn record_success(&mut self, now: Instant) {
+        if self.updated_at.is_none() {
             return;
         }
         self.penalty_ms = self.penalty_ms(now) * SUCCESS_LEAVES;
-        self.at = Some(now);
+        self.updated_at = Some(now);
     }
 }
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use tokio::time::Instant;
 
-use crate::backend::{Backend, Running};
+use crate::backend::{Backend, InFlight};
 use crate::call::Call;
 use crate::clock;
 use crate::core::Core;
@@ -29,7 +29,7 @@
     tried: &[ServerId],
     may_have_run: bool,
     is_apart: bool,
-) -> Result<Running, Refusal> {
+) -> Result<InFlight, Refusal> {
     let running = core.registry.with_pool(call.pool, |servers| {
         let now = Instant::now();
         let (now_ms, is_in_touch) = (clock::now_ms(), core.view.is_fresh());
@@ -37,18 +37,18 @@
             .iter()
             .filter(|backend| backend.is_open() && !tried.contains(&backend.server.id))
             // A server that rests is idle, and would be the best choice for each request.
-            .filter(|backend| backend.life.wait_ms(now_ms) == 0)
-            .filter(|backend| backend.cold.has_room(now_ms, is_in_touch))
+            .filter(|backend| backend.instance.wait_ms(now_ms) == 0)
+            .filter(|backend| backend.cold.has_capacity(now_ms, is_in_touch))
             .collect();
         if open.is_empty() {
             return Err(rest_of(servers, now_ms).unwrap_or(Refusal::NoServer));
         }
         // What peers say of a server leaves it out while there are others: they may be wrong.
-        prefer(&mut open, |backend| !backend.life.is_avoided(now_ms));
+        prefer(&mut open, |backend| !backend.instance.is_avoided(now_ms));
         if is_apart {
             // If one ends, only one request under suspicion is named.
             prefer(&mut open, |backend| {
-                backend.trials.load(Ordering::Relaxed) == 0
+                backend.isolated_requests.load(Ordering::Relaxed) == 0
             });
         }
         if call.prompt.is_some() {
@@ -64,10 +64,10 @@
             penalty_ms: backend.health.lock().penalty_ms(now),
         });
         let backend = named(&open, plain::choose(candidates))?;
-        Ok(Running::begin(backend, None))
+        Ok(InFlight::start(backend, None))
     })?;
     if is_apart {
-        return Ok(running.try_apart());
+        return Ok(running.isolate());
     }
     Ok(running)
 }
@@ -82,7 +82,7 @@
 
 fn rest_of(servers: &[Arc<Backend>], now_ms: u64) -> Option<Refusal> {
     let open = servers.iter().filter(|backend| backend.is_open());
-    let waits = open.map(|backend| backend.life.wait_ms(now_ms));
+    let waits = open.map(|backend| backend.instance.wait_ms(now_ms));
     let first_ms = waits.min().filter(|wait_ms| *wait_ms > 0)?;
     Some(Refusal::Resting(retry_after_ms(
         first_ms,
@@ -114,7 +114,7 @@
     open: &[&Arc<Backend>],
     standing: Option<Usage>,
     now: Instant,
-) -> Result<Running, Refusal> {
+) -> Result<InFlight, Refusal> {
     let prompt = call.prompt.as_ref().ok_or(Refusal::NoServer)?;
     let engines: Vec<_> = open.iter().map(|backend| backend.engine()).collect();
     let candidates = open.iter().zip(&engines).map(|(backend, engine)| {
@@ -128,7 +128,7 @@
     let candidates = shortlist(prompt, candidates, rand::rng().random());
     let aim = Objective {
         first_token_ms: as_f64(call.route.objective_ms),
-        max_pause_ms: call.route.gap_ms.map_or(f64::INFINITY, as_f64),
+        max_pause_ms: call.route.max_gap_ms.map_or(f64::INFINITY, as_f64),
     };
     let placed = shed::admit(
         prompt,
@@ -161,7 +161,7 @@
     let peers = u32::try_from(core.exchange.gateways() - 1).unwrap_or(u32::MAX);
     let read = choice.uncached.saturating_mul(peers);
     backend.engine.lock().cache.record_prefill(read);
-    Ok(Running::begin(backend, Some(prompt)))
+    Ok(InFlight::start(backend, Some(prompt)))
 }
 
 /// Takes back what a customer was charged for a request that its server has not run.
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/cache_report.rs
@@ -24,16 +24,16 @@
 
 /// Longest time that a list may take: a part that is read again meanwhile is known
 /// anyway, and parts that are not used for seconds yield.
-const LIST: Duration = Duration::from_secs(1);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Largest list that is read, in bytes: 10,000 parts.
-const LIST_BYTES: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
 /// Name of a request that the list does not answer.
-const NO_REQUEST: &str = "";
+const NO_REQUEST_ID: &str = "";
 
 /// Asks a model server what it keeps, in a task of its own. Other servers are not asked.
-pub(crate) fn spawn(core: &Arc<Core>, backend: &Arc<Backend>) {
+pub(crate) fn spawn_fetch(core: &Arc<Core>, backend: &Arc<Backend>) {
     let plan = core.view.plan();
     let pool = plan
         .as_ref()
@@ -41,9 +41,9 @@
     let is_model = pool.is_some_and(|pool| pool.model.is_some());
     // A cold server has just started and keeps nothing, and questions count in what it bears.
     let now_ms = clock::now_ms();
-    let is_held = backend.cold.is_cold(now_ms) || backend.life.wait_ms(now_ms) > 0;
+    let is_held = backend.cold.is_cold(now_ms) || backend.instance.wait_ms(now_ms) > 0;
     let may_ask = is_model && backend.is_open() && !is_held;
-    let Some(path) = core.protocol.kept_path().filter(|_| may_ask) else {
+    let Some(path) = core.protocol.cached_parts_path().filter(|_| may_ask) else {
         return;
     };
     let (core, backend) = (Arc::clone(core), Arc::clone(backend));
@@ -52,8 +52,8 @@
         if !core.registry.is_in_subset(&backend) {
             return;
         }
-        let asked = timeout(LIST, ask(&core, &backend, path)).await;
-        match asked.unwrap_or(Err(Error::Late)) {
+        let asked = timeout(FETCH_TIMEOUT, fetch(&core, &backend, path)).await;
+        match asked.unwrap_or(Err(Error::Timeout)) {
             Ok(names) => {
                 log!(core.logger, Event::Listed,
                     "server" => &backend.server.name, "parts" => names.len());
@@ -67,7 +67,7 @@
     });
 }
 
-async fn ask(core: &Core, backend: &Backend, path: &'static str) -> Result<Vec<PartId>, Error> {
+async fn fetch(core: &Core, backend: &Backend, path: &'static str) -> Result<Vec<PartId>, Error> {
     let mut conn = backend.conns.take().await?;
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = PathAndQuery::from_static(path).into();
@@ -76,13 +76,13 @@
     request.headers_mut().insert(HOST, host);
     let response = conn.sender.send_request(request).await?;
     let (head, body) = response.into_parts();
-    let reading = core.protocol.reading(&head, NO_REQUEST);
-    notice::take(core, backend, reading, NO_REQUEST);
+    let reading = core.protocol.parse_response(&head, NO_REQUEST_ID);
+    notice::apply(core, backend, reading, NO_REQUEST_ID);
     if head.status != StatusCode::OK {
         return Err(Error::Status(head.status));
     }
-    let body = Limited::new(body, LIST_BYTES).collect().await;
+    let body = Limited::new(body, MAX_REPORT_BYTES).collect().await;
     let body = body.map_err(Error::Body)?.to_bytes();
-    backend.give(conn, reading);
-    Ok(core.protocol.kept(&body)?)
+    backend.release_conn(conn, reading);
+    Ok(core.protocol.parse_cached_parts(&body)?)
 }
--- a/crates/gateway/src/kept/error.rs
+++ b/crates/gateway/src/cache_report/error.rs
@@ -5,7 +5,7 @@
 use displaydoc::Display;
 use hyper::StatusCode;
 
-use crate::protocol::Unreadable;
+use crate::protocol::ParseError;
 
 /// Why a server's list could not be had.
 #[derive(Debug, Display)]
@@ -13,15 +13,15 @@
     /// could not connect: {0}
     Connect(io::Error),
     /// could not ask: {0}
-    Ask(hyper::Error),
+    Request(hyper::Error),
     /// server answered with status {0}
     Status(StatusCode),
     /// could not read the list: {0}
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// {0}
-    Unreadable(Unreadable),
+    Parse(ParseError),
     /// no list in time
-    Late,
+    Timeout,
 }
 
 impl From<io::Error> for Error {
@@ -32,12 +32,12 @@
 
 impl From<hyper::Error> for Error {
     fn from(error: hyper::Error) -> Self {
-        Self::Ask(error)
+        Self::Request(error)
     }
 }
 
-impl From<Unreadable> for Error {
-    fn from(error: Unreadable) -> Self {
-        Self::Unreadable(error)
+impl From<ParseError> for Error {
+    fn from(error: ParseError) -> Self {
+        Self::Parse(error)
     }
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -34,7 +34,7 @@
     let answer = match uri.path() {
         METRICS => Response::new(Full::new(Bytes::from(ready::metrics(&core)))),
         LIST => relayed(core.mirror.list(core.view.confirmed_since_ms(came))),
-        quarantine::PATH => quarantine::answer(&core, request).await,
+        quarantine::PATH => quarantine::handle_admit(&core, request).await,
         CHANGES => changes(&core, uri.query().unwrap_or(""), came).await,
         _ => status(StatusCode::NOT_FOUND),
     };
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::answer::Answer;
-use crate::backend::Running;
+use crate::backend::InFlight;
 use crate::balance;
 use crate::call::Call;
 use crate::clock;
@@ -145,7 +145,7 @@
 
     /// Whether another server may run the request besides those that may have.
     pub(crate) fn has_another(&self, call: &Call) -> bool {
-        call.route.kind.may_repeat() && self.ran < call.route.attempts
+        call.route.kind.is_retryable() && self.ran < call.route.max_attempts
     }
 
     /// Whether another server may be asked for want of an answer: not with a second copy of a
@@ -157,7 +157,7 @@
     /// When another server is asked for want of an answer; `None` if none may be.
     /// It is called while the last server asked is not yet counted.
     fn stall(&self, call: &Call) -> Option<Instant> {
-        let is_last = !call.route.kind.may_repeat() || self.ran + 1 >= call.route.attempts;
+        let is_last = !call.route.kind.is_retryable() || self.ran + 1 >= call.route.max_attempts;
         if is_last || self.is_suspect {
             return None;
         }
@@ -187,15 +187,15 @@
     trials.run(core, call, None, Refusal::NoServer).await
 }
 
-fn note(core: &Core, call: &Call, running: &Running, attempt: u32) {
+fn note(core: &Core, call: &Call, running: &InFlight, attempt: u32) {
     log!(core.logger, Event::Routed,
         "request" => &call.id,
         "attempt" => attempt,
         "customer" => call.customer_name(),
         "route" => &call.route.name,
         "server" => &running.backend.server.name,
-        "unread" => running.ahead(),
-        "uncached" => running.tokens,
+        "unread" => running.queued_tokens(),
+        "uncached" => running.prompt_tokens,
         "view_age_ms" => core.view.age_ms(),
         "elapsed_ms" => clock::between_ms(call.since, Instant::now()));
 }
--- a/crates/gateway/src/dispatch/send.rs
+++ b/crates/gateway/src/dispatch/send.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response, StatusCode};
 
 use crate::answer::Answer;
-use crate::backend::Running;
+use crate::backend::InFlight;
 use crate::call::Call;
 use crate::conn::Conn;
 use crate::core::Core;
@@ -17,7 +17,7 @@
 use crate::failure::fail;
 use crate::header;
 use crate::outcome::Outcome;
-use crate::protocol::{Order, Proof};
+use crate::protocol::{Forwarding, Verification};
 use crate::{clock, notice, pass, pump, quarantine};
 
 /// Largest answer that is kept until it is whole, in bytes; larger ones are passed on as they come.
@@ -28,7 +28,7 @@
 pub(super) async fn send(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: Running,
+    running: InFlight,
     trials: &Trials,
     resume_after: Option<u64>,
 ) -> Outcome {
@@ -51,7 +51,7 @@
         }
     };
     // What was learnt of the server while this request waited for a connection binds it as well.
-    if !backend.is_open() || backend.life.is_resting(clock::now_ms()) {
+    if !backend.is_open() || backend.instance.is_pushing_back(clock::now_ms()) {
         return Outcome::Withheld;
     }
     let request = request(core, call, &running, resume_after);
@@ -81,7 +81,7 @@
             if is_unsent {
                 return Outcome::Unsent;
             }
-            quarantine::witness(core, call, &running).await;
+            quarantine::record_failure(core, call, &running).await;
             return Outcome::Unknown;
         }
     };
@@ -91,20 +91,20 @@
 fn request(
     core: &Core,
     call: &Call,
-    running: &Running,
+    running: &InFlight,
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.path.clone().into();
     let mut headers = call.headers.clone();
-    let order = Order {
-        left_ms: call.left_ms().max(1),
+    let order = Forwarding {
+        remaining_ms: call.left_ms().max(1),
         server: &running.backend.server.name,
         customer: call.customer_name(),
         resume_after,
     };
-    core.protocol.forward(&mut headers, &order);
+    core.protocol.rewrite_headers(&mut headers, &order);
     *request.headers_mut() = headers;
     request
 }
@@ -112,20 +112,20 @@
 async fn read(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: Running,
+    running: InFlight,
     trials: &Trials,
     conn: Conn,
     response: Response<Incoming>,
 ) -> Outcome {
     let (mut head, body) = response.into_parts();
-    let reading = core.protocol.reading(&head, &call.id);
+    let reading = core.protocol.parse_response(&head, &call.id);
     if let Some(left_ms) = reading.cold_left_ms.filter(|left_ms| *left_ms > 0) {
         running.backend.cold.extend(clock::now_ms() + left_ms);
     }
-    notice::take(core, &running.backend, reading, &call.id);
-    match reading.proof {
-        Proof::Sealed if !head.headers.contains_key(CONTENT_ENCODING) => {}
-        Proof::Sealed | Proof::Unproved => {
+    notice::apply(core, &running.backend, reading, &call.id);
+    match reading.verification {
+        Verification::Sealed if !head.headers.contains_key(CONTENT_ENCODING) => {}
+        Verification::Sealed | Verification::Unverified => {
             fail(
                 core,
                 call,
@@ -135,16 +135,16 @@
             );
             return Outcome::Garbled;
         }
-        Proof::Crossed => {
+        Verification::Mismatched => {
             fail(core, call, &running, "answer of another request", "");
             return Outcome::Garbled;
         }
-        Proof::OtherServer => {
+        Verification::WrongServer => {
             fail(core, call, &running, "another server has the address", "");
             running.backend.close();
             return Outcome::OtherServer;
         }
-        Proof::NotRun => {
+        Verification::NotExecuted => {
             fail(core, call, &running, "turned away", head.status.as_str());
             return Outcome::TurnedAway;
         }
@@ -165,8 +165,8 @@
     };
     let answer = match collected {
         Ok(Collected::Whole(whole)) => {
-            quarantine::survived(core, || call.digest());
-            running.finish(conn, reading);
+            quarantine::record_success(core, || call.digest());
+            running.complete(conn, reading);
             Answer::whole(whole)
         }
         Ok(Collected::Large(begun, rest)) => {
@@ -175,7 +175,7 @@
         }
         Err(error) => {
             fail(core, call, &running, "answer broke off", &error.to_string());
-            quarantine::witness(core, call, &running).await;
+            quarantine::record_failure(core, call, &running).await;
             return Outcome::Unknown;
         }
     };
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -118,7 +118,7 @@
         }
         drop(inner);
         let (suspects, leaving) = (
-            core.quarantine.told(),
+            core.quarantine.updates(),
             core.registry.instances.announcements(),
         );
         for (beat, _) in &mut round {
@@ -132,8 +132,8 @@
         if beat.origin == self.origin {
             return;
         }
-        quarantine::hear(core, &beat.suspects);
-        notice::hear(core, &beat.leaving);
+        quarantine::receive(core, &beat.suspects);
+        notice::receive(core, &beat.leaving);
         let now = clock::now_ms();
         let mut inner = self.inner.lock();
         let is_known = inner.aggregate.knows(beat.origin);
--- a/crates/gateway/src/follow/contents.rs
+++ b/crates/gateway/src/follow/contents.rs
@@ -16,7 +16,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::exchange::{self, Peer};
-use crate::protocol::Unreadable;
+use crate::protocol::ParseError;
 use crate::quarantine;
 
 /// Time for which a key is still taken to be there that a copy lacks from which the service came
@@ -111,7 +111,7 @@
             if is_restored {
                 self.missing.insert(key.clone(), until);
                 if let Some(digest) = quarantine::digest_of(key) {
-                    quarantine::write_again(&self.core, digest);
+                    quarantine::rewrite(&self.core, digest);
                 }
             } else if !self.missing.contains_key(key) {
                 self.forget(key);
@@ -193,13 +193,13 @@
     /// Takes in what gateways found out of a request. One that an operator or a run that ended
     /// well has cleared names no lives.
     fn convict(&self, digest: Digest, value: &[u8], revision: Revision) {
-        match quarantine::read(digest, value) {
+        match quarantine::parse(digest, value) {
             Some(suspect) if suspect.crashes.is_empty() => quarantine::release(&self.core, digest),
-            Some(suspect) => quarantine::hear(&self.core, &[suspect]),
+            Some(suspect) => quarantine::receive(&self.core, &[suspect]),
             None => {
-                let error = Unreadable {
-                    what: "lives that ended under a request".to_owned(),
-                    why: "they are no numbers".to_owned(),
+                let error = ParseError {
+                    subject: "lives that ended under a request".to_owned(),
+                    reason: "they are no numbers".to_owned(),
                 };
                 self.unreadable(&digest.to_string(), revision, &error);
             }
@@ -218,7 +218,7 @@
     }
 
     fn configure(&mut self, value: &[u8], revision: Revision) {
-        match self.core.protocol.plan(value) {
+        match self.core.protocol.parse_config(value) {
             Ok(plan) => {
                 let version = plan.version();
                 if self.core.view.apply(plan) {
@@ -231,7 +231,7 @@
         }
     }
 
-    fn unreadable(&self, key: &str, revision: Revision, error: &Unreadable) {
+    fn unreadable(&self, key: &str, revision: Revision, error: &ParseError) {
         log!(self.core.logger, Event::ConfigUnreadable,
             "key" => key, "revision" => revision, "error" => error.to_string());
     }
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -10,9 +10,9 @@
 use crate::backend::Backend;
 use crate::clock;
 use crate::core::Core;
-use crate::protocol::Unreadable;
+use crate::protocol::ParseError;
 use crate::server::Server;
-use crate::{kept, quarantine};
+use crate::{cache_report, quarantine};
 
 /// Time for which a server stays in use that lapsed while the service failed, in
 /// milliseconds: those that are alive register again within it.
@@ -97,7 +97,7 @@
         self.known.insert(name.to_owned(), revision);
         let held = self.core.registry.get(name);
         let is_closed = held.is_some_and(|held| held.is_closed());
-        let is_ready = matches!(self.core.protocol.server(name, value),
+        let is_ready = matches!(self.core.protocol.parse_server(name, value),
             Ok(Server { is_leaving, .. }) if !is_leaving);
         if is_ready && (is_closed || self.gone.contains_key(name)) {
             log!(self.core.logger, Event::ServerHeldOver, "server" => name, "revision" => revision);
@@ -109,7 +109,7 @@
     fn register(&mut self, name: &str, value: &[u8], revision: Revision) {
         self.lapsing.remove(name);
         self.gone.remove(name);
-        let server = match self.core.protocol.server(name, value) {
+        let server = match self.core.protocol.parse_server(name, value) {
             Ok(server) => server,
             Err(error) => {
                 self.unreadable(name, revision, &error);
@@ -133,7 +133,7 @@
             log!(self.core.logger, Event::ServerSeen,
                 "server" => name, "leaving" => is_leaving, "revision" => revision);
             if let Some(backend) = backend.filter(|_| !is_leaving) {
-                kept::spawn(&self.core, &backend);
+                cache_report::spawn_fetch(&self.core, &backend);
             }
         }
     }
@@ -149,7 +149,7 @@
     /// Notes that a life of a server is over that was in use.
     fn lapse(&self, backend: Option<Arc<Backend>>) {
         if let Some(backend) = backend {
-            tokio::spawn(quarantine::lapsed(Arc::clone(&self.core), backend));
+            tokio::spawn(quarantine::record_lapse(Arc::clone(&self.core), backend));
         }
     }
 
@@ -197,7 +197,7 @@
         }
     }
 
-    fn unreadable(&self, name: &str, revision: Revision, error: &Unreadable) {
+    fn unreadable(&self, name: &str, revision: Revision, error: &ParseError) {
         log!(self.core.logger, Event::ConfigUnreadable,
             "key" => name, "revision" => revision, "error" => error.to_string());
     }
--- a/crates/gateway/src/follow/shares.rs
+++ b/crates/gateway/src/follow/shares.rs
@@ -31,7 +31,7 @@
         let used = self.core.registry.subset();
         let cold = used
             .iter()
-            .filter(|backend| backend.cold.is_cold(now) && backend.cold.is_behind(view));
+            .filter(|backend| backend.cold.is_cold(now) && backend.cold.is_share_stale(view));
         let cold: Vec<&Arc<Backend>> = cold.collect();
         if cold.is_empty() {
             return;
@@ -59,7 +59,7 @@
         };
         let settings = self.core.settings.load();
         let limit = Limit {
-            per_s: cold.per_s,
+            per_s: cold.requests_per_s,
             overage: settings.cold_overage,
             slack: settings.cold_slack,
         };
--- a/crates/gateway/src/follow/zones.rs
+++ b/crates/gateway/src/follow/zones.rs
@@ -49,7 +49,7 @@
             if let Some(cold) = pool.and_then(|pool| pool.cold) {
                 backend
                     .cold
-                    .extend(clock::now_ms() + cold.start_ms + MARGIN_MS);
+                    .extend(clock::now_ms() + cold.duration_ms + MARGIN_MS);
             }
         }
         self.tell(zone, servers.len(), false);
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -16,7 +16,7 @@
 use crate::call::Call;
 use crate::core::Core;
 use crate::plan::{Customer, Plan, Route};
-use crate::protocol::Ask;
+use crate::protocol::RequestHead;
 use crate::refusal::Refusal;
 use crate::{clock, header};
 
@@ -26,7 +26,7 @@
 
 /// A request and what its head says.
 pub(crate) struct Intake {
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestHead,
     since: Instant,
     /// The same by the boot clock, in milliseconds.
     since_ms: u64,
@@ -39,7 +39,7 @@
     pub(crate) fn open(core: &Core, request: Request<Incoming>) -> Result<Self, Refusal> {
         let since = Instant::now();
         let (parts, body) = request.into_parts();
-        let ask = core.protocol.ask(&parts);
+        let ask = core.protocol.parse_request(&parts);
         let ask = ask.map_err(|error| {
             log!(core.logger, Event::Malformed, "error" => error.to_string());
             Refusal::Malformed
@@ -61,12 +61,14 @@
         let plan = core.view.plan().ok_or(Refusal::NoView)?;
         let route = Arc::clone(self.route(core, &plan)?);
         let customer = self.customer(core, &plan, &route)?;
-        let pool = route.pool(rand::rng().random()).ok_or(Refusal::NoServer)?;
-        let patience_ms = self.ask.patience_ms.unwrap_or(u64::MAX);
+        let pool = route
+            .select_pool(rand::rng().random())
+            .ok_or(Refusal::NoServer)?;
+        let patience_ms = self.ask.timeout_ms.unwrap_or(u64::MAX);
         let deadline = self
             .since_ms
             .saturating_add(patience_ms.min(route.timeout_ms));
-        let body = read_body(self.body, plan.limits().body_bytes);
+        let body = read_body(self.body, plan.limits().max_body_bytes);
         let body = tokio::select! {
             body = body => body,
             () = clock::wait_until(deadline) => Err(Refusal::Slow),
--- a/crates/gateway/src/listen/connection.rs
+++ b/crates/gateway/src/listen/connection.rs
@@ -40,8 +40,8 @@
 pub(super) fn connect(core: &Arc<Core>, watcher: Watcher, stream: TcpStream, way: Way) {
     let plan = core.view.plan();
     let limits = plan.as_ref().map(|plan| plan.limits());
-    let head_bytes = limits.map_or(HEAD_BYTES, |limits| limits.head_bytes);
-    let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_ms);
+    let head_bytes = limits.map_or(HEAD_BYTES, |limits| limits.max_head_bytes);
+    let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_timeout_ms);
     let service = {
         let core = Arc::clone(core);
         service_fn(move |request| answer(Arc::clone(&core), request, way))
@@ -94,7 +94,7 @@
     let call = Arc::new(intake.read(core).await?);
     let response = dispatch::answer(core, &call).await?;
     let elapsed = Instant::now() - call.since;
-    let kind = call.route.kind.word();
+    let kind = call.route.kind.as_str();
     metrics::histogram!("first_answer_seconds", "kind" => kind).record(elapsed.as_secs_f64());
     log!(core.logger, Event::Answered,
         "request" => &call.id,
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -8,41 +8,45 @@
 use crate::backend::Backend;
 use crate::clock;
 use crate::core::Core;
-use crate::protocol::{Proof, Reading};
+use crate::protocol::{ResponseHead, Verification};
 
 /// Takes in what a server says of itself with the answer to a request.
-pub(crate) fn take(core: &Core, backend: &Backend, reading: Reading, request: &str) {
-    let notice = reading.proved();
+pub(crate) fn apply(core: &Core, backend: &Backend, reading: ResponseHead, request: &str) {
+    let notice = reading.verified_notice();
     if notice.is_leaving {
-        leave(core, backend, request);
+        apply_leaving(core, backend, request);
     }
-    if let Some(rest_ms) = notice.rest_ms {
-        rest(core, backend, rest_ms, request);
-    } else if reading.proof == Proof::Sealed && backend.life.answer(clock::now_ms()) {
+    if let Some(rest_ms) = notice.pushback_ms {
+        apply_pushback(core, backend, rest_ms, request);
+    } else if reading.verification == Verification::Sealed
+        && backend.instance.record_response(clock::now_ms())
+    {
         log!(core.logger, Event::ServerRested,
             "request" => request, "server" => &backend.server.name);
     }
 }
 
 /// Closes a server that says it leaves.
-fn leave(core: &Core, backend: &Backend, request: &str) {
-    if !backend.life.leave(clock::now_ms()) {
+fn apply_leaving(core: &Core, backend: &Backend, request: &str) {
+    if !backend.instance.record_announcement(clock::now_ms()) {
         return;
     }
     backend.close();
     core.registry
         .instances
-        .insert(backend.server.id, &backend.life);
+        .insert(backend.server.id, &backend.instance);
     metrics::counter!("servers_leaving_total", "source" => "answer").increment(1);
     log!(core.logger, Event::ServerLeaves,
         "request" => request, "server" => &backend.server.name, "source" => "answer");
 }
 
 /// Takes in which servers told other gateways that they leave.
-pub(crate) fn hear(core: &Core, leaving: &[Leaving]) {
+pub(crate) fn receive(core: &Core, leaving: &[Leaving]) {
     for told in leaving {
         let backend = core.registry.get_by_id(told.server);
-        let life = backend.as_ref().map(|backend| Arc::clone(&backend.life));
+        let life = backend
+            .as_ref()
+            .map(|backend| Arc::clone(&backend.instance));
         if !core.registry.instances.receive(*told, life) {
             continue;
         }
@@ -55,16 +59,16 @@
 }
 
 /// Sends a server nothing for as long as it asks.
-fn rest(core: &Core, backend: &Backend, rest_ms: u64, request: &str) {
+fn apply_pushback(core: &Core, backend: &Backend, rest_ms: u64, request: &str) {
     let now_ms = clock::now_ms();
-    backend.life.ask(rest_ms, now_ms);
+    backend.instance.record_pushback(rest_ms, now_ms);
     core.registry
         .instances
-        .insert(backend.server.id, &backend.life);
+        .insert(backend.server.id, &backend.instance);
     metrics::counter!("servers_resting_total").increment(1);
     log!(core.logger, Event::ServerRests,
         "request" => request,
         "server" => &backend.server.name,
         "rest_ms" => rest_ms,
-        "wait_ms" => backend.life.wait_ms(now_ms));
+        "wait_ms" => backend.instance.wait_ms(now_ms));
 }
--- a/crates/gateway/src/pass.rs
+++ b/crates/gateway/src/pass.rs
@@ -8,13 +8,13 @@
 use tokio::sync::mpsc;
 
 use crate::answer::Broken;
-use crate::backend::Running;
+use crate::backend::InFlight;
 use crate::call::Call;
 use crate::clock;
 use crate::conn::Conn;
 use crate::core::Core;
 use crate::failure::fail;
-use crate::protocol::Reading;
+use crate::protocol::ResponseHead;
 use crate::quarantine;
 
 /// Pieces that wait for the caller's connection; more hold the server up.
@@ -25,8 +25,8 @@
 pub(crate) fn spawn(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: Running,
-    (conn, reading): (Conn, Reading),
+    running: InFlight,
+    (conn, reading): (Conn, ResponseHead),
     begun: Bytes,
     rest: Incoming,
 ) -> mpsc::Receiver<Result<Bytes, Broken>> {
@@ -41,8 +41,8 @@
         };
         match passed {
             Ok(()) => {
-                quarantine::survived(&core, || call.digest());
-                running.finish(conn, reading);
+                quarantine::record_success(&core, || call.digest());
+                running.complete(conn, reading);
             }
             Err(broken) => {
                 fail(
@@ -55,7 +55,7 @@
                 // A caller that is gone has no use for it.
                 let _ = pieces.send(Err(broken)).await;
                 if broken == Broken::Server {
-                    quarantine::witness(&core, &call, &running).await;
+                    quarantine::record_failure(&core, &call, &running).await;
                 }
             }
         }
--- a/crates/gateway/src/plan.rs
+++ b/crates/gateway/src/plan.rs
@@ -1,18 +1,18 @@
 //! The accepted configuration, indexed for the path of a request.
 
 mod customer;
-mod kind;
 mod limits;
 mod pool;
+mod request_kind;
 mod route;
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 pub use self::customer::Customer;
-pub use self::kind::Kind;
 pub use self::limits::Limits;
-pub use self::pool::{Cold, Model, Pool};
+pub use self::pool::{ColdStart, Model, Pool};
+pub use self::request_kind::RequestKind;
 pub use self::route::{Route, Target};
 use mulberryyoke_model::PoolId;
 
--- a/crates/gateway/src/plan/pool.rs
+++ b/crates/gateway/src/plan/pool.rs
@@ -10,22 +10,22 @@
     /// Its name.
     pub name: String,
     /// Path under which a server tells its health.
-    pub health: String,
+    pub health_path: String,
     /// Most connections that one server takes, from all routers together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// What its model servers are like; `None` for a plain service.
     pub model: Option<Model>,
     /// What its servers bear while they are cold; `None` where none ever is.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
 }
 
 /// What the servers of a pool bear while they are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// How long a server is cold after its start, in milliseconds.
-    pub start_ms: u64,
+    pub duration_ms: u64,
     /// Requests a second that it is made for meanwhile, from all gateways together.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// What the model servers of a pool are like.
--- a/crates/gateway/src/plan/kind.rs
+++ b/crates/gateway/src/plan/request_kind.rs
@@ -2,7 +2,7 @@
 
 /// What may be done with a request of a route more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may run more than once.
     Idempotent,
     /// It may run at most once.
@@ -13,10 +13,10 @@
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request may be sent again after it may have run.
     #[must_use]
-    pub const fn may_repeat(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
@@ -28,7 +28,7 @@
 
     /// Its name in logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
             Self::Once => "once",
--- a/crates/gateway/src/plan/route.rs
+++ b/crates/gateway/src/plan/route.rs
@@ -2,7 +2,7 @@
 
 use mulberryyoke_model::PoolId;
 
-use super::Kind;
+use super::RequestKind;
 
 /// Where requests of a host and path go, and within what bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     /// Beginning of the path, with a slash at both ends.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Whether it takes requests without a key.
     pub is_public: bool,
     /// Longest time that a caller is kept waiting, in milliseconds.
@@ -22,9 +22,9 @@
     /// Time within which an answer, or a stream's first event, is on time, in milliseconds.
     pub objective_ms: u64,
     /// Longest pause between events of an answer that is on time, in milliseconds.
-    pub gap_ms: Option<u64>,
+    pub max_gap_ms: Option<u64>,
     /// Most servers that may run one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Pools, with their portions of the requests.
@@ -41,11 +41,11 @@
 }
 
 impl Route {
-    /// The pool for a request, by a number drawn evenly. `None` without targets.
+    /// The pool of a request, for a uniformly random number. `None` without targets.
     #[must_use]
-    pub fn pool(&self, drawn: u32) -> Option<PoolId> {
+    pub fn select_pool(&self, random: u32) -> Option<PoolId> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
-        let mut point = u64::from(drawn).checked_rem(total)?;
+        let mut point = u64::from(random).checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if point < weight {
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,20 +1,20 @@
 //! What callers and backend servers say, read by an adapter at the process's edge.
 
-mod ask;
+mod forwarding;
 mod notice;
-mod order;
-mod reading;
-mod unreadable;
+mod parse_error;
+mod request_head;
+mod response_head;
 
 use hyper::HeaderMap;
 use hyper::http::{request, response};
 use mulberryyoke_decide::engine::PartId;
 
-pub use self::ask::Ask;
+pub use self::forwarding::Forwarding;
 pub use self::notice::Notice;
-pub use self::order::Order;
-pub use self::reading::{Proof, Reading};
-pub use self::unreadable::Unreadable;
+pub use self::parse_error::ParseError;
+pub use self::request_head::RequestHead;
+pub use self::response_head::{ResponseHead, Verification};
 use crate::plan::Plan;
 use crate::server::Server;
 
@@ -24,15 +24,15 @@
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] when a header has not the form it must have.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, Unreadable>;
+    /// [`ParseError`] when a header has not the form it must have.
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, ParseError>;
 
     /// Turns a caller's end-to-end headers into those for a server: names that are
     /// the router's alone are removed, then what the order says is set.
-    fn forward(&self, headers: &mut HeaderMap, order: &Order<'_>);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, forwarding: &Forwarding<'_>);
 
     /// Reads what the head of a server's answer proves.
-    fn reading(&self, head: &response::Parts, id: &str) -> Reading;
+    fn parse_response(&self, head: &response::Parts, id: &str) -> ResponseHead;
 
     /// Key under which the configuration lies.
     fn config_key(&self) -> &'static str;
@@ -47,24 +47,24 @@
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] when the value is no configuration.
-    fn plan(&self, value: &[u8]) -> Result<Plan, Unreadable>;
+    /// [`ParseError`] when the value is no configuration.
+    fn parse_config(&self, value: &[u8]) -> Result<Plan, ParseError>;
 
     /// Path at which a model server lists the prompt parts that it keeps; `None` where
     /// servers list none.
-    fn kept_path(&self) -> Option<&'static str>;
+    fn cached_parts_path(&self) -> Option<&'static str>;
 
     /// Reads such a list.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] when the value is no list.
-    fn kept(&self, value: &[u8]) -> Result<Vec<PartId>, Unreadable>;
+    /// [`ParseError`] when the value is no list.
+    fn parse_cached_parts(&self, value: &[u8]) -> Result<Vec<PartId>, ParseError>;
 
     /// Reads a server's registration.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] when the value is no registration.
-    fn server(&self, name: &str, value: &[u8]) -> Result<Server, Unreadable>;
+    /// [`ParseError`] when the value is no registration.
+    fn parse_server(&self, name: &str, value: &[u8]) -> Result<Server, ParseError>;
 }
--- a/crates/gateway/src/protocol/order.rs
+++ b/crates/gateway/src/protocol/forwarding.rs
@@ -2,9 +2,9 @@
 
 /// What a router tells a server with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Order<'a> {
+pub struct Forwarding<'a> {
     /// Time that is left for the answer, in milliseconds.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// The server that is meant; another one at its address has to turn the request away.
     pub server: &'a str,
     /// The customer, if the request has one.
--- a/crates/gateway/src/protocol/notice.rs
+++ b/crates/gateway/src/protocol/notice.rs
@@ -6,5 +6,5 @@
     /// It leaves and wants nothing new.
     pub is_leaving: bool,
     /// How long it wants nothing from this router, in milliseconds, if it tells.
-    pub rest_ms: Option<u64>,
+    pub pushback_ms: Option<u64>,
 }
--- a/crates/gateway/src/protocol/unreadable.rs
+++ b/crates/gateway/src/protocol/parse_error.rs
@@ -2,13 +2,13 @@
 
 use displaydoc::Display;
 
-/// could not read {what}: {why}
+/// could not read {subject}: {reason}
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct ParseError {
     /// The header, key or field.
-    pub what: String,
+    pub subject: String,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for ParseError {}
--- a/crates/gateway/src/protocol/ask.rs
+++ b/crates/gateway/src/protocol/request_head.rs
@@ -4,11 +4,11 @@
 
 /// What a caller's head says beside method, path and host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestHead {
     /// The caller's name for this attempt.
     pub id: String,
     /// How long the caller waits from now, in milliseconds.
-    pub patience_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
     /// The bearer key.
     pub key: Option<String>,
     /// The prompt, if it is for a model.
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -12,14 +12,14 @@
 use tokio::time::Instant;
 
 use crate::answer::{Answer, Broken};
-use crate::backend::Running;
+use crate::backend::InFlight;
 use crate::call::Call;
 use crate::clock;
 use crate::conn::Conn;
 use crate::core::Core;
 use crate::dispatch::Trials;
 use crate::failure::fail;
-use crate::protocol::Reading;
+use crate::protocol::ResponseHead;
 use crate::quarantine;
 use crate::refusal::Refusal;
 
@@ -59,7 +59,7 @@
 struct Pump {
     core: Arc<Core>,
     call: Arc<Call>,
-    running: Running,
+    running: InFlight,
     body: Incoming,
     events: Events,
     pieces: mpsc::Sender<Result<Bytes, Broken>>,
@@ -78,9 +78,9 @@
 pub(crate) fn spawn(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: Running,
+    running: InFlight,
     trials: Trials,
-    (conn, reading): (Conn, Reading),
+    (conn, reading): (Conn, ResponseHead),
     body: Incoming,
 ) -> mpsc::Receiver<Result<Bytes, Broken>> {
     let (pieces, receiver) = mpsc::channel(PIECES);
@@ -102,7 +102,7 @@
 }
 
 impl Pump {
-    async fn run(mut self, conn: Conn, reading: Reading) {
+    async fn run(mut self, conn: Conn, reading: ResponseHead) {
         let end = self.pass().await;
         let is_stalled = end == End::Stalled;
         if is_stalled || (end == End::Broken && self.trials.may_repeat(&self.core, &self.call)) {
@@ -122,13 +122,13 @@
         }
         match end {
             End::Whole => {
-                quarantine::survived(&self.core, || self.call.digest());
-                self.running.finish(conn, reading);
+                quarantine::record_success(&self.core, || self.call.digest());
+                self.running.complete(conn, reading);
             }
             End::Broken | End::Stalled => {
                 let (core, call) = (&self.core, &self.call);
                 fail(core, call, &self.running, "stream broke off", "");
-                quarantine::witness(core, call, &self.running).await;
+                quarantine::record_failure(core, call, &self.running).await;
             }
             End::Late | End::HungUp | End::Stopping => drop(conn),
         }
@@ -140,7 +140,7 @@
         let (core, call) = (&Arc::clone(&self.core), &Arc::clone(&self.call));
         fail(core, call, &self.running, "stream broke off", "resuming");
         if end == End::Broken {
-            quarantine::witness(core, call, &self.running).await;
+            quarantine::record_failure(core, call, &self.running).await;
         }
         let rest = self
             .trials
@@ -218,7 +218,7 @@
             if whole.is_empty() {
                 continue;
             }
-            self.running.first();
+            self.running.record_first_token();
             self.count();
             self.last_event = sse::last_id(&whole).or(self.last_event);
             if self.pieces.send(Ok(whole)).await.is_err() {
@@ -240,7 +240,7 @@
 
     /// When a stream that may go on elsewhere is taken to have broken off.
     fn stall(&self) -> Option<Instant> {
-        let gap_ms = self.call.route.gap_ms?;
+        let gap_ms = self.call.route.max_gap_ms?;
         let may_go_on = self.trials.may_stall(&self.call);
         may_go_on.then(|| clock::after(Instant::now(), GAPS * gap_ms))
     }
--- a/crates/gateway/src/quarantine/admit.rs
+++ b/crates/gateway/src/quarantine/admit.rs
@@ -13,7 +13,7 @@
 use mulberryyoke_model::Digest;
 use mulberryyoke_platform::http;
 
-use super::{conviction, hear};
+use super::{conviction, receive};
 use crate::call::Call;
 use crate::clock;
 use crate::core::Core;
@@ -23,14 +23,14 @@
 pub(crate) const PATH: &str = "/quarantine/admit";
 
 /// Longest time of such a call.
-const CALL: Duration = Duration::from_millis(150);
+const CALL_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Largest message, in bytes: a suspect with its ends has a few hundred.
-const MESSAGE_BYTES: usize = 4 << 10;
+const MAX_MESSAGE_BYTES: usize = 4 << 10;
 
 /// Ends with which a request may run though the gateway that decides cannot be asked: any
 /// request may have stood beside one that ends servers.
-const UNASKED: u32 = 1;
+const MAX_UNARBITRATED_CRASHES: u32 = 1;
 
 /// Whether a request may be sent to a server, and what is held against it. Of one under
 /// suspicion one copy at a time may run in the whole fleet: one gateway decides, which all that
@@ -46,10 +46,10 @@
         Verdict::Convicted { .. } => false,
         Verdict::Suspect { .. } if is_admitted => true,
         Verdict::Suspect { crashes } => match core.exchange.arbiter(digest) {
-            None => allow(core, digest),
+            None => admit_locally(core, digest),
             Some(arbiter) => {
-                let asked = ask(core, arbiter, digest).await;
-                asked.unwrap_or(crashes <= UNASKED)
+                let asked = request_admission(core, arbiter, digest).await;
+                asked.unwrap_or(crashes <= MAX_UNARBITRATED_CRASHES)
             }
         },
     };
@@ -65,27 +65,27 @@
     Err(Refusal::Quarantined)
 }
 
-fn allow(core: &Core, digest: Digest) -> bool {
+fn admit_locally(core: &Core, digest: Digest) -> bool {
     core.quarantine
-        .change(|records| records.admit(digest, clock::now_ms()))
+        .update(|records| records.admit(digest, clock::now_ms()))
 }
 
 /// Asks the gateway that decides. `None` if it does not answer.
-async fn ask(core: &Core, arbiter: SocketAddr, digest: Digest) -> Option<bool> {
-    let suspect = core.quarantine.suspect(digest);
+async fn request_admission(core: &Core, arbiter: SocketAddr, digest: Digest) -> Option<bool> {
+    let suspect = core.quarantine.snapshot(digest);
     let body = Bytes::from(postcard::to_stdvec(&suspect).unwrap_or_default());
     let request = http::request(Method::POST, arbiter, PATH, body);
-    let deadline = Instant::now() + CALL;
+    let deadline = Instant::now() + CALL_TIMEOUT;
     let asked = async {
         let answer = core.quarantine.http.send(request, deadline).await?;
         let status = answer.status();
-        let body = http::read(answer, MESSAGE_BYTES, deadline).await?;
+        let body = http::read(answer, MAX_MESSAGE_BYTES, deadline).await?;
         Ok::<_, http::Failure>((status, body))
     };
     match asked.await {
         Ok((status, body)) => {
             if let Ok(known) = postcard::from_bytes::<Suspect>(&body) {
-                hear(core, &[known]);
+                receive(core, &[known]);
             }
             match status {
                 StatusCode::OK => Some(true),
@@ -104,8 +104,11 @@
 
 /// Answers another gateway that asks: 200 if its copy may run, 409 if not, each with what is
 /// known of the request.
-pub(crate) async fn answer(core: &Arc<Core>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let body = Limited::new(request.into_body(), MESSAGE_BYTES).collect();
+pub(crate) async fn handle_admit(
+    core: &Arc<Core>,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect();
     let suspect = match body.await {
         Ok(body) => postcard::from_bytes::<Suspect>(&body.to_bytes()).ok(),
         Err(_) => None,
@@ -117,14 +120,14 @@
     };
     let digest = suspect.digest;
     let before = core.quarantine.verdict(digest);
-    hear(core, &[suspect]);
-    let may = allow(core, digest);
+    receive(core, &[suspect]);
+    let may = admit_locally(core, digest);
     let after = core.quarantine.verdict(digest);
     let is_new = matches!(after, Verdict::Convicted { .. }) && before.crashes() < after.crashes();
     if is_new {
         conviction::write(core, digest);
     }
-    let known = core.quarantine.suspect(digest);
+    let known = core.quarantine.snapshot(digest);
     let known = postcard::to_stdvec(&known).unwrap_or_default();
     let mut response = Response::new(Full::new(Bytes::from(known)));
     if !may {
--- a/crates/gateway/src/quarantine/conviction.rs
+++ b/crates/gateway/src/quarantine/conviction.rs
@@ -15,30 +15,30 @@
 use crate::core::Core;
 
 /// Prefix of the keys; a request's digest in hexadecimal digits follows.
-const PREFIX: &str = "mulberryyoke/quarantine/";
+const KEY_PREFIX: &str = "mulberryyoke/quarantine/";
 
 /// Time for which a conviction is kept there, in milliseconds: as long as its evidence counts.
 const LEASE_MS: u64 = 600_000;
 
 /// Pause after a failed write.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Time over which what a copy lacks is written again, in milliseconds.
-const SPREAD_MS: u64 = 1_500;
+const REWRITE_JITTER_MS: u64 = 1_500;
 
 /// Times that a write is tried, so that an outage of a minute is waited for.
-const TRIES: u32 = 60;
+const MAX_ATTEMPTS: u32 = 60;
 
 /// Writes that wait at once; a flood of bad requests is known by messages alone beyond it.
-const WRITES: usize = 16;
+const MAX_PENDING_WRITES: usize = 16;
 
 /// The request that a key names; `None` for other keys.
 pub(crate) fn digest_of(key: &str) -> Option<Digest> {
-    Digest::parse(key.strip_prefix(PREFIX)?)
+    Digest::parse(key.strip_prefix(KEY_PREFIX)?)
 }
 
 /// Reads what is known of a request: the lives that ended under it; none if it was cleared.
-pub(crate) fn read(digest: Digest, value: &[u8]) -> Option<Suspect> {
+pub(crate) fn parse(digest: Digest, value: &[u8]) -> Option<Suspect> {
     let text = std::str::from_utf8(value).ok()?;
     let lives = text.split_whitespace().map(|life| life.parse().ok());
     let crashes = lives.map(|life| {
@@ -56,8 +56,8 @@
 
 /// Writes what is known of a request there, in a task of its own.
 pub(super) fn write(core: &Arc<Core>, digest: Digest) {
-    let writes = &core.quarantine.writes;
-    if writes.fetch_add(1, Ordering::Relaxed) >= WRITES {
+    let writes = &core.quarantine.pending_writes;
+    if writes.fetch_add(1, Ordering::Relaxed) >= MAX_PENDING_WRITES {
         writes.fetch_sub(1, Ordering::Relaxed);
         log!(core.logger, Event::ConvictionUnwritten,
             "digest" => digest.to_string(), "error" => "too many wait");
@@ -68,30 +68,32 @@
         let end = core.stop.end.clone();
         tokio::select! {
             () = end.cancelled() => {}
-            () = keep_trying(&core, digest) => {}
+            () = put_with_retries(&core, digest) => {}
         }
-        core.quarantine.writes.fetch_sub(1, Ordering::Relaxed);
+        core.quarantine
+            .pending_writes
+            .fetch_sub(1, Ordering::Relaxed);
     });
 }
 
 /// Writes what is known of a request there once more, as a copy lacks it from which the service
 /// came back: gateways that start later would let it end as many servers again. The gateway
 /// that decides about it does.
-pub(crate) fn write_again(core: &Arc<Core>, digest: Digest) {
+pub(crate) fn rewrite(core: &Arc<Core>, digest: Digest) {
     if core.exchange.arbiter(digest).is_some() {
         return;
     }
     let core = Arc::clone(core);
     tokio::spawn(async move {
         // All gateways register again at that time.
-        let pause_ms = rand::rng().random_range(0..SPREAD_MS);
+        let pause_ms = rand::rng().random_range(0..REWRITE_JITTER_MS);
         sleep(Duration::from_millis(pause_ms)).await;
         write(&core, digest);
     });
 }
 
-async fn keep_trying(core: &Core, digest: Digest) {
-    for _ in 0..TRIES {
+async fn put_with_retries(core: &Core, digest: Digest) {
+    for _ in 0..MAX_ATTEMPTS {
         match put(core, digest).await {
             Ok(()) => return,
             Err(error) => {
@@ -99,25 +101,25 @@
                     "digest" => digest.to_string(), "error" => error.to_string());
             }
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 async fn put(core: &Core, digest: Digest) -> Result<(), Error> {
     let lease = core.feed.grant(LEASE_MS).await?.id;
-    let key = format!("{PREFIX}{digest}");
+    let key = format!("{KEY_PREFIX}{digest}");
     core.feed
-        .put(&key, text(core, digest).as_bytes(), lease)
+        .put(&key, encode(core, digest).as_bytes(), lease)
         .await
 }
 
 /// The lives that ended under a request since a run of it last ended well; empty once it is
 /// cleared.
-fn text(core: &Core, digest: Digest) -> String {
+fn encode(core: &Core, digest: Digest) -> String {
     if core.quarantine.verdict(digest) == Verdict::Clear {
         return String::new();
     }
-    let suspect = core.quarantine.suspect(digest);
+    let suspect = core.quarantine.snapshot(digest);
     let success_age_ms = suspect.success_age_ms.unwrap_or(u64::MAX);
     let crashes = suspect
         .crashes
--- a/crates/gateway/src/quarantine/witness.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -7,8 +7,8 @@
 use mulberryyoke_event::{Event, log};
 use tokio::time::{Instant, timeout};
 
-use super::ended;
-use crate::backend::{Backend, Running, Seen};
+use super::record_crash;
+use crate::backend::{Backend, InFlight, Liveness};
 use crate::call::Call;
 use crate::clock;
 use crate::core::Core;
@@ -16,55 +16,60 @@
 /// Longest time that a broken request waits to know what became of its server: servers are
 /// milliseconds away, and one that is gone refuses at once. A machine that does not answer says
 /// nothing yet; that its registration lapses will.
-const PROBE: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time for which a server that took a connection counts as alive for others that broke off
 /// there, in milliseconds.
-const ALIVE_MS: u64 = 100;
+const ALIVE_TTL_MS: u64 = 100;
 
 /// Notes that a request broke off at a server, and learns whether the server has ended: a new
 /// connection is refused then. A server that leaves as planned ends with what it runs, which is
 /// no evidence.
-pub(crate) async fn witness(core: &Arc<Core>, call: &Call, running: &Running) {
+pub(crate) async fn record_failure(core: &Arc<Core>, call: &Call, running: &InFlight) {
     let backend = &running.backend;
     if backend.is_closed() {
         return;
     }
     let digest = call.digest();
-    let mut seen = backend.seen.lock().await;
-    let has_ended = seen.has_ended_since(running.sent) || has_ended(core, backend, &mut seen).await;
-    let life = seen.life(backend.server.id, !has_ended);
+    let mut seen = backend.liveness.lock().await;
+    let has_ended =
+        seen.has_crashed_since(running.sent_at) || probe(core, backend, &mut seen).await;
+    let life = seen.instance_id(backend.server.id, !has_ended);
     drop(seen);
     core.quarantine
-        .change(|records| records.record_failure(life, digest, clock::now_ms()));
+        .update(|records| records.record_failure(life, digest, clock::now_ms()));
     if has_ended {
-        ended(core, life, &backend.server.name);
+        record_crash(core, life, &backend.server.name);
     }
 }
 
 /// Notes that a server's registration has ended, or that another life has taken its place.
-pub(crate) async fn lapsed(core: Arc<Core>, backend: Arc<Backend>) {
-    let life = backend.seen.lock().await.life(backend.server.id, true);
-    ended(&core, life, &backend.server.name);
+pub(crate) async fn record_lapse(core: Arc<Core>, backend: Arc<Backend>) {
+    let life = backend
+        .liveness
+        .lock()
+        .await
+        .instance_id(backend.server.id, true);
+    record_crash(&core, life, &backend.server.name);
 }
 
 /// Whether a server's life has ended. It is asked once for all that broke off there at a time.
-async fn has_ended(core: &Core, backend: &Backend, seen: &mut Seen) -> bool {
+async fn probe(core: &Core, backend: &Backend, seen: &mut Liveness) -> bool {
     let now = Instant::now();
     let is_alive = seen
-        .alive
-        .is_some_and(|at| clock::between_ms(at, now) < ALIVE_MS);
+        .last_alive
+        .is_some_and(|at| clock::between_ms(at, now) < ALIVE_TTL_MS);
     if is_alive {
         return false;
     }
-    match timeout(PROBE, backend.conns.open()).await {
+    match timeout(PROBE_TIMEOUT, backend.conns.open()).await {
         Ok(Ok(conn)) => {
-            seen.alive = Some(Instant::now());
+            seen.last_alive = Some(Instant::now());
             backend.conns.give(conn, None);
             false
         }
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-            seen.end(Instant::now());
+            seen.record_crash(Instant::now());
             log!(core.logger, Event::ServerEnded, "server" => &backend.server.name);
             true
         }
--- a/crates/gateway/src/registry.rs
+++ b/crates/gateway/src/registry.rs
@@ -124,7 +124,7 @@
         let models = table.ids.values();
         for backend in models.filter(|backend| backend.is_model && !backend.is_closed()) {
             all += 1;
-            let is_held = backend.cold.is_cold(now) || backend.life.is_resting(now);
+            let is_held = backend.cold.is_cold(now) || backend.instance.is_pushing_back(now);
             if backend.is_open() && !is_held {
                 taking += 1;
                 waits_ms += backend.engine().wait_ms();
@@ -152,7 +152,7 @@
             if is_same {
                 return closes;
             }
-            held.life.see(clock::now_ms());
+            held.instance.touch(clock::now_ms());
         }
         let model = plan.and_then(|plan| plan.pool(server.pool)?.model);
         let name = server.name.clone();
@@ -160,7 +160,7 @@
         let is_evacuated = self.evacuated.lock().contains(&server.zone);
         let life = self.instances.get_or_new(server.id);
         let backend = Arc::new(Backend::new(server, model, pace, life));
-        backend.evacuate(is_evacuated);
+        backend.set_evacuated(is_evacuated);
         self.change(|servers| {
             servers.insert(name, backend);
         });
@@ -173,7 +173,7 @@
             return false;
         };
         held.close();
-        held.life.see(clock::now_ms());
+        held.instance.touch(clock::now_ms());
         self.change(|servers| {
             servers.remove(name);
         });
@@ -194,7 +194,7 @@
         let servers: Vec<Arc<Backend>> = servers.cloned().collect();
         drop(names);
         for backend in &servers {
-            backend.evacuate(is_evacuated);
+            backend.set_evacuated(is_evacuated);
         }
         servers
     }
--- a/crates/gateway/src/registry/instances.rs
+++ b/crates/gateway/src/registry/instances.rs
@@ -7,7 +7,7 @@
 use mulberryyoke_wire::beat::Leaving;
 use parking_lot::Mutex;
 
-use crate::backend::Life;
+use crate::backend::Instance;
 use crate::clock;
 
 /// Time for which a life is remembered that is no longer registered, in milliseconds: one whose
@@ -21,23 +21,23 @@
 /// Instances of servers that said something of themselves.
 #[derive(Debug, Default)]
 pub(crate) struct Instances {
-    instances: Mutex<HashMap<ServerId, Arc<Life>>>,
+    instances: Mutex<HashMap<ServerId, Arc<Instance>>>,
 }
 
 impl Instances {
     /// What is known of a life, or a new record of it.
-    pub(super) fn get_or_new(&self, server: ServerId) -> Arc<Life> {
+    pub(super) fn get_or_new(&self, server: ServerId) -> Arc<Instance> {
         let instances = self.instances.lock();
         instances.get(&server).cloned().unwrap_or_default()
     }
 
     /// Remembers a life that said something.
-    pub(crate) fn insert(&self, server: ServerId, life: &Arc<Life>) {
+    pub(crate) fn insert(&self, server: ServerId, life: &Arc<Instance>) {
         let now_ms = clock::now_ms();
         let mut instances = self.instances.lock();
         instances.retain(|_, life| {
             let is_registered = Arc::strong_count(life) > 1;
-            is_registered || now_ms.saturating_sub(life.seen_ms()) < KEPT_MS
+            is_registered || now_ms.saturating_sub(life.last_seen_ms()) < KEPT_MS
         });
         instances.insert(server, Arc::clone(life));
     }
@@ -51,7 +51,7 @@
         }
         let now_ms = clock::now_ms();
         let told = instances.iter().filter_map(|(&server, life)| {
-            let age_ms = life.told_ms(now_ms)?;
+            let age_ms = life.announcement_age_ms(now_ms)?;
             Some(Leaving { server, age_ms })
         });
         let mut told: Vec<Leaving> = told.collect();
@@ -62,9 +62,9 @@
 
     /// Takes in what another gateway told of a life: the one that is registered, or one that may
     /// be registered yet. `true` if it is new here.
-    pub(crate) fn receive(&self, told: Leaving, registered: Option<Arc<Life>>) -> bool {
+    pub(crate) fn receive(&self, told: Leaving, registered: Option<Arc<Instance>>) -> bool {
         let life = registered.unwrap_or_else(|| self.get_or_new(told.server));
-        let is_new = life.hear(told.age_ms, clock::now_ms());
+        let is_new = life.receive_announcement(told.age_ms, clock::now_ms());
         if is_new {
             self.insert(told.server, &life);
         }
--- a/crates/gateway/tests/gateway/admission.rs
+++ b/crates/gateway/tests/gateway/admission.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::caller;
 use crate::fleet::{Node, ready};
 use crate::protocol::LONG_PROMPT;
@@ -21,7 +21,7 @@
 #[gtest]
 #[tokio::test]
 async fn behind_a_long_prompt_others_are_refused_at_once_and_reach_no_server() {
-    let backend = Backend::spawn(Way::Hang).await;
+    let backend = Backend::spawn(Behavior::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
     let _long = occupy(&node).await;
     let begun = Instant::now();
@@ -35,7 +35,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_long_prompt_goes_to_an_idle_server_though_it_cannot_be_on_time() {
-    let backend = Backend::spawn(Way::Stream).await;
+    let backend = Backend::spawn(Behavior::Stream).await;
     let (_service, node) = ready(&[&backend]).await;
     let fields = format!("x-tokens: {LONG_PROMPT}\r\n");
     expect_that!(node.ask("/stream/", &fields).await.status, eq(200));
@@ -44,7 +44,7 @@
 #[gtest]
 #[tokio::test]
 async fn what_waits_no_longer_counts_no_longer() {
-    let backend = Backend::spawn(Way::Hang).await;
+    let backend = Backend::spawn(Behavior::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
     let long = occupy(&node).await;
     drop(long);
@@ -58,7 +58,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_customer_is_not_charged_for_what_servers_turned_away() {
-    let backend = Backend::spawn(Way::TurnAway).await;
+    let backend = Backend::spawn(Behavior::Reject).await;
     let (service, node) = ready(&[&backend]).await;
     service.set("config", Some("6 tokens=1000 secret"));
     sleep(Duration::from_millis(600)).await;
@@ -66,7 +66,7 @@
     for _ in 0..6 {
         expect_that!(node.ask("/keyed/", keyed).await.status, eq(503));
     }
-    backend.state.turn(Way::Hang, "");
+    backend.state.set_behavior(Behavior::Hang, "");
     let long = format!("x-tokens: {LONG_PROMPT}\r\n");
     let _long = caller::open(node.callers, &caller::request("/once/", &long)).await;
     sleep(Duration::from_millis(100)).await;
@@ -82,8 +82,8 @@
 /// What a customer is told whose prompts of 3,500 tokens were just run, while a long prompt is read.
 async fn told_after(tokens_per_s: u32, is_other_cold: bool) -> String {
     let (busy, other) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (service, node) = ready(&[&busy]).await;
     let cold_ms = if is_other_cold { 30_000 } else { 0 };
@@ -95,7 +95,7 @@
     for _ in 0..7 {
         expect_that!(node.ask("/keyed/", keyed).await.status, eq(200));
     }
-    busy.state.turn(Way::Hang, "");
+    busy.state.set_behavior(Behavior::Hang, "");
     let long = format!("x-tokens: {LONG_PROMPT}\r\n");
     let _long = caller::open(node.callers, &caller::request("/once/", &long)).await;
     sleep(Duration::from_millis(100)).await;
--- a/crates/gateway/tests/gateway/answers.rs
+++ b/crates/gateway/tests/gateway/answers.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, LARGE, Way, field};
+use crate::backend::{Backend, Behavior, LARGE_BODY_BYTES, field};
 use crate::caller;
 use crate::fleet::ready;
 use crate::protocol::TIMEOUT_MS;
@@ -14,18 +14,18 @@
 #[tokio::test]
 async fn an_answer_is_told_as_its_proof_allows() {
     let table = [
-        (Way::Answer, "/once/", 200),
-        (Way::Fail, "/once/", 500),
-        (Way::TurnAway, "/once/", 503),
-        (Way::OtherServer, "/once/", 503),
-        (Way::Close, "/once/", 502),
-        (Way::Cross, "/once/", 502),
-        (Way::Unsealed, "/once/", 502),
-        (Way::Truncate, "/once/", 502),
-        (Way::Encode, "/once/", 502),
-        (Way::Hang, "/once/", 504),
-        (Way::Close, "/idempotent/", 502),
-        (Way::Answer, "/idempotent/", 200),
+        (Behavior::Answer, "/once/", 200),
+        (Behavior::Fail, "/once/", 500),
+        (Behavior::Reject, "/once/", 503),
+        (Behavior::WrongServer, "/once/", 503),
+        (Behavior::Close, "/once/", 502),
+        (Behavior::WrongRequestId, "/once/", 502),
+        (Behavior::Unsealed, "/once/", 502),
+        (Behavior::Truncate, "/once/", 502),
+        (Behavior::Encode, "/once/", 502),
+        (Behavior::Hang, "/once/", 504),
+        (Behavior::Close, "/idempotent/", 502),
+        (Behavior::Answer, "/idempotent/", 200),
     ];
     for (way, path, status) in table {
         let backend = Backend::spawn(way).await;
@@ -40,7 +40,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_refusal_that_promises_says_when_to_come_back() {
-    let backend = Backend::spawn(Way::TurnAway).await;
+    let backend = Backend::spawn(Behavior::Reject).await;
     let (_service, node) = ready(&[&backend]).await;
     let reply = node.ask("/once/", "").await;
     expect_that!(reply.head, contains_substring("retry-after: 0."));
@@ -49,7 +49,7 @@
 #[gtest]
 #[tokio::test]
 async fn the_server_gets_the_request_and_what_the_router_says() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let fields = "Authorization: Bearer secret\r\nx-customer: forged\r\nx-own: kept\r\nx-patience-ms: 900\r\n";
     let reply = node.ask("/keyed/a/b?c=%20d", fields).await;
@@ -71,7 +71,7 @@
 #[gtest]
 #[tokio::test]
 async fn bad_input_is_answered_and_reaches_no_server() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let large = format!("x-large: {}\r\n", "x".repeat(20_000));
     let table = [
@@ -105,7 +105,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_request_inside_another_is_not_smuggled() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let inner = "POST /once/inner HTTP/1.1\r\nx-id: q2\r\n\r\n";
     let chunk = format!("{:x}\r\n{inner}\r\n0\r\n\r\n", inner.len());
@@ -121,7 +121,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_caller_is_not_kept_longer_than_its_route_allows() {
-    let backend = Backend::spawn(Way::Hang).await;
+    let backend = Backend::spawn(Behavior::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
     let begun = Instant::now();
     let reply = node.ask("/once/", "").await;
@@ -134,7 +134,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_body_that_does_not_come_is_given_up() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let request = caller::request("/once/", "").replace("Length: 2", "Length: 20");
     let reply = caller::send(node.callers, &request).await;
@@ -145,7 +145,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_connection_without_a_request_is_closed() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let begun = Instant::now();
     let reply = caller::send(node.callers, "POST /once/ HTTP/1.1\r\n").await;
@@ -156,7 +156,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_server_is_left_at_once_when_the_caller_leaves() {
-    let backend = Backend::spawn(Way::Hang).await;
+    let backend = Backend::spawn(Behavior::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
     let stream = caller::open(node.callers, &caller::request("/once/", "")).await;
     while backend.state.heads().is_empty() {
@@ -164,19 +164,19 @@
     }
     drop(stream);
     sleep(Duration::from_millis(300)).await;
-    expect_that!(backend.state.hung_up(), eq(1));
+    expect_that!(backend.state.disconnects(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_large_answer_is_passed_on_whole() {
-    let backend = Backend::spawn(Way::Large).await;
+    let backend = Backend::spawn(Behavior::Large).await;
     let (_service, node) = ready(&[&backend]).await;
     for path in ["/once/", "/idempotent/"] {
         let reply = node.ask(path, "").await;
         expect_that!((reply.status, reply.is_whole), eq((200, true)), "{path}");
         let came = reply.body.bytes().filter(|byte| *byte == b'x').count();
-        expect_that!(came, eq(LARGE), "{path}");
+        expect_that!(came, eq(LARGE_BODY_BYTES), "{path}");
     }
     expect_that!(backend.state.heads().len(), eq(2));
 }
--- a/crates/gateway/tests/gateway/backend.rs
+++ b/crates/gateway/tests/gateway/backend.rs
@@ -12,19 +12,19 @@
 
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Behavior {
     /// Answers with a seal and the body `done`.
     Answer,
     /// Answers with status 500 and a seal.
     Fail,
     /// Says that it has not run it.
-    TurnAway,
+    Reject,
     /// Says that another server was meant.
-    OtherServer,
+    WrongServer,
     /// Closes the connection without an answer.
     Close,
     /// Answers in the name of another request.
-    Cross,
+    WrongRequestId,
     /// Answers without a seal.
     Unsealed,
     /// Answers with less than the length that it tells.
@@ -35,7 +35,7 @@
     Hang,
     /// Answers events 1 to 4 with a pause between, and the end.
     Stream,
-    /// As `Stream`, with [`LONG`] events.
+    /// As `Stream`, with [`LONG_STREAM_EVENTS`] events.
     #[allow(dead_code, reason = "only the example of the cost asks for it")]
     LongStream,
     /// Answers events 1 and 2, half of 3, and closes the connection.
@@ -46,15 +46,15 @@
     HangStream,
     /// As `Stream`, with a long pause after event 2.
     SlowStream,
-    /// Answers with a seal and [`LARGE`] bytes.
+    /// Answers with a seal and [`LARGE_BODY_BYTES`] bytes.
     Large,
 }
 
 /// Events of a long stream.
-pub(crate) const LONG: u64 = 40;
+pub(crate) const LONG_STREAM_EVENTS: u64 = 40;
 
 /// Length of a large answer, in bytes.
-pub(crate) const LARGE: usize = 1_000_000;
+pub(crate) const LARGE_BODY_BYTES: usize = 1_000_000;
 
 /// A running server.
 #[derive(Debug)]
@@ -66,26 +66,26 @@
 /// What a server has seen.
 #[derive(Debug)]
 pub(crate) struct State {
-    way: Mutex<Way>,
+    behavior: Mutex<Behavior>,
     /// What it answers when asked for the prompt parts that it keeps.
-    kept: Mutex<String>,
+    cached_parts: Mutex<String>,
     /// Further header lines of each answer.
     fields: Mutex<String>,
     heads: Mutex<Vec<String>>,
-    hung_up: AtomicU32,
+    disconnects: AtomicU32,
     /// Times that it was asked for the prompt parts that it keeps.
-    asked: AtomicU32,
+    cached_parts_requests: AtomicU32,
 }
 
 impl State {
-    pub(crate) fn new(way: Way) -> Self {
+    pub(crate) fn new(way: Behavior) -> Self {
         Self {
-            way: Mutex::new(way),
-            kept: Mutex::default(),
+            behavior: Mutex::new(way),
+            cached_parts: Mutex::default(),
             fields: Mutex::default(),
             heads: Mutex::default(),
-            hung_up: AtomicU32::new(0),
-            asked: AtomicU32::new(0),
+            disconnects: AtomicU32::new(0),
+            cached_parts_requests: AtomicU32::new(0),
         }
     }
 
@@ -97,30 +97,30 @@
     /// Sets what it does with requests, and further header lines of its answers, each with its
     /// end.
     #[allow(dead_code, reason = "not every test asks")]
-    pub(crate) fn turn(&self, way: Way, fields: &str) {
-        *self.way.lock() = way;
+    pub(crate) fn set_behavior(&self, way: Behavior, fields: &str) {
+        *self.behavior.lock() = way;
         fields.clone_into(&mut self.fields.lock());
     }
 
     /// Sets what it answers when asked for the prompt parts that it keeps.
-    pub(crate) fn keep(&self, list: &str) {
-        list.clone_into(&mut self.kept.lock());
+    pub(crate) fn set_cached_parts(&self, list: &str) {
+        list.clone_into(&mut self.cached_parts.lock());
     }
 
     /// Times that it was asked for the prompt parts that it keeps.
     #[allow(dead_code, reason = "not every test asks")]
-    pub(crate) fn asked(&self) -> u32 {
-        self.asked.load(Ordering::Relaxed)
+    pub(crate) fn cached_parts_requests(&self) -> u32 {
+        self.cached_parts_requests.load(Ordering::Relaxed)
     }
 
     /// Requests whose connection was closed before the answer's end.
-    pub(crate) fn hung_up(&self) -> u32 {
-        self.hung_up.load(Ordering::Relaxed)
+    pub(crate) fn disconnects(&self) -> u32 {
+        self.disconnects.load(Ordering::Relaxed)
     }
 }
 
 impl Backend {
-    pub(crate) async fn spawn(way: Way) -> Self {
+    pub(crate) async fn spawn(way: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let state = Arc::new(State::new(way));
@@ -170,38 +170,38 @@
 /// Answers; `false` when the connection is to be closed.
 pub(crate) async fn respond(stream: &mut TcpStream, state: &State, head: &str) -> bool {
     if head.starts_with("get /kept ") {
-        state.asked.fetch_add(1, Ordering::Relaxed);
-        let kept = state.kept.lock().clone();
+        state.cached_parts_requests.fetch_add(1, Ordering::Relaxed);
+        let kept = state.cached_parts.lock().clone();
         let text = whole(200, "x-any: 1", kept.len()).replace("done", &kept);
         return stream.write_all(text.as_bytes()).await.is_ok();
     }
     state.heads.lock().push(head.to_owned());
-    let way = *state.way.lock();
+    let way = *state.behavior.lock();
     let id = field(head, "x-id").unwrap_or("");
     let more = state.fields.lock().clone();
     let sealed = format!("{more}x-id: {id}\r\nx-seal: s");
     let text = match way {
-        Way::Answer => whole(200, &sealed, 4),
-        Way::Fail => whole(500, &sealed, 4),
-        Way::TurnAway => whole(503, &format!("{more}x-not-run: 1"), 4),
-        Way::OtherServer => whole(421, &format!("{more}x-any: 1"), 4),
-        Way::Cross => whole(200, &format!("{more}x-id: another\r\nx-seal: s"), 4),
-        Way::Unsealed => whole(200, &format!("{more}x-id: {id}"), 4),
-        Way::Encode => whole(200, &format!("{sealed}\r\ncontent-encoding: gzip"), 4),
-        Way::Truncate => whole(200, &sealed, 40),
-        Way::Close => return false,
-        Way::Hang => {
+        Behavior::Answer => whole(200, &sealed, 4),
+        Behavior::Fail => whole(500, &sealed, 4),
+        Behavior::Reject => whole(503, &format!("{more}x-not-run: 1"), 4),
+        Behavior::WrongServer => whole(421, &format!("{more}x-any: 1"), 4),
+        Behavior::WrongRequestId => whole(200, &format!("{more}x-id: another\r\nx-seal: s"), 4),
+        Behavior::Unsealed => whole(200, &format!("{more}x-id: {id}"), 4),
+        Behavior::Encode => whole(200, &format!("{sealed}\r\ncontent-encoding: gzip"), 4),
+        Behavior::Truncate => whole(200, &sealed, 40),
+        Behavior::Close => return false,
+        Behavior::Hang => {
             hang(stream, state).await;
             return false;
         }
-        Way::Stream => return events(stream, &sealed, head, 4).await,
-        Way::LongStream => return events(stream, &sealed, head, LONG).await,
-        Way::CutStream => {
+        Behavior::Stream => return events(stream, &sealed, head, 4).await,
+        Behavior::LongStream => return events(stream, &sealed, head, LONG_STREAM_EVENTS).await,
+        Behavior::CutStream => {
             events(stream, &sealed, head, 2).await;
             let _ = stream.write_all(b"8\r\nid: 3\nda\r\n").await;
             return false;
         }
-        Way::CutAtOnce => {
+        Behavior::CutAtOnce => {
             let text = format!(
                 "HTTP/1.1 200 OK\r\n{sealed}\r\ntransfer-encoding: chunked\r\n\r\n\
                  7\r\nid: 1\n\n\r\n7\r\nid: 2\n\n\r\n8\r\nid: 3\nda\r\n"
@@ -209,21 +209,23 @@
             let _ = stream.write_all(text.as_bytes()).await;
             return false;
         }
-        Way::Large => whole(200, &sealed, LARGE).replace("done", &"x".repeat(LARGE)),
-        Way::SlowStream => {
+        Behavior::Large => {
+            whole(200, &sealed, LARGE_BODY_BYTES).replace("done", &"x".repeat(LARGE_BODY_BYTES))
+        }
+        Behavior::SlowStream => {
             events(stream, &sealed, head, 2).await;
             sleep(Duration::from_millis(600)).await;
             let rest = "f\r\nid: 3\ndata: a\n\n\r\nf\r\nid: 4\ndata: a\n\n\r\n0\r\n\r\n";
             return stream.write_all(rest.as_bytes()).await.is_ok();
         }
-        Way::HangStream => {
+        Behavior::HangStream => {
             events(stream, &sealed, head, 2).await;
             hang(stream, state).await;
             return false;
         }
     };
     let is_sent = stream.write_all(text.as_bytes()).await.is_ok();
-    is_sent && way != Way::Truncate
+    is_sent && way != Behavior::Truncate
 }
 
 fn whole(status: u16, fields: &str, length: usize) -> String {
@@ -234,7 +236,7 @@
     let mut byte = [0];
     // What the router sends meanwhile is of no concern, only that it leaves.
     while matches!(stream.read(&mut byte).await, Ok(read) if read > 0) {}
-    state.hung_up.fetch_add(1, Ordering::Relaxed);
+    state.disconnects.fetch_add(1, Ordering::Relaxed);
 }
 
 /// Sends the events up to `last`; the end only after the fourth, or the last of a long stream.
@@ -252,7 +254,7 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    if [4, LONG].contains(&last) {
+    if [4, LONG_STREAM_EVENTS].contains(&last) {
         return stream.write_all(b"0\r\n\r\n").await.is_ok();
     }
     true
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::caller;
 use crate::feed::Service;
 use crate::fleet::{COLD_SLACK, Node, ready};
@@ -36,7 +36,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_server_that_has_started_gets_what_it_bears_of_two_gateways_and_more_once_it_is_warm() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     let other = Node::spawn(&service, "g1").await;
     other.wait_ready().await;
@@ -66,7 +66,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_gateway_that_is_out_of_touch_or_has_just_started_sends_a_cold_server_nothing() {
-    let cold = Backend::spawn(Way::Answer).await;
+    let cold = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[]).await;
     register(&service, &cold, 5, 30_000);
     sleep(SOON).await;
@@ -89,10 +89,10 @@
 #[gtest]
 #[tokio::test]
 async fn a_cold_server_is_not_asked_what_it_keeps() {
-    let cold = Backend::spawn(Way::Answer).await;
+    let cold = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[]).await;
     register(&service, &cold, 5, 30_000);
     sleep(SOON).await;
     let _ = caller::open(node.callers, &caller::request("/once/", "")).await;
-    expect_that!(cold.state.asked(), eq(0));
+    expect_that!(cold.state.cached_parts_requests(), eq(0));
 }
--- a/crates/gateway/tests/gateway/configuration.rs
+++ b/crates/gateway/tests/gateway/configuration.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::sleep;
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::caller;
 use crate::feed::Service;
 use crate::fleet::{KEYS_FRESH_MS, Node, ready, register};
@@ -33,7 +33,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_key_that_is_taken_away_stops_working_and_an_older_version_does_not_bring_it_back() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
     service.set("config", Some("7 other"));
@@ -49,7 +49,7 @@
 #[tokio::test]
 async fn keys_stop_working_on_a_node_that_is_cut_off() {
     for is_silent in [false, true] {
-        let backend = Backend::spawn(Way::Answer).await;
+        let backend = Backend::spawn(Behavior::Answer).await;
         let (_service, node) = ready(&[&backend]).await;
         if is_silent {
             node.kv.set_hanging(true);
@@ -79,7 +79,7 @@
 #[gtest]
 #[tokio::test]
 async fn what_was_written_while_the_history_was_lost_is_learnt() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     node.kv.set_failing(true);
     sleep(Duration::from_millis(900)).await;
@@ -97,8 +97,8 @@
 async fn a_leaving_or_ended_server_gets_nothing_new() {
     for state in ["leaving", "gone"] {
         let (leaving, stays) = (
-            Backend::spawn(Way::Answer).await,
-            Backend::spawn(Way::Answer).await,
+            Backend::spawn(Behavior::Answer).await,
+            Backend::spawn(Behavior::Answer).await,
         );
         let (service, node) = ready(&[&leaving, &stays]).await;
         if state == "gone" {
@@ -118,7 +118,7 @@
 #[gtest]
 #[tokio::test]
 async fn servers_that_lapse_while_the_service_is_away_have_time_to_register_again() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     node.kv.set_failing(true);
     sleep(Duration::from_millis(900)).await;
@@ -149,7 +149,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_server_that_starts_again_under_its_name_has_nothing_of_before() {
-    let backend = Backend::spawn(Way::Hang).await;
+    let backend = Backend::spawn(Behavior::Hang).await;
     let (service, node) = ready(&[&backend]).await;
     register_life(&service, &backend, 5);
     sleep(SOON).await;
@@ -182,8 +182,8 @@
 #[tokio::test]
 async fn an_unreadable_entry_ends_the_use_of_a_server_and_of_no_other() {
     let (first, second) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (service, node) = ready(&[&first, &second]).await;
     service.set("servers/plain-0", Some("plain"));
--- a/crates/gateway/tests/gateway/mortals.rs
+++ b/crates/gateway/tests/gateway/crash_fleet.rs
@@ -6,38 +6,38 @@
 use futures::future::join_all;
 use tokio::time::sleep;
 
-use crate::backend::Way;
+use crate::backend::Behavior;
 use crate::caller::{self, Reply};
+use crate::crashing_server::{CrashCounts, CrashingServer, RestartName};
 use crate::feed::Service;
 use crate::fleet::Node;
-use crate::mortal::{Luck, Mortal, Name};
 
 /// Servers of a fleet: more than one request may end.
 const SERVERS: usize = 8;
 
 /// Pause between two repeats of a caller; what one gateway saw is known to all by then.
-pub(crate) const PAUSE: Duration = Duration::from_millis(500);
+pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Most servers that a request may end which comes one at a time.
-pub(crate) const MOST: u32 = 3;
+pub(crate) const MAX_CRASHES: u32 = 3;
 
 pub(crate) const PROMPT: &str = "x-tokens: 100\r\n";
 
 /// Gateways before servers that a bad request ends.
 pub(crate) struct Fleet {
     pub(crate) service: Arc<Service>,
-    pub(crate) servers: Vec<Mortal>,
+    pub(crate) servers: Vec<CrashingServer>,
     pub(crate) nodes: Vec<Node>,
 }
 
 impl Fleet {
-    pub(crate) async fn spawn(name: Name, nodes: usize, way: Way) -> Self {
+    pub(crate) async fn spawn(name: RestartName, nodes: usize, way: Behavior) -> Self {
         let service = Service::new();
         service.set("config", Some("5 secret"));
-        let luck = Luck::default();
+        let luck = CrashCounts::default();
         let servers = (0..SERVERS).map(|index| {
             let (service, luck) = (&service, &luck);
-            Mortal::spawn(service, index, name, way, luck)
+            CrashingServer::spawn(service, index, name, way, luck)
         });
         let servers = join_all(servers).await;
         let nodes = (0..nodes).map(async |index| {
@@ -46,7 +46,7 @@
             node
         });
         let nodes = join_all(nodes).await;
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
         Self {
             service,
             servers,
--- a/crates/gateway/tests/gateway/mortal.rs
+++ b/crates/gateway/tests/gateway/crashing_server.rs
@@ -12,15 +12,15 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-use crate::backend::{State, Way, read_request, respond};
+use crate::backend::{Behavior, State, read_request, respond};
 use crate::feed::Service;
 
 /// Body of a request that ends each server which begins to run it.
-pub(crate) const BAD: &str = "bad";
+pub(crate) const CRASH_BODY: &str = "bad";
 
 /// Body of a request of some name that ends as many servers as `times` says, the first that
 /// begin to run it, and no others.
-pub(crate) fn unlucky(times: u32, name: &str) -> String {
+pub(crate) fn crash_times_body(times: u32, name: &str) -> String {
     format!("{UNLUCKY}{times} {name}")
 }
 
@@ -37,30 +37,30 @@
 
 /// Under which name a server comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Name {
+pub(crate) enum RestartName {
     New,
     Same,
 }
 
 /// A server that lives, ends and comes back.
 #[derive(Debug)]
-pub(crate) struct Mortal {
+pub(crate) struct CrashingServer {
     pub(crate) state: Arc<State>,
     ended: Arc<AtomicU32>,
     killed: Arc<std::sync::Mutex<CancellationToken>>,
 }
 
 /// Servers of a fleet that unlucky requests have ended, by their bodies.
-pub(crate) type Luck = Arc<std::sync::Mutex<HashMap<Vec<u8>, u32>>>;
+pub(crate) type CrashCounts = Arc<std::sync::Mutex<HashMap<Vec<u8>, u32>>>;
 
 /// Whether a request ends the server that runs it.
-fn ends_server(body: &[u8], luck: &Luck) -> bool {
+fn ends_server(body: &[u8], luck: &CrashCounts) -> bool {
     let text = std::str::from_utf8(body).unwrap_or("");
     let Some((times, _)) = text
         .strip_prefix(UNLUCKY)
         .and_then(|rest| rest.split_once(' '))
     else {
-        return text == BAD;
+        return text == CRASH_BODY;
     };
     let mut luck = luck.lock().expect("no panic");
     let ended = luck.entry(body.to_vec()).or_default();
@@ -68,22 +68,22 @@
     times.parse().is_ok_and(|times| *ended <= times)
 }
 
-impl Mortal {
+impl CrashingServer {
     /// Starts the server of an index, registered in both pools, of a fleet with this luck.
     pub(crate) async fn spawn(
         service: &Arc<Service>,
         index: usize,
-        name: Name,
-        way: Way,
-        luck: &Luck,
+        name: RestartName,
+        way: Behavior,
+        luck: &CrashCounts,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let mortal = Self {
+        let server = Self {
             state: Arc::new(State::new(way)),
             ended: Arc::default(),
             killed: Arc::default(),
         };
-        let life = Life {
+        let life = Instance {
             service: Arc::clone(service),
             address: listener.local_addr().expect("an address"),
             index,
@@ -92,19 +92,19 @@
             luck: Arc::clone(luck),
         };
         life.register();
-        let (state, ended) = (Arc::clone(&mortal.state), Arc::clone(&mortal.ended));
+        let (state, ended) = (Arc::clone(&server.state), Arc::clone(&server.ended));
         tokio::spawn(run(
             life,
             listener,
             state,
             ended,
-            Arc::clone(&mortal.killed),
+            Arc::clone(&server.killed),
         ));
-        mortal
+        server
     }
 
     /// Lives of it that have ended.
-    pub(crate) fn ended(&self) -> u32 {
+    pub(crate) fn crash_count(&self) -> u32 {
         self.ended.load(Ordering::Relaxed)
     }
 
@@ -115,26 +115,26 @@
 }
 
 /// Lives of all these servers that have ended.
-pub(crate) fn ended(servers: &[Mortal]) -> u32 {
-    servers.iter().map(Mortal::ended).sum()
+pub(crate) fn crash_count(servers: &[CrashingServer]) -> u32 {
+    servers.iter().map(CrashingServer::crash_count).sum()
 }
 
 /// One life of a server.
-struct Life {
+struct Instance {
     service: Arc<Service>,
     address: SocketAddr,
     index: usize,
-    name: Name,
+    name: RestartName,
     number: u32,
-    luck: Luck,
+    luck: CrashCounts,
 }
 
-impl Life {
+impl Instance {
     fn keys(&self) -> [(&'static str, String); 2] {
         ["plain", "model"].map(|pool| {
             let key = match self.name {
-                Name::New => format!("servers/{pool}-{}-{}", self.index, self.number),
-                Name::Same => format!("servers/{pool}-{}", self.index),
+                RestartName::New => format!("servers/{pool}-{}-{}", self.index, self.number),
+                RestartName::Same => format!("servers/{pool}-{}", self.index),
             };
             (pool, key)
         })
@@ -143,8 +143,8 @@
     fn register(&self) {
         for (pool, key) in self.keys() {
             let born = match self.name {
-                Name::New => String::new(),
-                Name::Same => self.number.to_string(),
+                RestartName::New => String::new(),
+                RestartName::Same => self.number.to_string(),
             };
             let value = format!("{pool} {} ready {born}", self.address);
             self.service.set(&key, Some(&value));
@@ -159,7 +159,7 @@
 }
 
 async fn run(
-    mut life: Life,
+    mut life: Instance,
     mut listener: TcpListener,
     state: Arc<State>,
     ended: Arc<AtomicU32>,
@@ -180,7 +180,12 @@
 }
 
 /// Serves until the life's end, at which all connections are closed and none is taken.
-async fn serve(listener: TcpListener, state: &Arc<State>, luck: &Luck, end: &CancellationToken) {
+async fn serve(
+    listener: TcpListener,
+    state: &Arc<State>,
+    luck: &CrashCounts,
+    end: &CancellationToken,
+) {
     let mut conns = JoinSet::new();
     loop {
         tokio::select! {
@@ -192,7 +197,12 @@
     }
 }
 
-async fn answer(mut stream: TcpStream, state: Arc<State>, luck: Luck, end: CancellationToken) {
+async fn answer(
+    mut stream: TcpStream,
+    state: Arc<State>,
+    luck: CrashCounts,
+    end: CancellationToken,
+) {
     while let Some((head, body)) = read_request(&mut stream).await {
         if ends_server(&body, &luck) {
             let is_stream =
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::sleep;
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::feed::Service;
 use crate::fleet::{Node, ready};
 use crate::protocol::COLD_MS;
@@ -24,8 +24,8 @@
 
 async fn in_two_zones() -> (Backend, Backend, std::sync::Arc<Service>, Node) {
     let (near, far) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (service, node) = ready(&[]).await;
     register(&service, 0, &near, "a");
@@ -112,8 +112,8 @@
 #[tokio::test]
 async fn a_resumed_stream_goes_on_outside_the_zone() {
     let (near, far) = (
-        Backend::spawn(Way::HangStream).await,
-        Backend::spawn(Way::Stream).await,
+        Backend::spawn(Behavior::HangStream).await,
+        Backend::spawn(Behavior::Stream).await,
     );
     let (service, node) = ready(&[]).await;
     register(&service, 0, &near, "a");
--- a/crates/gateway/tests/gateway/exchange.rs
+++ b/crates/gateway/tests/gateway/exchange.rs
@@ -7,7 +7,7 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{sleep, timeout};
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::caller;
 use crate::feed::Service;
 use crate::fleet::{Node, register};
@@ -21,7 +21,7 @@
 
 /// Gateways of one zone before one model server that never answers.
 async fn zone(service: &Arc<Service>, nodes: usize) -> (Vec<Node>, Backend) {
-    let backend = Backend::spawn(Way::Hang).await;
+    let backend = Backend::spawn(Behavior::Hang).await;
     service.set("config", Some("5 secret"));
     register(service, 0, &backend, "ready");
     let mut zone = Vec::new();
@@ -96,8 +96,8 @@
             service.set(&key, Some("127.0.0.1:9 100 b"));
         }
         let servers = [
-            Backend::spawn(Way::Hang).await,
-            Backend::spawn(Way::Hang).await,
+            Backend::spawn(Behavior::Hang).await,
+            Backend::spawn(Behavior::Hang).await,
         ];
         service.set("config", Some("5 secret"));
         for (index, server) in servers.iter().enumerate() {
--- a/crates/gateway/tests/gateway/fleet.rs
+++ b/crates/gateway/tests/gateway/fleet.rs
@@ -12,7 +12,7 @@
 use crate::backend::Backend;
 use crate::caller::{self, Reply};
 use crate::feed::{Client, Service};
-use crate::protocol::Words;
+use crate::protocol::TestProtocol;
 
 /// Age from which requests with a key are refused in the tests, in milliseconds.
 pub(crate) const KEYS_FRESH_MS: u64 = 4_000;
@@ -75,7 +75,7 @@
         };
         let logger = Logger::root(Discard, o!());
         let feed = Arc::clone(&kv);
-        let words = Words {
+        let words = TestProtocol {
             gateway: name.to_owned(),
         };
         let gateway = Gateway::spawn(settings, Arc::new(words), feed, logger).await;
--- a/crates/gateway/tests/gateway/handoff.rs
+++ b/crates/gateway/tests/gateway/handoff.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::caller;
 use crate::feed::Service;
 use crate::fleet::{Node, register};
@@ -30,7 +30,7 @@
 
 impl Zone {
     /// A small and a large node before a server; the small one alone is asked.
-    async fn new(way: Way) -> Self {
+    async fn new(way: Behavior) -> Self {
         let backend = Backend::spawn(way).await;
         let service = Service::new();
         service.set("config", Some("5 secret"));
@@ -67,7 +67,7 @@
 #[gtest]
 #[tokio::test]
 async fn while_it_is_behind_a_larger_one_serves_whole_answers() {
-    let zone = Zone::new(Way::Stream).await;
+    let zone = Zone::new(Behavior::Stream).await;
     expect_that!(
         zone.small.ask("/stream/", "x-tokens: 10\r\n").await.status,
         eq(200)
@@ -91,7 +91,7 @@
 #[gtest]
 #[tokio::test]
 async fn without_a_larger_one_it_serves_them_itself() {
-    let mut zone = Zone::new(Way::Answer).await;
+    let mut zone = Zone::new(Behavior::Answer).await;
     let gateway = zone.large.gateway.take().expect("it runs");
     gateway.stop().await;
     hold_up().await;
@@ -104,7 +104,7 @@
 #[gtest]
 #[tokio::test]
 async fn when_the_caller_leaves_so_does_the_request() {
-    let zone = Zone::new(Way::Hang).await;
+    let zone = Zone::new(Behavior::Hang).await;
     hold_up().await;
     let request = caller::request("/stream/", "x-tokens: 10\r\n");
     let caller = caller::open(zone.small.callers, &request).await;
@@ -112,13 +112,13 @@
     expect_that!(zone.of_large(), eq(1));
     drop(caller);
     sleep(Duration::from_millis(300)).await;
-    expect_that!(zone.backend.state.hung_up(), eq(1));
+    expect_that!(zone.backend.state.disconnects(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_node_that_stops_lets_what_it_handed_on_end() {
-    let mut zone = Zone::new(Way::SlowStream).await;
+    let mut zone = Zone::new(Behavior::SlowStream).await;
     hold_up().await;
     let request = caller::request("/stream/", "x-tokens: 10\r\n");
     let mut caller = caller::open(zone.small.callers, &request).await;
@@ -140,7 +140,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_larger_one_that_stops_is_handed_nothing_more() {
-    let mut zone = Zone::new(Way::Answer).await;
+    let mut zone = Zone::new(Behavior::Answer).await;
     hold_up().await;
     expect_that!(zone.small.ask("/once/", "").await.status, eq(200));
     expect_that!(zone.of_large(), eq(1));
@@ -174,7 +174,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_connection_that_was_handed_on_carries_one_request() {
-    let zone = Zone::new(Way::Answer).await;
+    let zone = Zone::new(Behavior::Answer).await;
     hold_up().await;
     let mut caller = TcpStream::connect(zone.small.callers)
         .await
@@ -196,7 +196,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_caller_does_not_see_a_change_undone_by_a_larger_one_that_is_behind() {
-    let zone = Zone::new(Way::Answer).await;
+    let zone = Zone::new(Behavior::Answer).await;
     hold_up().await;
     zone.large.kv.set_hanging(true);
     zone.service.set("config", Some("7 other"));
@@ -210,7 +210,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_caller_does_not_see_a_change_undone_where_another_was_ahead() {
-    let zone = Zone::new(Way::Answer).await;
+    let zone = Zone::new(Behavior::Answer).await;
     let mut kept = TcpStream::connect(zone.small.callers)
         .await
         .expect("it listens");
@@ -254,7 +254,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_process_that_is_no_gateway_is_handed_nothing_and_teaches_nothing() {
-    let mut zone = Zone::new(Way::Answer).await;
+    let mut zone = Zone::new(Behavior::Answer).await;
     let gateway = zone.large.gateway.take().expect("it runs");
     gateway.stop().await;
     let stranger = stranger().await;
--- a/crates/gateway/tests/gateway/kept.rs
+++ b/crates/gateway/tests/gateway/kept.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::sleep;
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::fleet;
 
 /// Time for a list to be asked and read.
@@ -18,10 +18,10 @@
     // node that knows nothing.
     for keeper in 0..2 {
         let servers = [
-            Backend::spawn(Way::Stream).await,
-            Backend::spawn(Way::Stream).await,
+            Backend::spawn(Behavior::Stream).await,
+            Backend::spawn(Behavior::Stream).await,
         ];
-        servers[keeper].state.keep("7 8");
+        servers[keeper].state.set_cached_parts("7 8");
         let (_service, node) = fleet::ready(&[&servers[0], &servers[1]]).await;
         sleep(LISTED).await;
         let fields = "X-Id: 1\r\nX-Tokens: 100\r\nX-Shared: 7\r\n";
@@ -34,8 +34,8 @@
 #[gtest]
 #[tokio::test]
 async fn a_list_that_cannot_be_read_costs_no_answer() {
-    let server = Backend::spawn(Way::Stream).await;
-    server.state.keep("7 what");
+    let server = Backend::spawn(Behavior::Stream).await;
+    server.state.set_cached_parts("7 what");
     let (_service, node) = fleet::ready(&[&server]).await;
     sleep(LISTED).await;
     let fields = "X-Id: 1\r\nX-Tokens: 100\r\nX-Shared: 7\r\n";
--- a/crates/gateway/tests/gateway/lagging.rs
+++ b/crates/gateway/tests/gateway/lagging.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-use crate::backend::{Backend, Way, read_request};
+use crate::backend::{Backend, Behavior, read_request};
 use crate::feed::Service;
 use crate::fleet::{Node, register};
 
@@ -42,7 +42,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_server_stays_in_use_that_a_peer_does_not_know_yet() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let before = service.revision();
--- a/crates/gateway/tests/gateway/leaving.rs
+++ b/crates/gateway/tests/gateway/leaving.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::feed::Service;
 use crate::fleet::{Node, register};
 
@@ -39,7 +39,7 @@
 
 /// Has a server tell a node that it leaves.
 async fn tell(server: &Backend, node: &Node) {
-    server.state.turn(Way::Answer, LEAVING);
+    server.state.set_behavior(Behavior::Answer, LEAVING);
     let before = came(server);
     let until = Instant::now() + KNOWN;
     while came(server) == before {
@@ -61,8 +61,8 @@
 #[tokio::test]
 async fn peers_spare_a_server_that_told_one_of_them_that_it_leaves_in_an_outage_as_well() {
     let (leaving, stays) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (service, [first, second]) = two(&[&leaving, &stays]).await;
     expect_that!(uses(&second, &leaving).await, eq(true));
@@ -87,15 +87,15 @@
 #[tokio::test]
 async fn a_word_at_second_hand_empties_no_pool_and_is_of_one_life() {
     let (one, other) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (service, [first, second]) = two(&[&one, &other]).await;
     tell(&one, &first).await;
     tell(&other, &first).await;
     expect_that!(first.ask("/once/", "").await.status, eq(503));
     for server in [&one, &other] {
-        server.state.turn(Way::Answer, "");
+        server.state.set_behavior(Behavior::Answer, "");
     }
     sleep(KNOWN).await;
     expect_that!(second.ask("/once/", "").await.status, eq(200));
--- a/crates/gateway/tests/gateway/notices.rs
+++ b/crates/gateway/tests/gateway/notices.rs
@@ -18,7 +18,7 @@
 use googletest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, Way, field};
+use crate::backend::{Backend, Behavior, field};
 use crate::caller;
 use crate::feed::Service;
 use crate::fleet::{Node, ready};
@@ -49,12 +49,12 @@
 #[tokio::test]
 async fn a_server_whose_answer_says_that_it_leaves_gets_nothing_new_in_an_outage() {
     let (leaving, stays) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (_service, node) = ready(&[&leaving, &stays]).await;
     node.kv.set_hanging(true);
-    leaving.state.turn(Way::Answer, LEAVING);
+    leaving.state.set_behavior(Behavior::Answer, LEAVING);
     while came(&leaving) == 0 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
@@ -83,15 +83,15 @@
 #[tokio::test]
 async fn a_server_that_leaves_stays_closed_whatever_is_written_of_its_life_and_the_next_is_open() {
     let (leaving, stays) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (service, node) = ready(&[&leaving, &stays]).await;
     register_life(&service, &leaving, 5);
     sleep(SOON).await;
-    leaving.state.turn(Way::Answer, LEAVING);
+    leaving.state.set_behavior(Behavior::Answer, LEAVING);
     expect_that!(is_used(&node, &leaving).await, eq(true));
-    leaving.state.turn(Way::Answer, "");
+    leaving.state.set_behavior(Behavior::Answer, "");
     expect_that!(is_used(&node, &leaving).await, eq(false));
     service.back_up();
     register_life(&service, &leaving, 5);
@@ -114,16 +114,16 @@
 #[tokio::test]
 async fn a_failure_and_the_head_of_a_stream_say_that_a_server_leaves_as_well() {
     let table = [
-        (Way::Fail, "/once/", 500),
-        (Way::TurnAway, "/once/", 200),
-        (Way::Truncate, "/once/", 502),
-        (Way::HangStream, "/resumable/", 200),
+        (Behavior::Fail, "/once/", 500),
+        (Behavior::Reject, "/once/", 200),
+        (Behavior::Truncate, "/once/", 502),
+        (Behavior::HangStream, "/resumable/", 200),
     ];
     for (way, path, status) in table {
-        let [leaving, stays] = [(); 2].map(|()| Backend::spawn(Way::Stream));
+        let [leaving, stays] = [(); 2].map(|()| Backend::spawn(Behavior::Stream));
         let (leaving, stays) = (leaving.await, stays.await);
         let (_service, node) = ready(&[&leaving, &stays]).await;
-        leaving.state.turn(way, LEAVING);
+        leaving.state.set_behavior(way, LEAVING);
         // Streams that run on are not waited for.
         let mut begun = Vec::new();
         while came(&leaving) == 0 {
@@ -146,17 +146,17 @@
 #[gtest]
 #[tokio::test]
 async fn an_answer_that_may_be_another_servers_closes_nobody() {
-    for way in [Way::Cross, Way::Unsealed] {
+    for way in [Behavior::WrongRequestId, Behavior::Unsealed] {
         let (first, second) = (Backend::spawn(way).await, Backend::spawn(way).await);
         let (_service, node) = ready(&[&first, &second]).await;
         for server in [&first, &second] {
-            server.state.turn(way, LEAVING);
+            server.state.set_behavior(way, LEAVING);
         }
         for _ in 0..4 {
             expect_that!(node.ask("/once/", "").await.status, eq(502), "{way:?}");
         }
         for server in [&first, &second] {
-            server.state.turn(Way::Answer, "");
+            server.state.set_behavior(Behavior::Answer, "");
         }
         sleep(SOON).await;
         expect_that!(node.ask("/once/", "").await.status, eq(200), "{way:?}");
@@ -167,12 +167,12 @@
 #[tokio::test]
 async fn where_all_servers_leave_a_request_is_refused_at_once() {
     let (first, second) = (
-        Backend::spawn(Way::Answer).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (_service, node) = ready(&[&first, &second]).await;
     for server in [&first, &second] {
-        server.state.turn(Way::Answer, LEAVING);
+        server.state.set_behavior(Behavior::Answer, LEAVING);
     }
     let statuses = [node.ask("/once/", "").await, node.ask("/once/", "").await];
     expect_that!(statuses.map(|reply| reply.status), eq([200, 200]));
@@ -187,12 +187,12 @@
 #[gtest]
 #[tokio::test]
 async fn a_server_that_asks_for_rest_gets_at_most_two_requests_until_it_is_over() {
-    let servers = [(); 3].map(|()| Backend::spawn(Way::TurnAway));
+    let servers = [(); 3].map(|()| Backend::spawn(Behavior::Reject));
     let [a, b, c] = servers;
     let (a, b, c) = (a.await, b.await, c.await);
     let (_service, node) = ready(&[&a, &b, &c]).await;
     for server in [&a, &b, &c] {
-        server.state.turn(Way::TurnAway, RESTING);
+        server.state.set_behavior(Behavior::Reject, RESTING);
     }
     let begun = Instant::now();
     while [&a, &b, &c].into_iter().any(|server| came(server) == 0) {
@@ -218,12 +218,14 @@
 async fn where_all_servers_rest_a_request_is_refused_at_once_with_the_time_until_the_first_does_not()
  {
     let (first, second) = (
-        Backend::spawn(Way::TurnAway).await,
-        Backend::spawn(Way::TurnAway).await,
+        Backend::spawn(Behavior::Reject).await,
+        Backend::spawn(Behavior::Reject).await,
     );
     let (_service, node) = ready(&[&first, &second]).await;
-    first.state.turn(Way::TurnAway, "x-rest-ms: 9000\r\n");
-    second.state.turn(Way::TurnAway, RESTING);
+    first
+        .state
+        .set_behavior(Behavior::Reject, "x-rest-ms: 9000\r\n");
+    second.state.set_behavior(Behavior::Reject, RESTING);
     // The first to be refused has met both of them.
     for _ in 0..3 {
         let begun = Instant::now();
@@ -241,11 +243,13 @@
 #[gtest]
 #[tokio::test]
 async fn after_a_rest_requests_are_tried_one_at_a_time_until_one_is_answered() {
-    let server = Backend::spawn(Way::TurnAway).await;
+    let server = Backend::spawn(Behavior::Reject).await;
     let (_service, node) = ready(&[&server]).await;
-    server.state.turn(Way::TurnAway, "x-rest-ms: 300\r\n");
+    server
+        .state
+        .set_behavior(Behavior::Reject, "x-rest-ms: 300\r\n");
     expect_that!(node.ask("/once/", "").await.status, eq(503));
-    server.state.turn(Way::Hang, "");
+    server.state.set_behavior(Behavior::Hang, "");
     sleep(Duration::from_millis(350)).await;
     let mut waiting = Vec::new();
     for _ in 0..10 {
@@ -258,7 +262,7 @@
         eq(2),
         "the one that asked for rest for it, and one more"
     );
-    server.state.turn(Way::Answer, "");
+    server.state.set_behavior(Behavior::Answer, "");
     sleep(Duration::from_millis(500)).await;
     for _ in 0..10 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
@@ -269,17 +273,19 @@
 #[tokio::test]
 async fn a_rest_belongs_to_one_life() {
     let (resting, free) = (
-        Backend::spawn(Way::TurnAway).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Reject).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (service, node) = ready(&[&resting, &free]).await;
     register_life(&service, &resting, 5);
     sleep(SOON).await;
-    resting.state.turn(Way::TurnAway, "x-rest-ms: 60000\r\n");
+    resting
+        .state
+        .set_behavior(Behavior::Reject, "x-rest-ms: 60000\r\n");
     while came(&resting) == 0 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
-    resting.state.turn(Way::Answer, "");
+    resting.state.set_behavior(Behavior::Answer, "");
     // What is held against it for its failure has faded.
     sleep(Duration::from_secs(4)).await;
     expect_that!(is_used(&node, &resting).await, eq(false));
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::feed::Service;
 use crate::fleet::{KEYS_FRESH_MS, Node, register};
 
@@ -58,7 +58,7 @@
 async fn a_node_without_the_service_goes_by_what_its_peers_know() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
     let one = Node::spawn(&service, "g1").await;
     let two = Node::spawn(&service, "g2").await;
@@ -116,7 +116,7 @@
         service.set(&format!("mulberryyoke/gateways/s{index}"), Some(&address));
         silent.push(listener);
     }
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
     let node = Node::spawn(&service, "g0").await;
     let slowest = slowest_change(&service, &[&node], 6..14).await;
@@ -128,7 +128,7 @@
 async fn after_an_outage_requests_with_a_key_are_served_within_two_seconds() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
     let nodes = eight(&service).await;
     sleep(Duration::from_secs(1)).await;
@@ -153,7 +153,7 @@
 async fn a_change_is_in_force_in_time_though_the_peers_asked_are_cut_off() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
     let nodes = eight(&service).await;
     // The three whose names have the lowest hashes ask the service for the others.
@@ -176,7 +176,7 @@
 async fn an_ended_registration_counts_at_once_though_the_service_had_failed_long_before() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
     let mut nodes = Vec::new();
     for index in 0..4 {
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -5,8 +5,12 @@
 use hyper::http::{request, response};
 use mulberryyoke_decide::engine::{PartId, Prompt};
 use mulberryyoke_gateway::Server;
-use mulberryyoke_gateway::plan::{Cold, Customer, Kind, Limits, Model, Plan, Pool, Route, Target};
-use mulberryyoke_gateway::protocol::{Ask, Notice, Order, Proof, Protocol, Reading, Unreadable};
+use mulberryyoke_gateway::plan::{
+    ColdStart, Customer, Limits, Model, Plan, Pool, RequestKind, Route, Target,
+};
+use mulberryyoke_gateway::protocol::{
+    Forwarding, Notice, ParseError, Protocol, RequestHead, ResponseHead, Verification,
+};
 use mulberryyoke_model::{CustomerId, PoolId, ServerId};
 
 /// Time after which a caller is answered on every route, in milliseconds.
@@ -25,7 +29,7 @@
 pub(crate) const COLD_PER_S: f64 = 4.0;
 
 /// Header of a request at which reading the head panics.
-pub(crate) const PANICS: &str = "x-panics: 1\r\n";
+pub(crate) const PANIC_HEADER: &str = "x-panics: 1\r\n";
 
 /// Tokens of a prompt's shared part.
 const SHARED: u32 = 4_000;
@@ -33,25 +37,25 @@
 /// Values are words: `VERSION [tokens=PER_S] KEY...` for a configuration, `POOL ADDRESS STATE [BORN [COLD_MS
 /// [ZONE]]]` for a server, which is cold for so long.
 #[derive(Debug)]
-pub(crate) struct Words {
+pub(crate) struct TestProtocol {
     /// The gateway's name, which servers are told.
     pub(crate) gateway: String,
 }
 
-impl Protocol for Words {
-    fn ask(&self, head: &request::Parts) -> Result<Ask, Unreadable> {
+impl Protocol for TestProtocol {
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, ParseError> {
         let text = |name| head.headers.get(name).and_then(|value| value.to_str().ok());
         assert!(text("x-panics").is_none(), "a head that nobody thought of");
-        let id = text("x-id").ok_or_else(|| Unreadable {
-            what: "x-id".to_owned(),
-            why: "missing".to_owned(),
+        let id = text("x-id").ok_or_else(|| ParseError {
+            subject: "x-id".to_owned(),
+            reason: "missing".to_owned(),
         })?;
         let tokens = text("x-tokens").and_then(|tokens| tokens.parse().ok());
         let shared = text("x-shared").and_then(|part| part.parse().ok());
         let key = text("authorization").and_then(|value| value.strip_prefix("Bearer "));
-        Ok(Ask {
+        Ok(RequestHead {
             id: id.to_owned(),
-            patience_ms: text("x-patience-ms").and_then(|ms| ms.parse().ok()),
+            timeout_ms: text("x-patience-ms").and_then(|ms| ms.parse().ok()),
             key: key.map(str::to_owned),
             prompt: tokens.map(|tokens| {
                 let shared = shared.map(|part: u64| (part, SHARED));
@@ -61,47 +65,47 @@
         })
     }
 
-    fn forward(&self, headers: &mut HeaderMap, order: &Order<'_>) {
+    fn rewrite_headers(&self, headers: &mut HeaderMap, forwarding: &Forwarding<'_>) {
         headers.remove(AUTHORIZATION);
-        headers.insert("x-left-ms", HeaderValue::from(order.left_ms));
+        headers.insert("x-left-ms", HeaderValue::from(forwarding.remaining_ms));
         for (name, text) in [
             ("x-by", Some(self.gateway.as_str())),
-            ("x-server", Some(order.server)),
-            ("x-customer", order.customer),
+            ("x-server", Some(forwarding.server)),
+            ("x-customer", forwarding.customer),
         ] {
             headers.remove(name);
             if let Some(value) = text.and_then(|text| HeaderValue::from_str(text).ok()) {
                 headers.insert(name, value);
             }
         }
-        if let Some(event) = order.resume_after {
+        if let Some(event) = forwarding.resume_after {
             headers.insert("x-after", HeaderValue::from(event));
         }
     }
 
-    fn reading(&self, head: &response::Parts, id: &str) -> Reading {
+    fn parse_response(&self, head: &response::Parts, id: &str) -> ResponseHead {
         let headers = &head.headers;
         let named = headers.get("x-id").map(HeaderValue::as_bytes);
         let proof = if named.is_some_and(|named| named != id.as_bytes()) {
-            Proof::Crossed
+            Verification::Mismatched
         } else if head.status.as_u16() == 421 {
-            Proof::OtherServer
+            Verification::WrongServer
         } else if headers.contains_key("x-not-run") {
-            Proof::NotRun
+            Verification::NotExecuted
         } else if headers.contains_key("x-seal") {
-            Proof::Sealed
+            Verification::Sealed
         } else {
-            Proof::Unproved
+            Verification::Unverified
         };
         let rest_ms = headers.get("x-rest-ms").and_then(|ms| ms.to_str().ok());
-        Reading {
-            proof,
-            is_last: false,
-            idle_ms: None,
+        ResponseHead {
+            verification: proof,
+            closes_connection: false,
+            keep_alive_ms: None,
             cold_left_ms: None,
             notice: Notice {
                 is_leaving: headers.contains_key("x-leaving"),
-                rest_ms: rest_ms.and_then(|ms| ms.parse().ok()),
+                pushback_ms: rest_ms.and_then(|ms| ms.parse().ok()),
             },
         }
     }
@@ -118,7 +122,7 @@
         "evacuate/"
     }
 
-    fn plan(&self, value: &[u8]) -> Result<Plan, Unreadable> {
+    fn parse_config(&self, value: &[u8]) -> Result<Plan, ParseError> {
         let text = String::from_utf8_lossy(value);
         let mut words = text.split_whitespace();
         let version = words.next().and_then(|word| word.parse().ok());
@@ -132,18 +136,18 @@
             priority: None,
         };
         let limits = Limits {
-            head_bytes: 16_384,
-            body_bytes: 1_000,
-            head_ms: 1_000,
-            idle_ms: 5_000,
+            max_head_bytes: 16_384,
+            max_body_bytes: 1_000,
+            head_timeout_ms: 1_000,
+            idle_timeout_ms: 5_000,
             tokens_per_s: tokens_per_s.and_then(|tokens| tokens.parse().ok()),
         };
         let routes = [
-            ("/idempotent/", Kind::Idempotent, 2),
-            ("/once/", Kind::Once, 1),
-            ("/stream/", Kind::Stream, 1),
-            ("/resumable/", Kind::Resumable, 2),
-            ("/keyed/", Kind::Idempotent, 2),
+            ("/idempotent/", RequestKind::Idempotent, 2),
+            ("/once/", RequestKind::Once, 1),
+            ("/stream/", RequestKind::Stream, 1),
+            ("/resumable/", RequestKind::Resumable, 2),
+            ("/keyed/", RequestKind::Idempotent, 2),
         ];
         let routes = routes.map(|(prefix, kind, attempts)| route(prefix, kind, attempts));
         let pools = vec![pool("plain", None), pool("model", Some(model()))];
@@ -156,11 +160,11 @@
         ))
     }
 
-    fn kept_path(&self) -> Option<&'static str> {
+    fn cached_parts_path(&self) -> Option<&'static str> {
         Some("/kept")
     }
 
-    fn kept(&self, value: &[u8]) -> Result<Vec<PartId>, Unreadable> {
+    fn parse_cached_parts(&self, value: &[u8]) -> Result<Vec<PartId>, ParseError> {
         let text = String::from_utf8_lossy(value);
         let parts = text.split_whitespace().map(|word| {
             let part = word.parse().map_err(|_| unreadable("list"))?;
@@ -169,7 +173,7 @@
         parts.collect()
     }
 
-    fn server(&self, name: &str, value: &[u8]) -> Result<Server, Unreadable> {
+    fn parse_server(&self, name: &str, value: &[u8]) -> Result<Server, ParseError> {
         let text = String::from_utf8_lossy(value);
         let words: Vec<&str> = text.split_whitespace().collect();
         let [pool, address, state, ..] = words[..] else {
@@ -193,14 +197,14 @@
     }
 }
 
-fn unreadable(what: &str) -> Unreadable {
-    Unreadable {
-        what: what.to_owned(),
-        why: "words are missing".to_owned(),
+fn unreadable(what: &str) -> ParseError {
+    ParseError {
+        subject: what.to_owned(),
+        reason: "words are missing".to_owned(),
     }
 }
 
-fn route(prefix: &str, kind: Kind, attempts: u32) -> Route {
+fn route(prefix: &str, kind: RequestKind, attempts: u32) -> Route {
     let pool = if kind.is_stream() { "model" } else { "plain" };
     Route {
         name: prefix.to_owned(),
@@ -210,8 +214,8 @@
         is_public: prefix != "/keyed/",
         timeout_ms: TIMEOUT_MS,
         objective_ms: OBJECTIVE_MS,
-        gap_ms: kind.is_stream().then_some(100),
-        attempts,
+        max_gap_ms: kind.is_stream().then_some(100),
+        max_attempts: attempts,
         priority: 1,
         targets: vec![Target {
             pool: PoolId::of(pool),
@@ -224,12 +228,12 @@
     Pool {
         id: PoolId::of(name),
         name: name.to_owned(),
-        health: "/health".to_owned(),
-        connections: 64,
+        health_path: "/health".to_owned(),
+        max_connections: 64,
         model,
-        cold: Some(Cold {
-            start_ms: COLD_MS,
-            per_s: COLD_PER_S,
+        cold: Some(ColdStart {
+            duration_ms: COLD_MS,
+            requests_per_s: COLD_PER_S,
         }),
     }
 }
--- a/crates/gateway/tests/gateway/repeats.rs
+++ b/crates/gateway/tests/gateway/repeats.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::Instant;
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::fleet::ready;
 use crate::protocol::OBJECTIVE_MS;
 
@@ -21,13 +21,13 @@
 #[tokio::test]
 async fn a_request_runs_on_as_many_servers_as_its_route_allows() {
     let table = [
-        (Way::Close, "/once/", 502, 1),
-        (Way::Cross, "/once/", 502, 1),
-        (Way::Truncate, "/once/", 502, 1),
-        (Way::Fail, "/once/", 500, 1),
-        (Way::Close, "/idempotent/", 502, 2),
-        (Way::Truncate, "/idempotent/", 502, 2),
-        (Way::Fail, "/idempotent/", 500, 2),
+        (Behavior::Close, "/once/", 502, 1),
+        (Behavior::WrongRequestId, "/once/", 502, 1),
+        (Behavior::Truncate, "/once/", 502, 1),
+        (Behavior::Fail, "/once/", 500, 1),
+        (Behavior::Close, "/idempotent/", 502, 2),
+        (Behavior::Truncate, "/idempotent/", 502, 2),
+        (Behavior::Fail, "/idempotent/", 500, 2),
     ];
     for (way, path, status, most) in table {
         let [a, b, c] = [way; 3].map(Backend::spawn);
@@ -43,8 +43,11 @@
 #[tokio::test]
 async fn what_a_server_has_not_run_goes_to_another() {
     for path in ["/once/", "/idempotent/"] {
-        for way in [Way::TurnAway, Way::OtherServer] {
-            let (bad, good) = (Backend::spawn(way).await, Backend::spawn(Way::Answer).await);
+        for way in [Behavior::Reject, Behavior::WrongServer] {
+            let (bad, good) = (
+                Backend::spawn(way).await,
+                Backend::spawn(Behavior::Answer).await,
+            );
             let (_service, node) = ready(&[&bad, &good]).await;
             for _ in 0..4 {
                 let reply = node.ask(path, "").await;
@@ -59,9 +62,9 @@
 async fn a_server_that_cannot_be_reached_is_passed_over() {
     let gone = Backend {
         address: "127.0.0.1:1".parse().expect("an address"),
-        ..Backend::spawn(Way::Answer).await
+        ..Backend::spawn(Behavior::Answer).await
     };
-    let good = Backend::spawn(Way::Answer).await;
+    let good = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&gone, &good]).await;
     for _ in 0..4 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
@@ -72,8 +75,8 @@
 #[tokio::test]
 async fn a_silent_server_is_given_up_in_time_for_another() {
     let (silent, good) = (
-        Backend::spawn(Way::Hang).await,
-        Backend::spawn(Way::Answer).await,
+        Backend::spawn(Behavior::Hang).await,
+        Backend::spawn(Behavior::Answer).await,
     );
     let (_service, node) = ready(&[&silent, &good]).await;
     for _ in 0..3 {
@@ -90,8 +93,8 @@
 #[tokio::test]
 async fn retries_are_bounded_by_the_requests_of_their_own_pool() {
     let (bad, other) = (
-        Backend::spawn(Way::Fail).await,
-        Backend::spawn(Way::Fail).await,
+        Backend::spawn(Behavior::Fail).await,
+        Backend::spawn(Behavior::Fail).await,
     );
     let (_service, node) = ready(&[&bad, &other]).await;
     let requests = 100;
--- a/crates/gateway/tests/gateway/restore.rs
+++ b/crates/gateway/tests/gateway/restore.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use tokio::time::sleep;
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::feed::Service;
 use crate::fleet::{Node, ready, register};
 
@@ -40,7 +40,7 @@
 #[tokio::test]
 async fn a_key_that_was_taken_away_does_not_come_back() {
     for is_given_again in [false, true] {
-        let backend = Backend::spawn(Way::Answer).await;
+        let backend = Backend::spawn(Behavior::Answer).await;
         let (service, node) = ready(&[&backend]).await;
         service.back_up();
         service.set("config", Some("7 other"));
@@ -62,7 +62,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_node_that_was_away_meanwhile_learns_what_is_written_under_its_old_revision() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     service.back_up();
     write_up_to(&service, service.revision() + 5);
@@ -81,7 +81,7 @@
 #[gtest]
 #[tokio::test]
 async fn servers_that_the_copy_lacks_have_time_to_register_again() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[]).await;
     service.back_up();
     register(&service, 0, &backend, "ready");
@@ -114,7 +114,7 @@
 async fn a_server_that_leaves_or_is_gone_is_not_brought_back_by_the_copy() {
     for state in ["leaving", "gone"] {
         for is_given_again in [false, true] {
-            let backend = Backend::spawn(Way::Answer).await;
+            let backend = Backend::spawn(Behavior::Answer).await;
             let (service, node) = ready(&[&backend]).await;
             service.back_up();
             if state == "gone" {
@@ -149,7 +149,7 @@
 #[gtest]
 #[tokio::test]
 async fn an_evacuation_that_the_copy_lacks_still_holds_and_ends_with_its_key() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     service.back_up();
     service.set("evacuate/a", Some("{}"));
--- a/crates/gateway/tests/gateway/stop.rs
+++ b/crates/gateway/tests/gateway/stop.rs
@@ -5,13 +5,13 @@
 use googletest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::fleet::ready;
 
 #[gtest]
 #[tokio::test]
 async fn running_answers_end_and_later_requests_are_told_that_they_did_not_run() {
-    let backend = Backend::spawn(Way::Stream).await;
+    let backend = Backend::spawn(Behavior::Stream).await;
     let (_service, mut node) = ready(&[&backend]).await;
     let gateway = node.gateway.take().expect("it runs");
     let begun = Instant::now();
@@ -33,7 +33,7 @@
 #[gtest]
 #[tokio::test]
 async fn an_answer_that_does_not_end_is_cut_before_the_process_is_killed() {
-    let backend = Backend::spawn(Way::Hang).await;
+    let backend = Backend::spawn(Behavior::Hang).await;
     let (_service, mut node) = ready(&[&backend]).await;
     let gateway = node.gateway.take().expect("it runs");
     let stopping = tokio::spawn(gateway.stop());
--- a/crates/gateway/tests/gateway/strain.rs
+++ b/crates/gateway/tests/gateway/strain.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-use crate::backend::{Backend, Way};
+use crate::backend::{Backend, Behavior};
 use crate::fleet::ready;
 
 /// Time for which the runtime that the gateway shares with the test is held up, each time.
@@ -15,7 +15,7 @@
 #[gtest]
 #[tokio::test]
 async fn an_overloaded_node_tells_new_connections_at_once_to_go_elsewhere() {
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     expect_that!(node.ask("/once/", "").await.status, eq(200));
     for _ in 0..5 {
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::sleep;
 
-use crate::backend::{Backend, Way, field};
+use crate::backend::{Backend, Behavior, field};
 use crate::caller::{self, Reply};
 use crate::fleet::{ready, register};
 use crate::protocol::{LONG_PROMPT, TIMEOUT_MS};
@@ -24,7 +24,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_stream_comes_as_it_was_made() {
-    let backend = Backend::spawn(Way::Stream).await;
+    let backend = Backend::spawn(Behavior::Stream).await;
     let (_service, node) = ready(&[&backend]).await;
     for path in ["/stream/", "/resumable/"] {
         let reply = node.ask(path, PROMPT).await;
@@ -41,8 +41,8 @@
 #[tokio::test]
 async fn a_stream_that_breaks_off_does_not_look_whole_and_has_no_part_of_an_event() {
     let (cut, other) = (
-        Backend::spawn(Way::CutStream).await,
-        Backend::spawn(Way::CutStream).await,
+        Backend::spawn(Behavior::CutStream).await,
+        Backend::spawn(Behavior::CutStream).await,
     );
     let (_service, node) = ready(&[&cut, &other]).await;
     let reply = node.ask("/stream/", PROMPT).await;
@@ -56,7 +56,7 @@
 #[gtest]
 #[tokio::test]
 async fn events_that_came_before_a_break_are_passed_on_though_both_came_at_once() {
-    let backend = Backend::spawn(Way::CutAtOnce).await;
+    let backend = Backend::spawn(Behavior::CutAtOnce).await;
     let (_service, node) = ready(&[&backend]).await;
     for _ in 0..5 {
         let reply = node.ask("/stream/", PROMPT).await;
@@ -68,8 +68,11 @@
 #[gtest]
 #[tokio::test]
 async fn a_stream_that_may_be_resumed_goes_on_after_the_last_whole_event() {
-    for way in [Way::CutStream, Way::HangStream] {
-        let (bad, good) = (Backend::spawn(way).await, Backend::spawn(Way::Stream).await);
+    for way in [Behavior::CutStream, Behavior::HangStream] {
+        let (bad, good) = (
+            Backend::spawn(way).await,
+            Backend::spawn(Behavior::Stream).await,
+        );
         let (_service, node) = ready(&[&bad, &good]).await;
         for _ in 0..3 {
             let reply = node.ask("/resumable/", PROMPT).await;
@@ -91,7 +94,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_stream_ends_when_its_route_allows_no_more() {
-    let backend = Backend::spawn(Way::HangStream).await;
+    let backend = Backend::spawn(Behavior::HangStream).await;
     let (_service, node) = ready(&[&backend]).await;
     let begun = tokio::time::Instant::now();
     let reply = node.ask("/stream/", PROMPT).await;
@@ -102,21 +105,21 @@
 #[gtest]
 #[tokio::test]
 async fn a_stream_ends_at_its_server_when_the_caller_leaves() {
-    let backend = Backend::spawn(Way::HangStream).await;
+    let backend = Backend::spawn(Behavior::HangStream).await;
     let (_service, node) = ready(&[&backend]).await;
     let stream = caller::open(node.callers, &caller::request("/stream/", PROMPT)).await;
     sleep(Duration::from_millis(200)).await;
     drop(stream);
     sleep(Duration::from_millis(300)).await;
-    expect_that!(backend.state.hung_up(), eq(1));
+    expect_that!(backend.state.disconnects(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_slow_stream_is_not_broken_off_when_no_retry_is_left() {
     let (slow, other) = (
-        Backend::spawn(Way::SlowStream).await,
-        Backend::spawn(Way::SlowStream).await,
+        Backend::spawn(Behavior::SlowStream).await,
+        Backend::spawn(Behavior::SlowStream).await,
     );
     let (_service, node) = ready(&[&slow, &other]).await;
     let asks = (0..40).map(|_| node.ask("/resumable/", PROMPT));
@@ -131,13 +134,13 @@
 #[gtest]
 #[tokio::test]
 async fn a_broken_stream_is_offered_to_a_server_where_a_new_request_would_be_refused() {
-    let busy = Backend::spawn(Way::Hang).await;
+    let busy = Backend::spawn(Behavior::Hang).await;
     let (service, node) = ready(&[&busy]).await;
     let long = caller::request("/stream/", &format!("x-tokens: {LONG_PROMPT}\r\n"));
     let _long = caller::open(node.callers, &long).await;
     sleep(Duration::from_millis(100)).await;
     expect_that!(node.ask("/resumable/", PROMPT).await.status, eq(503));
-    let cut = Backend::spawn(Way::CutStream).await;
+    let cut = Backend::spawn(Behavior::CutStream).await;
     register(&service, 1, &cut, "ready");
     sleep(Duration::from_millis(500)).await;
     let reply = node.ask("/resumable/", PROMPT).await;
@@ -150,12 +153,12 @@
 #[tokio::test]
 async fn a_stream_goes_on_where_it_is_taken_though_other_servers_turn_it_away() {
     let (cut, free) = (
-        Backend::spawn(Way::CutStream).await,
-        Backend::spawn(Way::Stream).await,
+        Backend::spawn(Behavior::CutStream).await,
+        Backend::spawn(Behavior::Stream).await,
     );
     let (away, also) = (
-        Backend::spawn(Way::TurnAway).await,
-        Backend::spawn(Way::TurnAway).await,
+        Backend::spawn(Behavior::Reject).await,
+        Backend::spawn(Behavior::Reject).await,
     );
     for _ in 0..4 {
         let (_service, node) = ready(&[&cut, &away, &also, &free]).await;
--- a/crates/gateway/tests/suspension/main.rs
+++ b/crates/gateway/tests/suspension/main.rs
@@ -12,12 +12,12 @@
 mod backend;
 #[path = "../gateway/caller.rs"]
 mod caller;
+#[path = "../gateway/crashing_server.rs"]
+mod crashing_server;
 #[path = "../gateway/feed.rs"]
 mod feed;
 #[path = "../gateway/fleet.rs"]
 mod fleet;
-#[path = "../gateway/mortal.rs"]
-mod mortal;
 #[path = "../gateway/protocol.rs"]
 mod protocol;
 
@@ -28,10 +28,10 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, sleep};
 
-use crate::backend::{Backend, Way, field};
+use crate::backend::{Backend, Behavior, field};
+use crate::crashing_server::{CRASH_BODY, CrashCounts, CrashingServer, RestartName, crash_count};
 use crate::feed::Service;
 use crate::fleet::{Node, ready};
-use crate::mortal::{BAD, Luck, Mortal, Name, ended};
 use crate::protocol::TIMEOUT_MS;
 
 /// One test at a time.
@@ -58,7 +58,7 @@
 #[tokio::test]
 async fn a_woken_gateway_serves_nothing_by_what_it_knew_before() {
     let _one = ONE.lock().await;
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
     node.kv.set_failing(true);
@@ -90,8 +90,8 @@
 async fn servers_are_handed_no_more_time_than_the_caller_has_left() {
     let _one = ONE.lock().await;
     let (silent, other) = (
-        Backend::spawn(Way::Hang).await,
-        Backend::spawn(Way::Hang).await,
+        Backend::spawn(Behavior::Hang).await,
+        Backend::spawn(Behavior::Hang).await,
     );
     let (_service, node) = ready(&[&silent, &other]).await;
     let asked = node.ask("/idempotent/", "");
@@ -115,7 +115,7 @@
 async fn a_caller_whose_time_ended_meanwhile_is_told_at_once() {
     let _one = ONE.lock().await;
     for path in ["/once/", "/stream/", "/idempotent/"] {
-        let backend = Backend::spawn(Way::Hang).await;
+        let backend = Backend::spawn(Behavior::Hang).await;
         let (_service, node) = ready(&[&backend]).await;
         let begun = Instant::now();
         let asked = node.ask(path, "x-tokens: 10\r\n");
@@ -133,7 +133,7 @@
 #[tokio::test]
 async fn a_woken_gateway_renews_its_lease_at_once() {
     let _one = ONE.lock().await;
-    let backend = Backend::spawn(Way::Answer).await;
+    let backend = Backend::spawn(Behavior::Answer).await;
     let (service, _node) = ready(&[&backend]).await;
     sleep(Duration::from_millis(200)).await;
     let before = service.renewals();
@@ -150,22 +150,24 @@
     service.set("config", Some("5 secret"));
     let mut servers = Vec::new();
     for index in 0..5 {
-        let luck = Luck::default();
-        servers.push(Mortal::spawn(&service, index, Name::New, Way::Answer, &luck).await);
+        let luck = CrashCounts::default();
+        servers.push(
+            CrashingServer::spawn(&service, index, RestartName::New, Behavior::Answer, &luck).await,
+        );
     }
     let node = Node::spawn(&service, "g0").await;
     node.wait_ready().await;
-    let request = caller::with_body("/once/", "", BAD);
+    let request = caller::with_body("/once/", "", CRASH_BODY);
     for _ in 0..4 {
         caller::send(node.callers, &request).await;
         sleep(TRIAL).await;
     }
-    expect_that!(ended(&servers), eq(3));
+    expect_that!(crash_count(&servers), eq(3));
     clock::suspend(SENTENCE_MS);
     sleep(Duration::from_millis(100)).await;
     node.wait_ready().await;
     for _ in 0..2 {
         caller::send(node.callers, &request).await;
     }
-    expect_that!(ended(&servers), eq(4));
+    expect_that!(crash_count(&servers), eq(4));
 }
