--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,6 +7,7 @@
 mod backend;
 mod balance;
 mod body_relay;
+mod cache_report;
 mod call;
 pub mod clock;
 mod connection_pool;
@@ -21,7 +22,6 @@
 mod handoff;
 mod header;
 mod intake;
-mod kept;
 mod listen;
 mod mirror;
 mod notice;
