--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -156,9 +156,9 @@
             core.shares.lock().record_grant(customer, tokens);
         });
     }
-    core.exchange.note(choice.server, prompt, is_new);
+    core.exchange.record_prompt(choice.server, prompt, is_new);
     // What other nodes have servers read is not told; each is taken to do as this one does.
-    let peers = u32::try_from(core.exchange.gateways() - 1).unwrap_or(u32::MAX);
+    let peers = u32::try_from(core.exchange.gateway_count() - 1).unwrap_or(u32::MAX);
     let read = choice.uncached.saturating_mul(peers);
     backend.engine.lock().cache.record_prefill(read);
     Ok(Running::begin(backend, Some(prompt)))
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -36,7 +36,7 @@
 /// Lets the boot clock go on by so many milliseconds and no other clock, as after a suspension
 /// of the machine, which a process cannot bring about for itself alone. For tests.
 #[doc(hidden)]
-pub fn suspend(ms: u64) {
+pub fn simulate_suspension(ms: u64) {
     ADDED_MS.fetch_add(ms, Ordering::Relaxed);
 }
 
@@ -61,7 +61,7 @@
 
 /// When the machine was last seen to have woken from a suspension, in milliseconds of
 /// [`now_ms`]; 0 if it never was.
-pub(crate) fn woke_ms() -> u64 {
+pub(crate) fn last_resume_ms() -> u64 {
     let (_, start) = start();
     let now = now_ms();
     let ahead = now.saturating_sub(whole_ms(start.elapsed()));
@@ -91,7 +91,7 @@
 }
 
 /// Waits until an instant of the steady clock, if there is one; else for ever.
-pub(crate) async fn wait_for(at: Option<Instant>) {
+pub(crate) async fn sleep_until_opt(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => pending().await,
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -18,7 +18,7 @@
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
 use crate::registry::Registry;
-use crate::stop::Stop;
+use crate::shutdown::Shutdown;
 use crate::strain::Strain;
 use crate::view::View;
 
@@ -40,7 +40,7 @@
     pub(crate) strain: Strain,
     /// Connections of callers that others serve.
     pub(crate) handed_on: TaskTracker,
-    pub(crate) stop: Stop,
+    pub(crate) shutdown: Shutdown,
 }
 
 impl fmt::Debug for Core {
--- a/crates/gateway/src/dispatch/send.rs
+++ b/crates/gateway/src/dispatch/send.rs
@@ -64,7 +64,7 @@
                 fail(core, call, &running, "no answer in time", "");
                 return Outcome::TimedOut;
             }
-            () = clock::wait_for(stall) => {}
+            () = clock::sleep_until_opt(stall) => {}
         }
         stall = None;
         if core.budgets.spend(call.pool) {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -18,7 +18,7 @@
 use mulberryyoke_wire::beat::{Beat, Read};
 use parking_lot::Mutex;
 
-pub(crate) use self::announce::{HANDOFFS, PREFIX, announce};
+pub(crate) use self::announce::{HANDOFFS_PREFIX, PEERS_PREFIX, announce};
 use self::inner::{Inner, Outgoing, own};
 pub(crate) use self::peers::Peer;
 pub(crate) use self::run::run;
@@ -78,12 +78,12 @@
     }
 
     /// Number of gateways that are known, this one included.
-    pub(crate) fn gateways(&self) -> usize {
+    pub(crate) fn gateway_count(&self) -> usize {
         self.inner.lock().peers.len() + 1
     }
 
     /// Notes that a server is given a prompt, to tell its shared parts.
-    pub(crate) fn note(&self, server: ServerId, prompt: &Prompt, is_new: bool) {
+    pub(crate) fn record_prompt(&self, server: ServerId, prompt: &Prompt, is_new: bool) {
         let Some(key) = prompt.affinity_key() else {
             return;
         };
--- a/crates/gateway/src/exchange/announce.rs
+++ b/crates/gateway/src/exchange/announce.rs
@@ -14,11 +14,11 @@
 use crate::core::Core;
 
 /// Prefix of the keys under which gateways tell where they take beats.
-pub(crate) const PREFIX: &str = "mulberryyoke/gateways/";
+pub(crate) const PEERS_PREFIX: &str = "mulberryyoke/gateways/";
 
 /// Prefix of the keys under which gateways tell where they take callers' connections that are
 /// handed on. They are apart from the others, which gateways of earlier releases read.
-pub(crate) const HANDOFFS: &str = "mulberryyoke/handoffs/";
+pub(crate) const HANDOFFS_PREFIX: &str = "mulberryyoke/handoffs/";
 
 /// Time after which a gateway that is gone is no longer told anything, in milliseconds.
 const LEASE_MS: u64 = 10_000;
@@ -32,7 +32,7 @@
 
 /// Keeps the address there until the gateway ends.
 pub(crate) async fn announce(core: Arc<Core>) {
-    let end = core.stop.end.clone();
+    let end = core.shutdown.terminate.clone();
     tokio::select! {
         () = end.cancelled() => {}
         () = keep(&core) => {}
@@ -84,14 +84,14 @@
     let id = feed.grant(LEASE_MS).await?.id;
     let era = feed.era();
     let settings = core.settings.load_full();
-    let key = format!("{PREFIX}{}", settings.name);
+    let key = format!("{PEERS_PREFIX}{}", settings.name);
     let peer = Peer {
         address: settings.control,
         place: Placement::new(&settings.zone, settings.processors),
     };
-    feed.put(&key, peer.write().as_bytes(), id).await?;
+    feed.put(&key, peer.encode().as_bytes(), id).await?;
     if let Some(address) = settings.handoff {
-        let key = format!("{HANDOFFS}{}", settings.name);
+        let key = format!("{HANDOFFS_PREFIX}{}", settings.name);
         feed.put(&key, address.to_string().as_bytes(), id).await?;
     }
     Ok(Held { id, era })
--- a/crates/gateway/src/exchange/peers.rs
+++ b/crates/gateway/src/exchange/peers.rs
@@ -21,7 +21,7 @@
 impl Peer {
     /// Reads a registration: address, thousandths of a processor, and zone. One that has the
     /// address alone is of a gateway which takes no messages of this version's form.
-    pub(crate) fn read(value: &[u8]) -> Option<Self> {
+    pub(crate) fn parse(value: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(value).ok()?;
         let mut fields = text.splitn(3, ' ');
         let address = fields.next()?.parse().ok()?;
@@ -33,8 +33,8 @@
         Some(Self { address, place })
     }
 
-    /// Writes it as [`Peer::read`] reads it.
-    pub(crate) fn write(&self) -> String {
+    /// Writes it as [`Peer::parse`] reads it.
+    pub(crate) fn encode(&self) -> String {
         let Placement {
             zone,
             millicpus: thousandths,
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -24,10 +24,10 @@
     let mut due = Instant::now();
     loop {
         tokio::select! {
-            () = core.stop.end.cancelled() => return,
+            () = core.shutdown.terminate.cancelled() => return,
             _ = ticks.tick() => {
                 // Those that wait for the boot clock learn here that the machine has woken.
-                clock::woke_ms();
+                clock::last_resume_ms();
                 core.exchange.expire(&core);
                 core.quarantine.expire();
                 settle(&core);
@@ -59,7 +59,7 @@
         clock::now_ms(),
     );
     let settings = core.settings.load();
-    let nodes = core.exchange.gateways();
+    let nodes = core.exchange.gateway_count();
     core.budgets
         .bound(settings.retry_ratio, settings.retry_slack, nodes);
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -29,7 +29,7 @@
 
 /// Follows the service until the gateway ends.
 pub(crate) async fn run(core: Arc<Core>) {
-    let end = core.stop.end.clone();
+    let end = core.shutdown.terminate.clone();
     let mut follower = Follower {
         contents: Contents::new(&core),
         sources: Sources::new(Arc::clone(&core.feed)),
--- a/crates/gateway/src/follow/contents.rs
+++ b/crates/gateway/src/follow/contents.rs
@@ -162,9 +162,9 @@
             self.zones.evacuate(zone);
         } else if let Some(digest) = quarantine::digest_of(key) {
             self.convict(digest, value, revision);
-        } else if let Some(name) = key.strip_prefix(exchange::PREFIX) {
-            self.set_peer(name, Peer::read(value));
-        } else if let Some(name) = key.strip_prefix(exchange::HANDOFFS) {
+        } else if let Some(name) = key.strip_prefix(exchange::PEERS_PREFIX) {
+            self.set_peer(name, Peer::parse(value));
+        } else if let Some(name) = key.strip_prefix(exchange::HANDOFFS_PREFIX) {
             let address = std::str::from_utf8(value).ok();
             let address = address.and_then(|text| text.parse().ok());
             self.core.exchange.set_handoff(name, address);
@@ -183,9 +183,9 @@
             if !was_missing {
                 quarantine::release(&self.core, digest);
             }
-        } else if let Some(name) = key.strip_prefix(exchange::PREFIX) {
+        } else if let Some(name) = key.strip_prefix(exchange::PEERS_PREFIX) {
             self.set_peer(name, None);
-        } else if let Some(name) = key.strip_prefix(exchange::HANDOFFS) {
+        } else if let Some(name) = key.strip_prefix(exchange::HANDOFFS_PREFIX) {
             self.core.exchange.set_handoff(name, None);
         }
     }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -24,7 +24,7 @@
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
 use crate::registry::Registry;
-use crate::stop::Stop;
+use crate::shutdown::Shutdown;
 use crate::strain::Strain;
 use crate::view::View;
 use crate::{control, follow, listen, ready, strain};
@@ -87,7 +87,7 @@
             connections: AtomicU32::new(0),
             strain: Strain::default(),
             handed_on: TaskTracker::new(),
-            stop: Stop::default(),
+            shutdown: Shutdown::default(),
         });
         let (ratio, slack) = {
             let settings = core.settings.load();
@@ -119,21 +119,21 @@
     /// Stops as planned: callers are sent elsewhere, requests that run are
     /// answered as long as there is time.
     pub async fn stop(self) {
-        let stop = &self.core.stop;
+        let shutdown = &self.core.shutdown;
         log!(self.core.logger, Event::Stopping);
-        stop.leave.cancel();
+        shutdown.drain.cancel();
         let grace =
             Duration::from_millis(self.core.settings.load().grace_ms.saturating_sub(END_MS));
         let closing = async {
             sleep(TAKE).await;
-            stop.refuse.cancel();
+            shutdown.refuse.cancel();
             sleep(ACCEPT).await;
-            stop.close.cancel();
-            stop.end.cancelled().await;
+            shutdown.close.cancel();
+            shutdown.terminate.cancelled().await;
         };
         tokio::select! {
             () = closing => {}
-            () = sleep(grace) => stop.end.cancel(),
+            () = sleep(grace) => shutdown.terminate.cancel(),
         }
         log!(self.core.logger, Event::Stopped);
     }
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -94,6 +94,6 @@
     tokio::select! {
         // How a connection fails is seen by both ends of it.
         _ = passed => {}
-        () = core.stop.end.cancelled() => {}
+        () = core.shutdown.terminate.cancelled() => {}
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -36,8 +36,8 @@
 mod refusal;
 mod registry;
 mod server;
+mod shutdown;
 mod socket;
-mod stop;
 mod strain;
 mod view;
 
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -28,7 +28,7 @@
         core.handed_on.wait().await;
     };
     tokio::select! {
-        () = core.stop.end.cancelled() => {}
-        () = ended => core.stop.end.cancel(),
+        () = core.shutdown.terminate.cancelled() => {}
+        () = ended => core.shutdown.terminate.cancel(),
     }
 }
--- a/crates/gateway/src/listen/connection.rs
+++ b/crates/gateway/src/listen/connection.rs
@@ -52,7 +52,7 @@
         .max_buf_size(head_bytes.max(LEAST_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let connection = watcher.watch(connection);
-    let end = core.stop.end.clone();
+    let end = core.shutdown.terminate.clone();
     core.connections.fetch_add(1, Ordering::Relaxed);
     let core = Arc::clone(core);
     tokio::spawn(async move {
@@ -88,7 +88,7 @@
 }
 
 async fn run(core: &Arc<Core>, intake: Intake) -> Result<Response<Answer>, Refusal> {
-    if core.stop.refuse.is_cancelled() {
+    if core.shutdown.refuse.is_cancelled() {
         return Err(Refusal::Stopping);
     }
     let call = Arc::new(intake.read(core).await?);
@@ -111,7 +111,7 @@
         StatusCode::TOO_MANY_REQUESTS,
     ];
     let is_refusal = refusals.contains(&status);
-    let is_leaving = core.stop.leave.is_cancelled();
+    let is_leaving = core.shutdown.drain.is_cancelled();
     let is_handed_on = core.strain.is_behind() && core.exchange.has_larger();
     is_leaving || is_handed_on || core.strain.sends_away() || (is_refusal && is_crowded(core))
 }
--- a/crates/gateway/src/listen/port.rs
+++ b/crates/gateway/src/listen/port.rs
@@ -36,8 +36,8 @@
     // Callers come for a while after the node said that it leaves; other gateways know better
     // ones at once.
     let closing = match way {
-        Way::Direct => &core.stop.close,
-        Way::HandedOn => &core.stop.leave,
+        Way::Direct => &core.shutdown.close,
+        Way::HandedOn => &core.shutdown.drain,
     };
     while let Some(listener) = listening.take() {
         let address = listener.local_addr();
@@ -132,7 +132,7 @@
         return;
     }
     let is_behind = core.strain.is_behind() || core.view.is_superseded();
-    if !is_behind || core.stop.leave.is_cancelled() {
+    if !is_behind || core.shutdown.drain.is_cancelled() {
         return connect(&core, watcher, stream, way);
     }
     let tracker = core.handed_on.clone();
--- a/crates/gateway/src/pass.rs
+++ b/crates/gateway/src/pass.rs
@@ -37,7 +37,7 @@
             () = pieces.closed() => return,
             passed = pass(&pieces, begun, rest) => passed,
             () = clock::wait_until(call.deadline) => Err(Broken::Late),
-            () = core.stop.end.cancelled() => Err(Broken::Stopping),
+            () = core.shutdown.terminate.cancelled() => Err(Broken::Stopping),
         };
         match passed {
             Ok(()) => {
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -181,9 +181,9 @@
         let pieces = self.pieces.clone();
         let mut closed = pin!(pieces.closed());
         let mut late = pin!(clock::wait_until(self.call.deadline));
-        let mut stopping = pin!(core.stop.end.cancelled());
+        let mut stopping = pin!(core.shutdown.terminate.cancelled());
         let mut stall = self.stall();
-        let mut stalled = pin!(clock::wait_for(stall));
+        let mut stalled = pin!(clock::sleep_until_opt(stall));
         loop {
             let frame = tokio::select! {
                 biased;
@@ -199,7 +199,7 @@
                         stall = None;
                     }
                     // Events came since this instant was waited for.
-                    stalled.set(clock::wait_for(stall));
+                    stalled.set(clock::sleep_until_opt(stall));
                     continue;
                 }
                 () = &mut stopping => return End::Stopping,
@@ -212,7 +212,7 @@
             let is_waited_for = stall.is_some();
             stall = self.stall();
             if !is_waited_for {
-                stalled.set(clock::wait_for(stall));
+                stalled.set(clock::sleep_until_opt(stall));
             }
             let whole = self.events.read(data);
             if whole.is_empty() {
--- a/crates/gateway/src/quarantine/conviction.rs
+++ b/crates/gateway/src/quarantine/conviction.rs
@@ -65,7 +65,7 @@
     }
     let core = Arc::clone(core);
     tokio::spawn(async move {
-        let end = core.stop.end.clone();
+        let end = core.shutdown.terminate.clone();
         tokio::select! {
             () = end.cancelled() => {}
             () = keep_trying(&core, digest) => {}
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -69,7 +69,7 @@
     let has_plan = core.view.plan().is_some();
     let is_fresh = core.view.age_ms() < FRESH_MS && core.view.kv_contact_age_ms() < REACH_MS;
     let is_fresh = is_fresh && !core.view.predates_suspension();
-    has_plan && is_fresh && !core.strain.is_away() && !core.stop.leave.is_cancelled()
+    has_plan && is_fresh && !core.strain.is_away() && !core.shutdown.drain.is_cancelled()
 }
 
 /// Answers one question for readiness.
@@ -94,7 +94,7 @@
 {
     loop {
         let accepted = tokio::select! {
-            () = core.stop.end.cancelled() => return,
+            () = core.shutdown.terminate.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         let stream = match accepted {
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -4,13 +4,13 @@
 
 /// The steps of a planned stop, each begun once and in this order.
 #[derive(Debug, Default)]
-pub(crate) struct Stop {
+pub(crate) struct Shutdown {
     /// The node is no longer ready; each answer ends its connection.
-    pub(crate) leave: CancellationToken,
+    pub(crate) drain: CancellationToken,
     /// New requests are refused.
     pub(crate) refuse: CancellationToken,
     /// No connection is accepted, and those without a request are closed.
     pub(crate) close: CancellationToken,
     /// Everything ends.
-    pub(crate) end: CancellationToken,
+    pub(crate) terminate: CancellationToken,
 }
--- a/crates/gateway/src/strain.rs
+++ b/crates/gateway/src/strain.rs
@@ -72,7 +72,7 @@
     loop {
         let due = Instant::now() + PERIOD;
         tokio::select! {
-            () = core.stop.end.cancelled() => return,
+            () = core.shutdown.terminate.cancelled() => return,
             () = sleep(PERIOD) => {}
         }
         let late_ms = clock::between_ms(due, Instant::now());
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -74,7 +74,7 @@
     /// Whether it was last known to be in force before a suspension of the machine: whatever
     /// was learnt before may have changed meanwhile.
     pub(crate) fn predates_suspension(&self) -> bool {
-        let woke_ms = clock::woke_ms();
+        let woke_ms = clock::last_resume_ms();
         woke_ms > 0 && self.confirmed_ms.load(Ordering::Relaxed) < woke_ms
     }
 
--- a/crates/gateway/tests/suspension/main.rs
+++ b/crates/gateway/tests/suspension/main.rs
@@ -66,7 +66,7 @@
     // Meanwhile the key is taken away and the server leaves.
     service.set("config", Some("6 other"));
     service.set("servers/plain-0", None);
-    clock::suspend(LONG_MS);
+    clock::simulate_suspension(LONG_MS);
     for path in ["/keyed/", "/idempotent/", "/once/"] {
         let reply = node.ask(path, KEY).await;
         expect_that!(reply.status, eq(503), "{path}");
@@ -97,7 +97,7 @@
     let asked = node.ask("/idempotent/", "");
     let suspended = async {
         sleep(Duration::from_millis(50)).await;
-        clock::suspend(SHORT_MS);
+        clock::simulate_suspension(SHORT_MS);
     };
     tokio::join!(asked, suspended);
     let heads = [silent.state.heads(), other.state.heads()].concat();
@@ -121,7 +121,7 @@
         let asked = node.ask(path, "x-tokens: 10\r\n");
         let suspended = async {
             sleep(Duration::from_millis(50)).await;
-            clock::suspend(LONG_MS);
+            clock::simulate_suspension(LONG_MS);
         };
         let (reply, ()) = tokio::join!(asked, suspended);
         expect_that!(reply.status, eq(504), "{path}");
@@ -137,7 +137,7 @@
     let (service, _node) = ready(&[&backend]).await;
     sleep(Duration::from_millis(200)).await;
     let before = service.renewals();
-    clock::suspend(LONG_MS);
+    clock::simulate_suspension(LONG_MS);
     sleep(Duration::from_millis(300)).await;
     expect_that!(service.renewals(), gt(before));
 }
@@ -161,7 +161,7 @@
         sleep(TRIAL).await;
     }
     expect_that!(ended(&servers), eq(3));
-    clock::suspend(SENTENCE_MS);
+    clock::simulate_suspension(SENTENCE_MS);
     sleep(Duration::from_millis(100)).await;
     node.wait_ready().await;
     for _ in 0..2 {
