--- a/crates/gateway/src/body_relay.rs
+++ b/crates/gateway/src/body_relay.rs
@@ -37,7 +37,7 @@
             () = pieces.closed() => return,
             passed = pass(&pieces, begun, rest) => passed,
             () = clock::wait_until(call.deadline_ms) => Err(BodyError::TimedOut),
-            () = core.stop.end.cancelled() => Err(BodyError::Stopping),
+            () = core.shutdown.terminate.cancelled() => Err(BodyError::Stopping),
         };
         match passed {
             Ok(()) => {
