--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to a backend server.
+//! Pool of HTTP connections to a backend server.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,25 +16,25 @@
 
 use crate::{clock, socket};
 
-/// Longest time to open a connection: servers are milliseconds away, and a caller
-/// gives its connections one second.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Connect timeout. Servers are milliseconds away, and callers time out their own connects after
+/// one second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time before the server's own idle limit at which a connection is no longer used.
-const MARGIN_MS: u64 = 500;
+/// Time before the server's idle timeout at which a connection is no longer reused.
+const IDLE_MARGIN_MS: u64 = 500;
 
-/// Idle limit of a server that tells none, in milliseconds.
-const USUAL_IDLE_MS: u64 = 4_000;
+/// Idle timeout of a server that doesn't state one, in milliseconds.
+const DEFAULT_IDLE_MS: u64 = 4_000;
 
-/// Largest buffer of a connection, in bytes: heads of answers and single events fit.
-const BUFFER_BYTES: usize = 16 << 10;
+/// Maximum buffer size of a connection, in bytes. Response heads and single events fit.
+const MAX_BUFFER_BYTES: usize = 16 << 10;
 
-/// An open connection. Dropping it closes it at once.
+/// An open connection, closed when dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// Whether it has carried a request before.
+    /// Whether it has carried a request.
     pub(crate) is_used: bool,
 }
 
@@ -47,11 +47,12 @@
 #[derive(Debug)]
 struct Idle {
     conn: Connection,
-    /// In milliseconds of the boot clock: a server closes it while the machine is suspended.
-    until_ms: u64,
+    /// In milliseconds of the boot clock: the server's idle timeout runs on while the VM is
+    /// suspended.
+    expires_ms: u64,
 }
 
-/// The connections of one server.
+/// Connections to one server.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     address: SocketAddr,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// A connection that was used before, if one is idle, else a new one.
+    /// Returns an idle connection, or opens one.
     pub(crate) async fn acquire(&self) -> io::Result<Connection> {
         if let Some(conn) = self.reuse() {
             return Ok(conn);
@@ -79,23 +80,23 @@
     fn reuse(&self) -> Option<Connection> {
         let now = clock::now_ms();
         let mut idle = self.idle.lock();
-        idle.retain(|idle| idle.until_ms > now && !idle.conn.sender.is_closed());
+        idle.retain(|idle| idle.expires_ms > now && !idle.conn.sender.is_closed());
         let ready = idle.iter().rposition(|idle| idle.conn.sender.is_ready())?;
         Some(idle.swap_remove(ready).conn)
     }
 
-    /// Opens a new connection.
+    /// Opens a connection.
     pub(crate) async fn connect(&self) -> io::Result<Connection> {
-        let stream = timeout(CONNECT, TcpStream::connect(self.address)).await??;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await??;
         socket::configure(&stream)?;
-        let shaken = http1::Builder::new()
-            .max_buf_size(BUFFER_BYTES)
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await;
-        let (sender, connection) = shaken.map_err(io::Error::other)?;
+        let (sender, connection) = handshake.map_err(io::Error::other)?;
         self.opened.fetch_add(1, Ordering::Relaxed);
         metrics::counter!("connections_opened_total").increment(1);
-        // How a connection fails is seen in its requests.
+        // Connection errors surface in the requests.
         let task = tokio::spawn(async move { drop(connection.await) });
         Ok(Connection {
             sender,
@@ -104,18 +105,20 @@
         })
     }
 
-    /// Keeps a connection whose answer was read whole. `idle_ms` is what the server tells.
+    /// Returns a connection to the pool after its response was read completely. `idle_ms` is the
+    /// idle timeout stated by the server.
     pub(crate) fn release(&self, mut conn: Connection, idle_ms: Option<u64>) {
         if conn.sender.is_closed() {
             return;
         }
         conn.is_used = true;
-        let idle_ms = idle_ms.unwrap_or(USUAL_IDLE_MS).saturating_sub(MARGIN_MS);
-        let until_ms = clock::now_ms() + idle_ms;
-        self.idle.lock().push(Idle { conn, until_ms });
+        let idle_ms = idle_ms
+            .unwrap_or(DEFAULT_IDLE_MS)
+            .saturating_sub(IDLE_MARGIN_MS);
+        let expires_ms = clock::now_ms() + idle_ms;
+        self.idle.lock().push(Idle { conn, expires_ms });
     }
 
-    /// Closes all idle connections.
     pub(crate) fn close_idle(&self) {
         self.idle.lock().clear();
     }
--- a/crates/gateway/src/header.rs
+++ b/crates/gateway/src/header.rs
@@ -1,11 +1,10 @@
-//! Headers that are not passed on.
+//! Headers that are not forwarded.
 
 use hyper::HeaderMap;
 use hyper::header::{CONTENT_LENGTH, EXPECT};
 use mulberryyoke_wire::hop;
 
-/// Removes the headers that concern one connection only, those that frame the
-/// body among them.
+/// Removes hop-by-hop headers and those that frame the body.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     hop::strip(headers);
     headers.remove(CONTENT_LENGTH);
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the router's own.
+//! Responses of the gateway itself.
 
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -6,50 +6,49 @@
 
 use crate::response_body::ResponseBody;
 
-/// Why a request gets no answer from a server.
+/// Why a request gets no response from a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// A header has not the form it must have.
+    /// A header is missing or invalid.
     Malformed,
-    /// The body is larger than allowed.
     BodyTooLarge,
-    /// The body did not come whole.
+    /// The body ended early.
     BodyTruncated,
-    /// The body did not come in time.
+    /// The body was not received before the deadline.
     BodyTimeout,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key names no customer.
+    /// The key is missing or belongs to no customer.
     UnknownCustomer,
-    /// No configuration is known, or it is too old to go by.
+    /// No configuration is known, or it is too old.
     NoConfiguration,
-    /// No server of the pool may be asked.
+    /// No server of the pool is available.
     NoServer,
-    /// Every server of the pool has asked for rest; come back after so many milliseconds.
+    /// Every server of the pool asks for pushback; with the retry delay in milliseconds.
     Pushback(u32),
-    /// The servers have more to do than fits in time; come back after so many milliseconds.
+    /// No server can meet the latency objective; with the retry delay in milliseconds.
     Busy(u32),
-    /// The customer has more than its portion; come back after so many milliseconds.
+    /// The customer exceeds its share; with the retry delay in milliseconds.
     OverShare(u32),
-    /// A server turned the request away and no other may be asked.
+    /// Servers rejected the request and no attempt is left.
     Rejected,
-    /// The node stops.
+    /// The gateway is shutting down.
     Stopping,
-    /// It ends servers, or is under suspicion of it while another copy runs.
+    /// The request crashes servers, or is suspected of it while another copy runs.
     Quarantined,
-    /// A server was asked and what became of it is unknown.
+    /// The request was sent and may have run.
     OutcomeUnknown,
-    /// A server's answer was no answer to this request.
+    /// A server's response doesn't belong to this request.
     InvalidResponse,
-    /// The time is over and a server may still run the request.
+    /// The deadline has passed and a server may still run the request.
     TimedOut,
 }
 
-/// Time after which to come back where only a fault has to pass, in milliseconds.
-const SOON_MS: u32 = 200;
+/// Retry delay after a temporary fault, in milliseconds.
+const FAULT_RETRY_AFTER_MS: u32 = 200;
 
 impl Refusal {
-    /// Its status. 429 and 503 promise that the request has not run and never will.
+    /// Status code. 429 and 503 promise that the request has not run and never will.
     pub(crate) const fn status(self) -> StatusCode {
         match self {
             Self::Malformed | Self::BodyTruncated => StatusCode::BAD_REQUEST,
@@ -64,7 +63,7 @@
             | Self::Busy(_)
             | Self::Rejected
             | Self::Stopping => StatusCode::SERVICE_UNAVAILABLE,
-            // It has run under an earlier id, so that nothing that promises it has not may be said.
+            // A quarantined request has run under an earlier id, which rules out 503.
             Self::Quarantined | Self::OutcomeUnknown | Self::InvalidResponse => {
                 StatusCode::BAD_GATEWAY
             }
@@ -72,7 +71,7 @@
         }
     }
 
-    /// Its name in logs, metrics and bodies.
+    /// Code in logs, metrics and response bodies.
     pub(crate) const fn code(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -95,18 +94,18 @@
         }
     }
 
-    /// When to come back, in milliseconds.
+    /// Delay before the caller should retry, in milliseconds.
     pub(crate) const fn retry_after_ms(self) -> Option<u32> {
         match self {
             Self::Pushback(ms) | Self::Busy(ms) | Self::OverShare(ms) => Some(ms),
             Self::NoConfiguration | Self::NoServer | Self::Rejected | Self::Stopping => {
-                Some(SOON_MS)
+                Some(FAULT_RETRY_AFTER_MS)
             }
             _ => None,
         }
     }
 
-    /// The answer that tells it.
+    /// Builds the response to the caller.
     pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let body = format!("{{\"error\":\"{}\"}}\n", self.code());
         let mut response = Response::new(ResponseBody::full(Bytes::from(body)));
--- a/crates/gateway/src/response_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Response bodies sent to callers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -10,30 +10,30 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// An answer's body.
+/// A response body.
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
-    /// Known as a whole.
+    /// Complete in memory.
     Full(Full<Bytes>),
-    /// Passed on as it comes from a server.
+    /// Relayed in chunks as they arrive from a server.
     Stream(mpsc::Receiver<Result<Bytes, BodyError>>),
 }
 
-/// Why an answer is not whole.
+/// Why a response body is incomplete.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum BodyError {
-    /// answer broke off
+    /// response truncated
     Truncated,
-    /// answer took longer than its route allows
+    /// request deadline exceeded
     TimedOut,
-    /// router is stopping
+    /// gateway is shutting down
     Stopping,
 }
 
 impl std::error::Error for BodyError {}
 
 impl ResponseBody {
-    /// A body known as a whole.
+    /// Creates a body that is complete in memory.
     pub(crate) fn full(bytes: Bytes) -> Self {
         Self::Full(Full::new(bytes))
     }
@@ -48,27 +48,27 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Full(whole) => {
-                let frame = ready!(Pin::new(whole).poll_frame(cx));
+            Self::Full(body) => {
+                let frame = ready!(Pin::new(body).poll_frame(cx));
                 Poll::Ready(frame.map(|frame| frame.map_err(never)))
             }
-            Self::Stream(pieces) => {
-                let piece = ready!(pieces.poll_recv(cx));
-                Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+            Self::Stream(chunks) => {
+                let chunk = ready!(chunks.poll_recv(cx));
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Full(whole) => whole.is_end_stream(),
+            Self::Full(body) => body.is_end_stream(),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Full(whole) => whole.size_hint(),
+            Self::Full(body) => body.size_hint(),
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/gateway/src/retry_budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! The retries that this node may make, by pool.
+//! Retry budgets of this gateway.
 
 use std::collections::HashMap;
 
@@ -6,15 +6,14 @@
 use mulberryyoke_model::{PoolId, whole_u32};
 use parking_lot::Mutex;
 
-/// Part of the fleet's ratio of retries that one node allows itself: the ratio
-/// holds in each window, and requests are counted late.
-const RATIO_PART: f64 = 0.8;
+/// Fraction of the configured retry ratio that one gateway uses. The ratio must hold in every
+/// window, and requests are counted late.
+const RATIO_FRACTION: f64 = 0.8;
 
-/// Part of the fleet's slack that all nodes together may have saved up.
-const SLACK_PART: f64 = 0.5;
+/// Fraction of the configured slack that all gateways together may accumulate.
+const SLACK_FRACTION: f64 = 0.5;
 
-/// The retries that this node may make, by pool: those of one pool do not count
-/// for another.
+/// Retry budget of each pool, so that failures of one pool don't exhaust the retries of others.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudgets {
     inner: Mutex<Inner>,
@@ -23,48 +22,51 @@
 #[derive(Debug, Default)]
 struct Inner {
     percent: u32,
-    full: u64,
+    /// In hundredths of a retry.
+    capacity: u64,
     by_pool: HashMap<PoolId, Budget>,
 }
 
 impl Inner {
-    fn of(&mut self, pool: PoolId) -> &mut Budget {
-        let (percent, full) = (self.percent, self.full);
+    fn get_or_new(&mut self, pool: PoolId) -> &mut Budget {
+        let (percent, capacity) = (self.percent, self.capacity);
         self.by_pool.entry(pool).or_insert_with(|| {
             let mut budget = Budget::new(percent);
-            budget.set_capacity(full);
+            budget.set_capacity(capacity);
             budget
         })
     }
 }
 
 impl RetryBudgets {
-    /// Bounds the retries: the fleet may make `ratio` for each request and `slack`
-    /// beyond, and this node is one of `nodes`.
-    pub(crate) fn set_limits(&self, ratio: f64, slack: f64, nodes: usize) {
-        let percent = whole_u32(ratio * RATIO_PART * 100.0);
-        let nodes = u32::try_from(nodes).unwrap_or(u32::MAX).max(1);
-        let full = u64::from(whole_u32(slack * SLACK_PART * 100.0 / f64::from(nodes)));
+    /// Sets the limits of the fleet: `ratio` retries per request plus `slack`, which is divided
+    /// among `gateways`.
+    pub(crate) fn set_limits(&self, ratio: f64, slack: f64, gateways: usize) {
+        let percent = whole_u32(ratio * RATIO_FRACTION * 100.0);
+        let gateways = u32::try_from(gateways).unwrap_or(u32::MAX).max(1);
+        let capacity = u64::from(whole_u32(
+            slack * SLACK_FRACTION * 100.0 / f64::from(gateways),
+        ));
         let mut inner = self.inner.lock();
         if inner.percent != percent {
             inner.by_pool.clear();
         }
-        if inner.full != full {
+        if inner.capacity != capacity {
             for budget in inner.by_pool.values_mut() {
-                budget.set_capacity(full);
+                budget.set_capacity(capacity);
             }
         }
         inner.percent = percent;
-        inner.full = full;
+        inner.capacity = capacity;
     }
 
     /// Counts a first attempt.
     pub(crate) fn deposit(&self, pool: PoolId) {
-        self.inner.lock().of(pool).deposit();
+        self.inner.lock().get_or_new(pool).deposit();
     }
 
-    /// Spends a retry; `false` when none is left.
+    /// Withdraws one retry; returns `false` if the budget is exhausted.
     pub(crate) fn try_withdraw(&self, pool: PoolId) -> bool {
-        self.inner.lock().of(pool).try_withdraw()
+        self.inner.lock().get_or_new(pool).try_withdraw()
     }
 }
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of TCP connections.
+//! TCP socket options.
 
 use std::io;
 use std::time::Duration;
@@ -6,36 +6,38 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Time without traffic after which a peer is probed, and between probes. A
-/// machine without power gives no sign otherwise.
-const PROBE: Duration = Duration::from_secs(1);
+/// Idle time before the first keepalive probe, and between probes. They detect a peer whose VM
+/// went down without closing its connections.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which a connection is given up.
-const PROBES: u32 = 3;
+/// Unanswered keepalive probes after which a connection fails.
+const KEEPALIVE_RETRIES: u32 = 3;
 
-/// Longest time that sent bytes may stay unacknowledged: as long as the probes take.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// Maximum time for sent data to remain unacknowledged: as long as the probes take.
+const USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Sets what both sides of the router need: no delay of small writes, and an
-/// error within seconds when the peer's machine is gone.
+/// Disables Nagle's algorithm and makes a connection fail within seconds when the peer is down.
 pub(crate) fn configure<'a>(socket: impl Into<SockRef<'a>>) -> io::Result<()> {
     let socket = socket.into();
     socket.set_tcp_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-/// Whether a connection has what [`configure`] sets. Linux hands the options of a listening
-/// socket on to the connections that it accepts, which saves six calls for each of them.
+/// Whether a connection has the options that [`configure`] sets. On Linux accepted connections
+/// inherit them from the listening socket, which saves system calls.
 pub(crate) fn is_configured(stream: &TcpStream) -> bool {
     let socket = SockRef::from(stream);
     let has_nodelay = socket.tcp_nodelay().unwrap_or(false);
     let has_keepalive = socket.keepalive().unwrap_or(false);
-    let probe = socket.tcp_keepalive_time().ok();
-    let unacknowledged = socket.tcp_user_timeout().ok().flatten();
-    has_nodelay && has_keepalive && probe == Some(PROBE) && unacknowledged == Some(UNACKNOWLEDGED)
+    let keepalive_time = socket.tcp_keepalive_time().ok();
+    let user_timeout = socket.tcp_user_timeout().ok().flatten();
+    has_nodelay
+        && has_keepalive
+        && keepalive_time == Some(KEEPALIVE_INTERVAL)
+        && user_timeout == Some(USER_TIMEOUT)
 }
