--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -1,4 +1,4 @@
-//! Facts for the choice of a server, and carrying it out.
+//! Server selection and admission of requests.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,42 +19,41 @@
 use crate::core::Core;
 use crate::refusal::Refusal;
 
-/// Chooses a server and counts the request there. Servers in `tried` are left out.
-/// One that `may_have_run` is not refused for what others have to do: that it has
-/// not run can no longer be promised, and what it took would be lost. One that `is_apart` gets
-/// a server without another such request.
-pub(crate) fn place(
+/// Selects a server that is not in `tried` and counts the request there. A request that
+/// `may_have_run` is not refused because of load: the caller could not be told that it has not
+/// run. One that `is_isolated` gets a server without other isolated suspects if there is one.
+pub(crate) fn assign(
     core: &Core,
     call: &Call,
     tried: &[ServerId],
     may_have_run: bool,
-    is_apart: bool,
+    is_isolated: bool,
 ) -> Result<Running, Refusal> {
     let running = core.registry.with_pool(call.pool, |servers| {
         let now = Instant::now();
-        let (now_ms, is_in_touch) = (clock::now_ms(), core.view.is_fresh());
+        let (now_ms, is_view_fresh) = (clock::now_ms(), core.view.is_fresh());
         let mut open: Vec<&Arc<Backend>> = servers
             .iter()
             .filter(|backend| backend.is_open() && !tried.contains(&backend.server.id))
-            // A server that rests is idle, and would be the best choice for each request.
+            // A server that asked for pushback is idle and would otherwise rank first.
             .filter(|backend| backend.life.wait_ms(now_ms) == 0)
-            .filter(|backend| backend.cold.has_room(now_ms, is_in_touch))
+            .filter(|backend| backend.cold.has_room(now_ms, is_view_fresh))
             .collect();
         if open.is_empty() {
-            return Err(rest_of(servers, now_ms).unwrap_or(Refusal::NoServer));
+            return Err(pushback(servers, now_ms).unwrap_or(Refusal::NoServer));
         }
-        // What peers say of a server leaves it out while there are others: they may be wrong.
+        // Announcements relayed by peers may be wrong, so they only lower a server's priority.
         prefer(&mut open, |backend| !backend.life.is_avoided(now_ms));
-        if is_apart {
-            // If one ends, only one request under suspicion is named.
+        if is_isolated {
+            // A crash then implicates a single suspect.
             prefer(&mut open, |backend| {
                 backend.trials.load(Ordering::Relaxed) == 0
             });
         }
         if call.prompt.is_some() {
-            let standing = standing(core, call, tried.is_empty());
-            let standing = (!may_have_run).then_some(standing);
-            return place_prompt(core, call, &open, standing, now);
+            let usage = usage(core, call, tried.is_empty());
+            let usage = (!may_have_run).then_some(usage);
+            return assign_prompt(core, call, &open, usage, now);
         }
         let zone = &core.settings.load().zone;
         let candidates = open.iter().map(|backend| plain::Candidate {
@@ -63,56 +62,54 @@
             is_same_zone: backend.server.zone == *zone,
             penalty_ms: backend.health.lock().penalty_ms(now),
         });
-        let backend = named(&open, plain::choose(candidates))?;
+        let backend = find_server(&open, plain::choose(candidates))?;
         Ok(Running::begin(backend, None))
     })?;
-    if is_apart {
+    if is_isolated {
         return Ok(running.try_apart());
     }
     Ok(running)
 }
 
-/// The refusal of a request of a pool in which every server that may get requests rests; `None`
-/// if one does not.
-pub(crate) fn resting(core: &Core, pool: PoolId) -> Option<Refusal> {
+/// Returns the refusal while every open server of the pool asks for pushback, `None` otherwise.
+pub(crate) fn pool_pushback(core: &Core, pool: PoolId) -> Option<Refusal> {
     let now_ms = clock::now_ms();
     core.registry
-        .with_pool(pool, |servers| rest_of(servers, now_ms))
+        .with_pool(pool, |servers| pushback(servers, now_ms))
 }
 
-fn rest_of(servers: &[Arc<Backend>], now_ms: u64) -> Option<Refusal> {
+fn pushback(servers: &[Arc<Backend>], now_ms: u64) -> Option<Refusal> {
     let open = servers.iter().filter(|backend| backend.is_open());
     let waits = open.map(|backend| backend.life.wait_ms(now_ms));
-    let first_ms = waits.min().filter(|wait_ms| *wait_ms > 0)?;
+    let shortest_ms = waits.min().filter(|wait_ms| *wait_ms > 0)?;
     Some(Refusal::Pushback(retry_after_ms(
-        first_ms,
+        shortest_ms,
         rand::rng().random(),
     )))
 }
 
-/// Leaves out servers that are not preferred, if any are.
+/// Keeps only the preferred servers, if there are any.
 fn prefer(open: &mut Vec<&Arc<Backend>>, is_preferred: impl Fn(&Arc<Backend>) -> bool) {
     if open.iter().any(|backend| is_preferred(backend)) {
         open.retain(|backend| is_preferred(backend));
     }
 }
 
-/// The server of an identity among these.
-fn named<'a>(
+fn find_server<'a>(
     open: &[&'a Arc<Backend>],
     server: Option<ServerId>,
 ) -> Result<&'a Arc<Backend>, Refusal> {
-    let named = open
+    let found = open
         .iter()
         .find(|backend| Some(backend.server.id) == server);
-    named.copied().ok_or(Refusal::NoServer)
+    found.copied().ok_or(Refusal::NoServer)
 }
 
-fn place_prompt(
+fn assign_prompt(
     core: &Core,
     call: &Call,
     open: &[&Arc<Backend>],
-    standing: Option<Usage>,
+    usage: Option<Usage>,
     now: Instant,
 ) -> Result<Running, Refusal> {
     let prompt = call.prompt.as_ref().ok_or(Refusal::NoServer)?;
@@ -126,60 +123,60 @@
         }
     });
     let candidates = shortlist(prompt, candidates, rand::rng().random());
-    let aim = Objective {
+    let objective = Objective {
         first_token_ms: as_f64(call.route.objective_ms),
         max_pause_ms: call.route.gap_ms.map_or(f64::INFINITY, as_f64),
     };
-    let placed = shed::admit(
+    let admitted = shed::admit(
         prompt,
         candidates.iter().copied(),
-        aim,
-        standing,
+        objective,
+        usage,
         clock::now_ms(),
     );
-    let placed = placed.ok_or(Refusal::NoServer)?;
+    let admitted = admitted.ok_or(Refusal::NoServer)?;
     drop(candidates);
     drop(engines);
-    let choice = match placed {
+    let choice = match admitted {
         Ok(choice) => choice,
-        Err(held) => {
-            let standing = standing.unwrap_or_default();
-            let backend = named(open, Some(held.choice.server))?;
-            return Err(refuse(core, call, &held, standing, &backend.server.name));
+        Err(rejection) => {
+            let usage = usage.unwrap_or_default();
+            let backend = find_server(open, Some(rejection.choice.server))?;
+            return Err(refuse(core, call, &rejection, usage, &backend.server.name));
         }
     };
-    let backend = named(open, Some(choice.server))?;
-    let own = prompt.tokens - prompt.shared_tokens();
-    let is_new = choice.uncached > own;
-    if standing.is_some() {
-        charge(call, |customer, tokens| {
+    let backend = find_server(open, Some(choice.server))?;
+    let unshared = prompt.tokens - prompt.shared_tokens();
+    let is_new = choice.uncached > unshared;
+    if usage.is_some() {
+        with_cost(call, |customer, tokens| {
             core.shares.lock().record_grant(customer, tokens);
         });
     }
     core.exchange.note(choice.server, prompt, is_new);
-    // What other nodes have servers read is not told; each is taken to do as this one does.
+    // Gateways don't report their prefills to each other; peers are assumed to cause as many.
     let peers = u32::try_from(core.exchange.gateways() - 1).unwrap_or(u32::MAX);
-    let read = choice.uncached.saturating_mul(peers);
-    backend.engine.lock().cache.record_prefill(read);
+    let prefilled = choice.uncached.saturating_mul(peers);
+    backend.engine.lock().cache.record_prefill(prefilled);
     Ok(Running::begin(backend, Some(prompt)))
 }
 
-/// Takes back what a customer was charged for a request that its server has not run.
-pub(crate) fn take_back(core: &Core, call: &Call) {
-    charge(call, |customer, tokens| {
+/// Refunds the customer's charge for a request that its server has not run.
+pub(crate) fn refund(core: &Core, call: &Call) {
+    with_cost(call, |customer, tokens| {
         core.shares.lock().refund(customer, tokens);
     });
 }
 
-/// What a request costs its customer, if it has both a prompt and a customer.
-fn charge(call: &Call, to: impl FnOnce(CustomerId, u32)) {
+/// Calls `apply` with the customer and the prompt's cost, if the request has both.
+fn with_cost(call: &Call, apply: impl FnOnce(CustomerId, u32)) {
     if let (Some(customer), Some(prompt)) = (&call.customer, &call.prompt) {
-        to(customer.id, prompt.cost());
+        apply(customer.id, prompt.cost());
     }
 }
 
-/// What the customer was given, beside what it may have; a new request counts as asked.
-fn standing(core: &Core, call: &Call, is_new: bool) -> Usage {
+/// Returns the customer's usage of its share. A new request is recorded first.
+fn usage(core: &Core, call: &Call, is_new: bool) -> Usage {
     let (Some(customer), Some(prompt)) = (&call.customer, &call.prompt) else {
         return Usage::default();
     };
@@ -190,9 +187,9 @@
     shares.usage(customer.id)
 }
 
-/// The refusal of a prompt that no server can take in time; `server` is the best one's name.
-fn refuse(core: &Core, call: &Call, held: &Rejection, standing: Usage, server: &str) -> Refusal {
-    let choice = &held.choice;
+/// Logs the rejection of a prompt and returns its refusal; `server` names the best server.
+fn refuse(core: &Core, call: &Call, rejection: &Rejection, usage: Usage, server: &str) -> Refusal {
+    let choice = &rejection.choice;
     log!(core.logger, Event::HeldBack,
         "request" => &call.id,
         "customer" => call.customer_name(),
@@ -201,18 +198,18 @@
         "read_ms" => whole_u32(choice.prefill_ms),
         "uncached" => choice.uncached,
         "again" => choice.recomputed,
-        "allowed_ms" => whole_u32(held.allowed_ms),
+        "allowed_ms" => whole_u32(rejection.allowed_ms),
         "mean_wait_ms" => whole_u32(choice.mean_wait_ms),
-        "of_portion" => whole_u32(standing.of_portion * 100.0),
-        "of_given" => whole_u32(standing.of_given * 100.0));
-    let retry_ms = whole_u32(held.retry_after_ms);
-    if standing.of_portion > 1.0 {
-        return Refusal::OverShare(retry_ms);
+        "of_portion" => whole_u32(usage.of_portion * 100.0),
+        "of_given" => whole_u32(usage.of_given * 100.0));
+    let retry_after_ms = whole_u32(rejection.retry_after_ms);
+    if usage.of_portion > 1.0 {
+        return Refusal::OverShare(retry_after_ms);
     }
-    Refusal::Busy(retry_ms)
+    Refusal::Busy(retry_after_ms)
 }
 
-#[expect(clippy::cast_precision_loss, reason = "some seconds in milliseconds")]
+#[expect(clippy::cast_precision_loss, reason = "a few seconds in milliseconds")]
 const fn as_f64(ms: u64) -> f64 {
     ms as f64
 }
--- a/crates/gateway/src/body_relay.rs
+++ b/crates/gateway/src/body_relay.rs
@@ -1,4 +1,4 @@
-//! Passing a large answer on as it comes.
+//! Relays a large response body from a server to the caller.
 
 use std::sync::Arc;
 
@@ -9,52 +9,50 @@
 
 use crate::backend::Running;
 use crate::call::Call;
-use crate::clock;
 use crate::connection_pool::Connection;
 use crate::core::Core;
-use crate::failure::fail;
 use crate::protocol::Reading;
-use crate::quarantine;
 use crate::response_body::BodyError;
+use crate::{clock, failure, quarantine};
 
-/// Pieces that wait for the caller's connection; more hold the server up.
-const PIECES: usize = 4;
+/// Maximum number of chunks buffered for the caller before the server is slowed down.
+const CHANNEL_CAPACITY: usize = 4;
 
-/// Passes an answer on in a task of its own, until its end or until nobody reads it.
-/// `begun` is what was read of it, `rest` where the rest comes from.
+/// Spawns a task that relays a response body to its end, or until the receiver is dropped.
+/// `prefix` is the part that has been read already.
 pub(crate) fn spawn(
     core: &Arc<Core>,
     call: &Arc<Call>,
     running: Running,
     (conn, reading): (Connection, Reading),
-    begun: Bytes,
+    prefix: Bytes,
     rest: Incoming,
 ) -> mpsc::Receiver<Result<Bytes, BodyError>> {
-    let (pieces, receiver) = mpsc::channel(PIECES);
+    let (chunks, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let (core, call) = (Arc::clone(core), Arc::clone(call));
     tokio::spawn(async move {
-        let passed = tokio::select! {
-            () = pieces.closed() => return,
-            passed = pass(&pieces, begun, rest) => passed,
+        let relayed = tokio::select! {
+            () = chunks.closed() => return,
+            relayed = relay(&chunks, prefix, rest) => relayed,
             () = clock::wait_until(call.deadline_ms) => Err(BodyError::TimedOut),
             () = core.stop.end.cancelled() => Err(BodyError::Stopping),
         };
-        match passed {
+        match relayed {
             Ok(()) => {
                 quarantine::survived(&core, || call.digest());
                 running.finish(conn, reading);
             }
-            Err(broken) => {
-                fail(
+            Err(error) => {
+                failure::record(
                     &core,
                     &call,
                     &running,
-                    "answer broke off",
-                    &broken.to_string(),
+                    "response truncated",
+                    &error.to_string(),
                 );
-                // A caller that is gone has no use for it.
-                let _ = pieces.send(Err(broken)).await;
-                if broken == BodyError::Truncated {
+                // The receiver may be gone.
+                let _ = chunks.send(Err(error)).await;
+                if error == BodyError::Truncated {
                     quarantine::witness(&core, &call, &running).await;
                 }
             }
@@ -63,18 +61,18 @@
     receiver
 }
 
-async fn pass(
-    pieces: &mpsc::Sender<Result<Bytes, BodyError>>,
-    begun: Bytes,
+async fn relay(
+    chunks: &mpsc::Sender<Result<Bytes, BodyError>>,
+    prefix: Bytes,
     mut rest: Incoming,
 ) -> Result<(), BodyError> {
-    let mut piece = Some(begun);
-    while let Some(bytes) = piece {
-        // That nobody reads it is noticed by the task that calls.
-        let _ = pieces.send(Ok(bytes)).await;
+    let mut chunk = Some(prefix);
+    while let Some(bytes) = chunk {
+        // The calling task detects a dropped receiver.
+        let _ = chunks.send(Ok(bytes)).await;
         let frame = rest.frame().await.transpose();
         let frame = frame.map_err(|_| BodyError::Truncated)?;
-        piece = frame.map(|frame| frame.into_data().unwrap_or_default());
+        chunk = frame.map(|frame| frame.into_data().unwrap_or_default());
     }
     Ok(())
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request that was read whole and is allowed.
+//! Validated request of a caller.
 
 use std::sync::{Arc, OnceLock};
 
@@ -12,47 +12,45 @@
 use crate::clock;
 use crate::plan::{Customer, Route};
 
-/// A caller's request that was read whole and is allowed.
+/// A request that was read completely, routed and authorized.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// The caller's name for this attempt.
+    /// Request id, unique for each attempt of the caller.
     pub(crate) id: String,
-    /// Its route.
     pub(crate) route: Arc<Route>,
-    /// The pool chosen among the route's.
+    /// Pool selected among those of the route.
     pub(crate) pool: PoolId,
-    /// Whose it is; `None` on public routes.
+    /// `None` on public routes.
     pub(crate) customer: Option<Arc<Customer>>,
-    /// What it has a model read, if it is for a model.
+    /// Set if the request is for a model.
     pub(crate) prompt: Option<Prompt>,
-    /// The event after which the caller wants the stream to go on.
+    /// Last event that the caller received of a stream to be resumed.
     pub(crate) resume_after: Option<u64>,
-    /// When its head had come.
+    /// When the head was received.
     pub(crate) received_at: Instant,
-    /// When its answer is of no more use to the caller, or its route's time is over.
-    /// In milliseconds of the boot clock.
+    /// Earlier of the caller's and the route's timeout, in milliseconds of the boot clock.
     pub(crate) deadline_ms: u64,
     pub(crate) method: Method,
     pub(crate) path: PathAndQuery,
-    /// The caller's end-to-end headers.
+    /// End-to-end headers of the caller.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Found when it is first asked for: bodies may be large.
+    /// Computed on first use, since bodies may be large.
     pub(crate) digest: OnceLock<Digest>,
 }
 
 impl Call {
-    /// The customer's name, as servers are told it.
+    /// Name of the customer, as it is sent to servers.
     pub(crate) fn customer_name(&self) -> Option<&str> {
         self.customer.as_ref().map(|customer| &*customer.name)
     }
 
-    /// Time until its deadline, in milliseconds.
-    pub(crate) fn left_ms(&self) -> u64 {
+    /// Time until the deadline, in milliseconds.
+    pub(crate) fn remaining_ms(&self) -> u64 {
         self.deadline_ms.saturating_sub(clock::now_ms())
     }
 
-    /// What it has in common with its repeats.
+    /// Identifies the request across retries.
     pub(crate) fn digest(&self) -> Digest {
         *self.digest.get_or_init(|| {
             let customer = self.customer_name().unwrap_or_default();
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a checked request to its answer: choosing, sending, trying again.
+//! Dispatch of a validated request: server selection, sending and retries.
 
 mod send;
 
@@ -20,40 +20,40 @@
 use crate::refusal::Refusal;
 use crate::response_body::ResponseBody;
 
-/// Times that one request is sent though none of the servers may have run it.
-const MOST_UNSENT: u32 = 3;
+/// Maximum number of servers tried that did not run the request.
+const MAX_NOT_RUN: u32 = 3;
 
-/// Time without an answer after which another server is asked, in hundredths of
-/// the objective: there is time left for the second to be on time.
-const STALL: u64 = 60;
+/// Time to the response head after which a request is retried elsewhere, in percent of the
+/// latency objective. It leaves the second server time to meet the objective.
+const STALL_PERCENT: u64 = 60;
 
-/// As [`STALL`], for streams: with a full queue a first event may well take the
-/// whole objective, and a second server would begin anew.
-const STREAM_STALL: u64 = 130;
+/// Like [`STALL_PERCENT`], for streams. With a full queue the first event may take the whole
+/// objective, and a second server would have to start over.
+const STREAM_STALL_PERCENT: u64 = 130;
 
-/// Ends of servers from which a request under suspicion runs apart from other suspects: with
-/// one, it is among up to 64 that stood together, too many to keep apart.
-const APART: u32 = 2;
+/// Number of crashes from which a suspect is isolated from other suspects. A single crash
+/// implicates up to 64 concurrent requests, too many to isolate.
+const ISOLATION_CRASHES: u32 = 2;
 
-/// Servers asked for one request, and what they may have done.
+/// Servers tried for one request, and how many of them may have run it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Trials {
+pub(crate) struct Attempts {
     tried: SmallVec<[ServerId; 4]>,
-    /// Servers that may have run it.
-    ran: u32,
-    /// Servers that have not.
+    /// Number of servers that may have run the request.
+    possible_runs: u32,
+    /// Number of servers known not to have run it.
     not_run: u32,
-    /// Whether it is under suspicion of ending servers.
+    /// Whether the request is suspected of crashing servers.
     is_suspect: bool,
-    /// Whether it is the one copy that may run, and has not run since that was asked: servers
-    /// that cannot be reached or turn it away use nothing up.
+    /// Whether the quarantine admitted this copy and it has not run since. Servers that are
+    /// unreachable or reject the request don't use up the admission.
     is_admitted: bool,
 }
 
-impl Trials {
-    /// Asks servers one after the other until one answers or no other may be asked.
-    /// `resume_after` is the last event that the caller has, when its stream broke off, and
-    /// `last` what became of the request before.
+impl Attempts {
+    /// Sends the request to one server after another until one responds or no attempt is left.
+    /// `resume_after` is the last event that the caller received of a truncated stream; `last`
+    /// is the refusal that describes the previous attempt.
     pub(crate) async fn run(
         &mut self,
         core: &Arc<Core>,
@@ -62,42 +62,46 @@
         mut last: Refusal,
     ) -> Result<Response<ResponseBody>, Refusal> {
         loop {
-            let (outcome, server) = match self.next(core, call, resume_after).await {
+            let (outcome, server) = match self.try_next(core, call, resume_after).await {
                 Ok(sent) => sent,
-                Err(refusal) if self.ran == 0 => return Err(refusal),
+                Err(refusal) if self.possible_runs == 0 => return Err(refusal),
                 Err(_) => return Err(last),
             };
-            let word = outcome.word();
-            let (again, refusal) = match outcome {
-                Outcome::Answered(response) => return Ok(response),
-                Outcome::Failed(response) if !self.may_repeat(core, call) => return Ok(response),
-                Outcome::Failed(_) => (true, Refusal::OutcomeUnknown),
-                Outcome::Withheld => (call.left_ms() > 0, last),
-                Outcome::TurnedAway | Outcome::OtherServer | Outcome::Unsent => {
-                    let refusal = if self.ran == 0 {
-                        balance::resting(core, call.pool).unwrap_or(Refusal::Rejected)
+            let cause = outcome.label();
+            let (should_retry, refusal) = match outcome {
+                Outcome::Completed(response) => return Ok(response),
+                Outcome::ServerError(response) if !self.try_reserve_retry(core, call) => {
+                    return Ok(response);
+                }
+                Outcome::ServerError(_) => (true, Refusal::OutcomeUnknown),
+                Outcome::Withheld => (call.remaining_ms() > 0, last),
+                Outcome::Rejected | Outcome::WrongServer | Outcome::NotSent => {
+                    let refusal = if self.possible_runs == 0 {
+                        balance::pool_pushback(core, call.pool).unwrap_or(Refusal::Rejected)
                     } else {
                         last
                     };
-                    (self.may_move(core, call), refusal)
+                    (self.try_reserve_reroute(core, call), refusal)
+                }
+                Outcome::Unknown => (self.try_reserve_retry(core, call), Refusal::OutcomeUnknown),
+                Outcome::InvalidResponse => {
+                    (self.try_reserve_retry(core, call), Refusal::InvalidResponse)
                 }
-                Outcome::Unknown => (self.may_repeat(core, call), Refusal::OutcomeUnknown),
-                Outcome::Garbled => (self.may_repeat(core, call), Refusal::InvalidResponse),
                 Outcome::Stalled => (true, Refusal::TimedOut),
                 Outcome::TimedOut => (false, Refusal::TimedOut),
             };
-            if !again {
+            if !should_retry {
                 return Err(refusal);
             }
             last = refusal;
             log!(core.logger, Event::Retried,
-                "request" => &call.id, "cause" => word, "server" => server.0);
-            metrics::counter!("retries_total", "cause" => word).increment(1);
+                "request" => &call.id, "cause" => cause, "server" => server.0);
+            metrics::counter!("retries_total", "cause" => cause).increment(1);
         }
     }
 
-    /// Chooses the next server and sends the request there.
-    async fn next(
+    /// Selects the next server and sends the request to it.
+    async fn try_next(
         &mut self,
         core: &Arc<Core>,
         call: &Arc<Call>,
@@ -106,88 +110,93 @@
         let verdict = quarantine::admit(core, call, self.is_admitted).await?;
         self.is_suspect = verdict.crashes() > 0;
         self.is_admitted = self.is_suspect;
-        let is_apart = verdict.crashes() >= APART;
-        let running = balance::place(core, call, &self.tried, self.ran > 0, is_apart)?;
+        let is_isolated = verdict.crashes() >= ISOLATION_CRASHES;
+        let running =
+            balance::assign(core, call, &self.tried, self.possible_runs > 0, is_isolated)?;
         let server = running.backend.server.id;
         self.tried.push(server);
-        note(core, call, &running, self.ran + self.not_run);
+        log_routed(core, call, &running, self.possible_runs + self.not_run);
         let outcome = send::send(core, call, running, self, resume_after).await;
         match outcome {
-            Outcome::TurnedAway | Outcome::OtherServer | Outcome::Unsent | Outcome::Withheld => {
-                // What was not offered to a server uses up none of its tries.
+            Outcome::Rejected | Outcome::WrongServer | Outcome::NotSent | Outcome::Withheld => {
+                // A withheld request was not sent, so it doesn't count as an attempt.
                 self.not_run += u32::from(!matches!(outcome, Outcome::Withheld));
-                // One that may have run elsewhere was not charged for this server.
-                if self.ran == 0 {
-                    balance::take_back(core, call);
+                // The customer is not charged again for a request that may have run elsewhere.
+                if self.possible_runs == 0 {
+                    balance::refund(core, call);
                 }
             }
             _ => {
-                self.ran += 1;
+                self.possible_runs += 1;
                 self.is_admitted = false;
             }
         }
         Ok((outcome, server))
     }
 
-    /// As these, once the last server asked has run the request.
+    /// Returns the attempts with the last server counted as having run the request.
     fn after_run(&self) -> Self {
         Self {
-            ran: self.ran + 1,
+            possible_runs: self.possible_runs + 1,
             is_admitted: false,
             ..self.clone()
         }
     }
 
-    /// Whether the request may be sent once more after it may have run.
-    pub(crate) fn may_repeat(&self, core: &Core, call: &Call) -> bool {
-        self.has_another(call) && call.left_ms() > 0 && core.retry_budgets.try_withdraw(call.pool)
+    /// Reserves a retry of a request that may have run; `false` if none is allowed.
+    pub(crate) fn try_reserve_retry(&self, core: &Core, call: &Call) -> bool {
+        self.has_attempts_left(call)
+            && call.remaining_ms() > 0
+            && core.retry_budgets.try_withdraw(call.pool)
     }
 
-    /// Whether another server may run the request besides those that may have.
-    pub(crate) fn has_another(&self, call: &Call) -> bool {
-        call.route.kind.may_repeat() && self.ran < call.route.attempts
+    /// Whether one more server may run the request.
+    pub(crate) fn has_attempts_left(&self, call: &Call) -> bool {
+        call.route.kind.may_repeat() && self.possible_runs < call.route.attempts
     }
 
-    /// Whether another server may be asked for want of an answer: not with a second copy of a
-    /// request under suspicion.
-    pub(crate) fn may_stall(&self, call: &Call) -> bool {
-        self.has_another(call) && !self.is_suspect
+    /// Whether a stalled server may be given up for another. A suspect must not run twice at the
+    /// same time.
+    pub(crate) fn may_abandon(&self, call: &Call) -> bool {
+        self.has_attempts_left(call) && !self.is_suspect
     }
 
-    /// When another server is asked for want of an answer; `None` if none may be.
-    /// It is called while the last server asked is not yet counted.
-    fn stall(&self, call: &Call) -> Option<Instant> {
-        let is_last = !call.route.kind.may_repeat() || self.ran + 1 >= call.route.attempts;
+    /// Returns when the current server counts as stalled, or `None` if no other may be tried.
+    /// The current server must not be counted yet.
+    fn stall_deadline(&self, call: &Call) -> Option<Instant> {
+        let is_last =
+            !call.route.kind.may_repeat() || self.possible_runs + 1 >= call.route.attempts;
         if is_last || self.is_suspect {
             return None;
         }
-        let hundredths = if call.route.kind.is_stream() {
-            STREAM_STALL
+        let percent = if call.route.kind.is_stream() {
+            STREAM_STALL_PERCENT
         } else {
-            STALL
+            STALL_PERCENT
         };
-        let ms = call.route.objective_ms * hundredths / 100;
+        let ms = call.route.objective_ms * percent / 100;
         Some(clock::after(Instant::now(), ms))
     }
 
-    /// Whether the request may be sent once more after a server did not run it.
-    fn may_move(&self, core: &Core, call: &Call) -> bool {
-        let may = self.not_run < MOST_UNSENT && call.left_ms() > 0;
-        may && core.retry_budgets.try_withdraw(call.pool)
+    /// Reserves another attempt after a server that did not run the request; `false` if none is
+    /// allowed.
+    fn try_reserve_reroute(&self, core: &Core, call: &Call) -> bool {
+        let is_allowed = self.not_run < MAX_NOT_RUN && call.remaining_ms() > 0;
+        is_allowed && core.retry_budgets.try_withdraw(call.pool)
     }
 }
 
-/// Answers a request, or refuses it truthfully.
+/// Dispatches a request and returns the response, or the refusal if there is none.
 pub(crate) async fn run(
     core: &Arc<Core>,
     call: &Arc<Call>,
 ) -> Result<Response<ResponseBody>, Refusal> {
     core.retry_budgets.deposit(call.pool);
-    let mut trials = Trials::default();
-    trials.run(core, call, None, Refusal::NoServer).await
+    let mut attempts = Attempts::default();
+    attempts.run(core, call, None, Refusal::NoServer).await
 }
 
-fn note(core: &Core, call: &Call, running: &Running, attempt: u32) {
+fn log_routed(core: &Core, call: &Call, running: &Running, attempt: u32) {
     log!(core.logger, Event::Routed,
         "request" => &call.id,
         "attempt" => attempt,
--- a/crates/gateway/src/dispatch/send.rs
+++ b/crates/gateway/src/dispatch/send.rs
@@ -1,4 +1,4 @@
-//! Sending a request to one server.
+//! Sends a request to a server and reads the response.
 
 use std::sync::Arc;
 
@@ -12,63 +12,61 @@
 use crate::call::Call;
 use crate::connection_pool::Connection;
 use crate::core::Core;
-use crate::dispatch::Trials;
-use crate::failure::fail;
-use crate::header;
+use crate::dispatch::Attempts;
 use crate::outcome::Outcome;
 use crate::protocol::{Order, Proof};
 use crate::response_body::ResponseBody;
-use crate::{body_relay, clock, notice, quarantine, stream_relay};
+use crate::{body_relay, clock, failure, header, notice, quarantine, stream_relay};
 
-/// Largest answer that is kept until it is whole, in bytes; larger ones are passed on as they come.
-const WHOLE_BYTES: usize = 256 << 10;
+/// Maximum size of a buffered response body, in bytes. Larger bodies are relayed as they arrive.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Sends a request to the server where it is counted, and waits for the answer's
-/// head, or for a short answer's end.
+/// Sends a request to its assigned server and waits for the response: up to the head of a stream
+/// or large response, else to the end of the body.
 pub(super) async fn send(
     core: &Arc<Core>,
     call: &Arc<Call>,
     running: Running,
-    trials: &Trials,
+    attempts: &Attempts,
     resume_after: Option<u64>,
 ) -> Outcome {
     let backend = Arc::clone(&running.backend);
     let opened = tokio::select! {
         opened = backend.conns.acquire() => opened,
-        () = clock::wait_until(call.deadline_ms) => return Outcome::Unsent,
+        () = clock::wait_until(call.deadline_ms) => return Outcome::NotSent,
     };
     let mut conn = match opened {
         Ok(conn) => conn,
         Err(error) => {
-            fail(
+            failure::record(
                 core,
                 call,
                 &running,
                 "could not connect",
                 &error.to_string(),
             );
-            return Outcome::Unsent;
+            return Outcome::NotSent;
         }
     };
-    // What was learnt of the server while this request waited for a connection binds it as well.
+    // The server may have announced that it leaves, or asked for pushback, during the connect.
     if !backend.is_open() || backend.life.is_resting(clock::now_ms()) {
         return Outcome::Withheld;
     }
-    let request = request(core, call, &running, resume_after);
+    let request = build_request(core, call, &running, resume_after);
     let mut sent = Box::pin(conn.sender.try_send_request(request));
-    let mut stall = trials.stall(call);
+    let mut stall = attempts.stall_deadline(call);
     let sent = loop {
         tokio::select! {
             sent = &mut sent => break sent,
             () = clock::wait_until(call.deadline_ms) => {
-                fail(core, call, &running, "no answer in time", "");
+                failure::record(core, call, &running, "response timed out", "");
                 return Outcome::TimedOut;
             }
             () = clock::wait_for(stall) => {}
         }
         stall = None;
         if core.retry_budgets.try_withdraw(call.pool) {
-            fail(core, call, &running, "no answer for long", "");
+            failure::record(core, call, &running, "response stalled", "");
             return Outcome::Stalled;
         }
     };
@@ -77,18 +75,18 @@
         Err(error) => {
             let is_unsent = error.message().is_some();
             let text = error.error().to_string();
-            fail(core, call, &running, "connection failed", &text);
+            failure::record(core, call, &running, "connection failed", &text);
             if is_unsent {
-                return Outcome::Unsent;
+                return Outcome::NotSent;
             }
             quarantine::witness(core, call, &running).await;
             return Outcome::Unknown;
         }
     };
-    read(core, call, running, trials, conn, response).await
+    read_response(core, call, running, attempts, conn, response).await
 }
 
-fn request(
+fn build_request(
     core: &Core,
     call: &Call,
     running: &Running,
@@ -99,7 +97,7 @@
     *request.uri_mut() = call.path.clone().into();
     let mut headers = call.headers.clone();
     let order = Order {
-        left_ms: call.left_ms().max(1),
+        left_ms: call.remaining_ms().max(1),
         server: &running.backend.server.name,
         customer: call.customer_name(),
         resume_after,
@@ -109,11 +107,11 @@
     request
 }
 
-async fn read(
+async fn read_response(
     core: &Arc<Core>,
     call: &Arc<Call>,
     running: Running,
-    trials: &Trials,
+    attempts: &Attempts,
     conn: Connection,
     response: Response<Incoming>,
 ) -> Outcome {
@@ -126,82 +124,99 @@
     match reading.proof {
         Proof::Sealed if !head.headers.contains_key(CONTENT_ENCODING) => {}
         Proof::Sealed | Proof::Unproved => {
-            fail(
+            failure::record(
                 core,
                 call,
                 &running,
-                "no answer of a server",
+                "unverified response",
                 head.status.as_str(),
             );
-            return Outcome::Garbled;
+            return Outcome::InvalidResponse;
         }
         Proof::Crossed => {
-            fail(core, call, &running, "answer of another request", "");
-            return Outcome::Garbled;
+            failure::record(core, call, &running, "response to another request", "");
+            return Outcome::InvalidResponse;
         }
         Proof::OtherServer => {
-            fail(core, call, &running, "another server has the address", "");
+            failure::record(
+                core,
+                call,
+                &running,
+                "address belongs to another server",
+                "",
+            );
             running.backend.close();
-            return Outcome::OtherServer;
+            return Outcome::WrongServer;
         }
         Proof::NotRun => {
-            fail(core, call, &running, "turned away", head.status.as_str());
-            return Outcome::TurnedAway;
+            failure::record(
+                core,
+                call,
+                &running,
+                "request rejected",
+                head.status.as_str(),
+            );
+            return Outcome::Rejected;
         }
     }
     let is_success = head.status.is_success();
     header::strip_hop_by_hop(&mut head.headers);
     if call.route.kind.is_stream() && is_success {
-        let trials = trials.after_run();
-        let pieces = stream_relay::spawn(core, call, running, trials, (conn, reading), body);
-        return Outcome::Answered(Response::from_parts(head, ResponseBody::Stream(pieces)));
+        let attempts = attempts.after_run();
+        let chunks = stream_relay::spawn(core, call, running, attempts, (conn, reading), body);
+        return Outcome::Completed(Response::from_parts(head, ResponseBody::Stream(chunks)));
     }
     let collected = tokio::select! {
         collected = collect(body) => collected,
         () = clock::wait_until(call.deadline_ms) => {
-            fail(core, call, &running, "no whole answer in time", "");
+            failure::record(core, call, &running, "response body timed out", "");
             return Outcome::TimedOut;
         }
     };
-    let answer = match collected {
-        Ok(Collected::Whole(whole)) => {
+    let body = match collected {
+        Ok(Collected::Complete(bytes)) => {
             quarantine::survived(core, || call.digest());
             running.finish(conn, reading);
-            ResponseBody::full(whole)
+            ResponseBody::full(bytes)
         }
-        Ok(Collected::Large(begun, rest)) => {
-            let pieces = body_relay::spawn(core, call, running, (conn, reading), begun, rest);
-            ResponseBody::Stream(pieces)
+        Ok(Collected::Partial(prefix, rest)) => {
+            let chunks = body_relay::spawn(core, call, running, (conn, reading), prefix, rest);
+            ResponseBody::Stream(chunks)
         }
         Err(error) => {
-            fail(core, call, &running, "answer broke off", &error.to_string());
+            failure::record(
+                core,
+                call,
+                &running,
+                "response truncated",
+                &error.to_string(),
+            );
             quarantine::witness(core, call, &running).await;
             return Outcome::Unknown;
         }
     };
-    let response = Response::from_parts(head, answer);
+    let response = Response::from_parts(head, body);
     if response.status() >= StatusCode::INTERNAL_SERVER_ERROR {
-        return Outcome::Failed(response);
+        return Outcome::ServerError(response);
     }
-    Outcome::Answered(response)
+    Outcome::Completed(response)
 }
 
-/// A body as far as it is kept.
+/// A response body, buffered up to [`MAX_BUFFERED_BYTES`].
 enum Collected {
-    /// To its end.
-    Whole(Bytes),
-    /// Its beginning, and where the rest comes from.
-    Large(Bytes, Incoming),
+    Complete(Bytes),
+    /// The buffered prefix and the unread rest.
+    Partial(Bytes, Incoming),
 }
 
-/// Reads a body to its end, or until it is larger than is kept.
+/// Buffers a body to its end, or until it exceeds [`MAX_BUFFERED_BYTES`].
 async fn collect(mut body: Incoming) -> Result<Collected, hyper::Error> {
-    let mut read = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        read.extend_from_slice(&frame?.into_data().unwrap_or_default());
-        if read.len() > WHOLE_BYTES {
-            return Ok(Collected::Large(read.freeze(), body));
+        buffer.extend_from_slice(&frame?.into_data().unwrap_or_default());
+        if buffer.len() > MAX_BUFFERED_BYTES {
+            return Ok(Collected::Partial(buffer.freeze(), body));
         }
     }
-    Ok(Collected::Whole(read.freeze()))
+    Ok(Collected::Complete(buffer.freeze()))
 }
--- a/crates/gateway/src/failure.rs
+++ b/crates/gateway/src/failure.rs
@@ -1,4 +1,4 @@
-//! Failures of servers, seen in the answers to requests.
+//! Recording of server failures.
 
 use mulberryyoke_event::{Event, log};
 use tokio::time::Instant;
@@ -8,8 +8,8 @@
 use crate::clock;
 use crate::core::Core;
 
-/// Notes a failure of a server.
-pub(crate) fn fail(core: &Core, call: &Call, running: &Running, what: &str, why: &str) {
+/// Records a failed attempt in the server's health and in the log.
+pub(crate) fn record(core: &Core, call: &Call, running: &Running, what: &str, error: &str) {
     let backend = &running.backend;
     backend.health.lock().fail(Instant::now());
     log!(core.logger, Event::BackendFailed,
@@ -17,6 +17,6 @@
         "digest" => call.digest().to_string(),
         "server" => &backend.server.name,
         "what" => what,
-        "error" => why,
+        "error" => error,
         "elapsed_ms" => clock::between_ms(call.received_at, Instant::now()));
 }
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -1,46 +1,45 @@
-//! What came of sending a request to a server.
+//! Result of one attempt.
 
 use hyper::Response;
 
 use crate::response_body::ResponseBody;
 
-/// What came of sending a request to a server.
+/// Result of sending a request to one server.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// The server's answer.
-    Answered(Response<ResponseBody>),
-    /// The server says that it has not run it and never will.
-    TurnedAway,
-    /// Another server has the address.
-    OtherServer,
-    /// No byte of it left the router.
-    Unsent,
-    /// The server left or asked for rest before anything of it was sent.
+    Completed(Response<ResponseBody>),
+    /// The server states that it has not run the request and never will.
+    Rejected,
+    /// The address belongs to another server.
+    WrongServer,
+    /// No byte of the request was sent.
+    NotSent,
+    /// Not sent because the server is leaving or asked for pushback during the connect.
     Withheld,
-    /// The server failed, and its answer says so. It has run.
-    Failed(Response<ResponseBody>),
-    /// It may run or have run; nothing more is known.
+    /// A 5xx response; the request has run.
+    ServerError(Response<ResponseBody>),
+    /// The connection failed; the request may have run.
     Unknown,
-    /// What came was no answer to it. It may have run.
-    Garbled,
-    /// No answer has come for so long that another server is asked. It may have run.
+    /// The response doesn't belong to this request, which may have run.
+    InvalidResponse,
+    /// No response before the stall deadline; the request may have run.
     Stalled,
-    /// The time is over.
+    /// No response before the request's deadline; the request may have run.
     TimedOut,
 }
 
 impl Outcome {
-    /// Its name in logs and metrics.
-    pub(crate) const fn word(&self) -> &'static str {
+    /// Label in logs and metrics.
+    pub(crate) const fn label(&self) -> &'static str {
         match self {
-            Self::Answered(_) => "answered",
-            Self::TurnedAway => "turned_away",
-            Self::OtherServer => "other_server",
-            Self::Unsent => "unsent",
+            Self::Completed(_) => "answered",
+            Self::Rejected => "turned_away",
+            Self::WrongServer => "other_server",
+            Self::NotSent => "unsent",
             Self::Withheld => "withheld",
-            Self::Failed(_) => "failed",
+            Self::ServerError(_) => "failed",
             Self::Unknown => "unknown",
-            Self::Garbled => "garbled",
+            Self::InvalidResponse => "garbled",
             Self::Stalled => "stalled",
             Self::TimedOut => "timed_out",
         }
--- a/crates/gateway/src/stream_relay.rs
+++ b/crates/gateway/src/stream_relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream of events on, and resuming it where it broke off.
+//! Relays an event stream to the caller and resumes it on another server when it is truncated.
 
 use std::pin::{Pin, pin};
 use std::sync::Arc;
@@ -13,137 +13,136 @@
 
 use crate::backend::Running;
 use crate::call::Call;
-use crate::clock;
 use crate::connection_pool::Connection;
 use crate::core::Core;
-use crate::dispatch::Trials;
-use crate::failure::fail;
+use crate::dispatch::Attempts;
 use crate::protocol::Reading;
-use crate::quarantine;
 use crate::refusal::Refusal;
 use crate::response_body::{BodyError, ResponseBody};
+use crate::{clock, failure, quarantine};
 
-/// Pieces that wait for the caller's connection; more hold the server up.
-const PIECES: usize = 4;
+/// Maximum number of chunks buffered for the caller before the server is slowed down.
+const CHANNEL_CAPACITY: usize = 4;
 
-/// Longest pause between events, as a multiple of that of an answer on time, before
-/// a stream goes on at another server: a preempted request begins again within it.
-const GAPS: u64 = 3;
+/// Pause after which a stream is resumed on another server, as a multiple of the route's maximum
+/// gap between events. A server restarts a preempted request within this time.
+const STALL_GAPS: u64 = 3;
 
 /// Why a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    Whole,
-    Broken,
-    /// Nothing came for long, and another server is asked.
+    Complete,
+    Truncated,
+    /// No events until the stall deadline; another server is tried.
     Stalled,
-    Late,
-    HungUp,
+    TimedOut,
+    /// The caller closed the connection.
+    CallerClosed,
     Stopping,
 }
 
 impl End {
-    const fn word(self) -> &'static str {
+    const fn label(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
-            Self::Broken => "broken",
+            Self::Complete => "whole",
+            Self::Truncated => "broken",
             Self::Stalled => "stalled",
-            Self::Late => "late",
-            Self::HungUp => "hung_up",
+            Self::TimedOut => "late",
+            Self::CallerClosed => "hung_up",
             Self::Stopping => "stopping",
         }
     }
 }
 
-/// A stream on its way from a server to its caller.
-struct Pump {
+/// A stream that is relayed from a server to the caller.
+struct StreamRelay {
     core: Arc<Core>,
     call: Arc<Call>,
     running: Running,
     body: Incoming,
     events: Events,
-    pieces: mpsc::Sender<Result<Bytes, BodyError>>,
-    passed: u32,
-    /// When events were last passed on.
-    passed_at: Instant,
-    /// Longest pause between events, in milliseconds.
-    pause_ms: u64,
-    /// The last event that the caller has.
+    chunks: mpsc::Sender<Result<Bytes, BodyError>>,
+    relayed: u32,
+    relayed_at: Instant,
+    /// Longest pause between chunks, in milliseconds.
+    max_pause_ms: u64,
+    /// Id of the last event sent to the caller.
     last_event: Option<u64>,
-    /// Servers asked for this request.
-    trials: Trials,
+    attempts: Attempts,
 }
 
-/// Passes a stream on in a task of its own, until its end or until nobody reads it.
+/// Spawns a task that relays a stream to its end, or until the receiver is dropped.
 pub(crate) fn spawn(
     core: &Arc<Core>,
     call: &Arc<Call>,
     running: Running,
-    trials: Trials,
+    attempts: Attempts,
     (conn, reading): (Connection, Reading),
     body: Incoming,
 ) -> mpsc::Receiver<Result<Bytes, BodyError>> {
-    let (pieces, receiver) = mpsc::channel(PIECES);
-    let pump = Pump {
+    let (chunks, receiver) = mpsc::channel(CHANNEL_CAPACITY);
+    let relay = StreamRelay {
         core: Arc::clone(core),
         call: Arc::clone(call),
         running,
         body,
         events: Events::default(),
-        pieces,
-        passed: 0,
-        passed_at: Instant::now(),
-        pause_ms: 0,
+        chunks,
+        relayed: 0,
+        relayed_at: Instant::now(),
+        max_pause_ms: 0,
         last_event: call.resume_after,
-        trials,
+        attempts,
     };
-    tokio::spawn(pump.run(conn, reading));
+    tokio::spawn(relay.run(conn, reading));
     receiver
 }
 
-impl Pump {
+impl StreamRelay {
     async fn run(mut self, conn: Connection, reading: Reading) {
-        let end = self.pass().await;
+        let end = self.relay().await;
         let is_stalled = end == End::Stalled;
-        if is_stalled || (end == End::Broken && self.trials.may_repeat(&self.core, &self.call)) {
+        if is_stalled
+            || (end == End::Truncated && self.attempts.try_reserve_retry(&self.core, &self.call))
+        {
             drop(conn);
             return self.resume(end).await;
         }
-        let broken = match end {
-            End::Whole | End::HungUp => None,
-            End::Broken | End::Stalled => Some(BodyError::Truncated),
-            End::Late => Some(BodyError::TimedOut),
+        let error = match end {
+            End::Complete | End::CallerClosed => None,
+            End::Truncated | End::Stalled => Some(BodyError::Truncated),
+            End::TimedOut => Some(BodyError::TimedOut),
             End::Stopping => Some(BodyError::Stopping),
         };
-        self.note(end);
-        if let Some(broken) = broken {
-            // A caller that is gone has no use for it.
-            let _ = self.pieces.send(Err(broken)).await;
+        self.log_end(end);
+        if let Some(error) = error {
+            // The receiver may be gone.
+            let _ = self.chunks.send(Err(error)).await;
         }
         match end {
-            End::Whole => {
+            End::Complete => {
                 quarantine::survived(&self.core, || self.call.digest());
                 self.running.finish(conn, reading);
             }
-            End::Broken | End::Stalled => {
+            End::Truncated | End::Stalled => {
                 let (core, call) = (&self.core, &self.call);
-                fail(core, call, &self.running, "stream broke off", "");
+                failure::record(core, call, &self.running, "stream truncated", "");
                 quarantine::witness(core, call, &self.running).await;
             }
-            End::Late | End::HungUp | End::Stopping => drop(conn),
+            End::TimedOut | End::CallerClosed | End::Stopping => drop(conn),
         }
     }
 
-    /// Goes on at another server after the last event that the caller has.
+    /// Resumes the stream on another server after the last event that the caller received.
     async fn resume(mut self, end: End) {
-        self.note(end);
+        self.log_end(end);
         let (core, call) = (&Arc::clone(&self.core), &Arc::clone(&self.call));
-        fail(core, call, &self.running, "stream broke off", "resuming");
-        if end == End::Broken {
+        failure::record(core, call, &self.running, "stream truncated", "resuming");
+        if end == End::Truncated {
             quarantine::witness(core, call, &self.running).await;
         }
         let rest = self
-            .trials
+            .attempts
             .run(core, call, self.last_event, Refusal::OutcomeUnknown);
         let rest: Pin<Box<dyn Future<Output = _> + Send + '_>> = Box::pin(rest);
         let rest = rest.await;
@@ -152,108 +151,106 @@
             "after" => self.last_event,
             "outcome" => rest.as_ref().map_or_else(|refusal| refusal.code(), |_| "answered"));
         let Ok(response) = rest else {
-            // A caller that is gone has no use for it.
-            let _ = self.pieces.send(Err(BodyError::Truncated)).await;
+            // The receiver may be gone.
+            let _ = self.chunks.send(Err(BodyError::Truncated)).await;
             return;
         };
         let ResponseBody::Stream(mut rest) = response.into_body() else {
-            let _ = self.pieces.send(Err(BodyError::Truncated)).await;
+            let _ = self.chunks.send(Err(BodyError::Truncated)).await;
             return;
         };
         loop {
-            let piece = tokio::select! {
+            let chunk = tokio::select! {
                 biased;
-                () = self.pieces.closed() => return,
-                piece = rest.recv() => piece,
+                () = self.chunks.closed() => return,
+                chunk = rest.recv() => chunk,
             };
-            let Some(piece) = piece else { return };
-            if self.pieces.send(piece).await.is_err() {
+            let Some(chunk) = chunk else { return };
+            if self.chunks.send(chunk).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Passes events on until the stream ends. What may end it is waited for once and not anew
-    /// for each event: a gateway needs 13,500 instructions an event and not 14,900 (streams of
-    /// 40 events beside ones of 4).
-    async fn pass(&mut self) -> End {
+    /// Relays events until the stream ends. The futures that may end it are created once, not for
+    /// each event, which saves processor time.
+    async fn relay(&mut self) -> End {
         let core = Arc::clone(&self.core);
-        let pieces = self.pieces.clone();
-        let mut closed = pin!(pieces.closed());
-        let mut late = pin!(clock::wait_until(self.call.deadline_ms));
+        let chunks = self.chunks.clone();
+        let mut closed = pin!(chunks.closed());
+        let mut timed_out = pin!(clock::wait_until(self.call.deadline_ms));
         let mut stopping = pin!(core.stop.end.cancelled());
-        let mut stall = self.stall();
-        let mut stalled = pin!(clock::wait_for(stall));
+        let mut stall_deadline = self.stall_deadline();
+        let mut stalled = pin!(clock::wait_for(stall_deadline));
         loop {
             let frame = tokio::select! {
                 biased;
-                () = &mut closed => return End::HungUp,
+                () = &mut closed => return End::CallerClosed,
                 frame = self.body.frame() => frame,
-                () = &mut late => return End::Late,
+                () = &mut timed_out => return End::TimedOut,
                 () = &mut stalled => {
-                    if stall.is_some_and(|at| at <= Instant::now()) {
-                        if self.trials.may_repeat(&core, &self.call) {
+                    if stall_deadline.is_some_and(|at| at <= Instant::now()) {
+                        if self.attempts.try_reserve_retry(&core, &self.call) {
                             return End::Stalled;
                         }
-                        // No retry is left, and a slow answer is better than none.
-                        stall = None;
+                        // No retry is left, and a slow response is better than none.
+                        stall_deadline = None;
                     }
-                    // Events came since this instant was waited for.
-                    stalled.set(clock::wait_for(stall));
+                    // Events may have moved the deadline since this timer was set.
+                    stalled.set(clock::wait_for(stall_deadline));
                     continue;
                 }
                 () = &mut stopping => return End::Stopping,
             };
             let data = match frame {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
-                None if self.events.flush().is_empty() => return End::Whole,
-                None | Some(Err(_)) => return End::Broken,
+                None if self.events.flush().is_empty() => return End::Complete,
+                None | Some(Err(_)) => return End::Truncated,
             };
-            let is_waited_for = stall.is_some();
-            stall = self.stall();
-            if !is_waited_for {
-                stalled.set(clock::wait_for(stall));
+            let is_timer_set = stall_deadline.is_some();
+            stall_deadline = self.stall_deadline();
+            if !is_timer_set {
+                stalled.set(clock::wait_for(stall_deadline));
             }
-            let whole = self.events.read(data);
-            if whole.is_empty() {
+            let events = self.events.read(data);
+            if events.is_empty() {
                 continue;
             }
             self.running.first();
-            self.count();
-            self.last_event = sse::last_id(&whole).or(self.last_event);
-            if self.pieces.send(Ok(whole)).await.is_err() {
-                return End::HungUp;
+            self.record_relayed();
+            self.last_event = sse::last_id(&events).or(self.last_event);
+            if self.chunks.send(Ok(events)).await.is_err() {
+                return End::CallerClosed;
             }
         }
     }
 
-    /// Counts events that are passed on.
-    fn count(&mut self) {
+    fn record_relayed(&mut self) {
         let now = Instant::now();
-        if self.passed > 0 {
-            let pause_ms = clock::between_ms(self.passed_at, now);
-            self.pause_ms = self.pause_ms.max(pause_ms);
+        if self.relayed > 0 {
+            let pause_ms = clock::between_ms(self.relayed_at, now);
+            self.max_pause_ms = self.max_pause_ms.max(pause_ms);
         }
-        self.passed += 1;
-        self.passed_at = now;
+        self.relayed += 1;
+        self.relayed_at = now;
     }
 
-    /// When a stream that may go on elsewhere is taken to have broken off.
-    fn stall(&self) -> Option<Instant> {
+    /// Returns when the stream counts as stalled, or `None` if it may not be resumed elsewhere.
+    fn stall_deadline(&self) -> Option<Instant> {
         let gap_ms = self.call.route.gap_ms?;
-        let may_go_on = self.trials.may_stall(&self.call);
-        may_go_on.then(|| clock::after(Instant::now(), GAPS * gap_ms))
+        let may_abandon = self.attempts.may_abandon(&self.call);
+        may_abandon.then(|| clock::after(Instant::now(), STALL_GAPS * gap_ms))
     }
 
-    fn note(&self, end: End) {
+    fn log_end(&self, end: End) {
         let elapsed_ms = clock::between_ms(self.call.received_at, Instant::now());
         log!(self.core.logger, Event::Streamed,
             "request" => &self.call.id,
             "server" => &self.running.backend.server.name,
-            "end" => end.word(),
-            "pieces" => self.passed,
-            "pause_ms" => self.pause_ms,
+            "end" => end.label(),
+            "pieces" => self.relayed,
+            "pause_ms" => self.max_pause_ms,
             "elapsed_ms" => elapsed_ms);
-        metrics::counter!("streams_total", "end" => end.word()).increment(1);
+        metrics::counter!("streams_total", "end" => end.label()).increment(1);
     }
 }
