--- a/crates/gateway/examples/cost.rs
+++ b/crates/gateway/examples/cost.rs
@@ -1,15 +1,16 @@
-//! Processor time of a gateway a request: callers and servers run on threads of
-//! their own, so that the gateway's thread can be measured and profiled alone.
+//! Measures a gateway's processor time per request. Callers and servers run on their own threads,
+//! so that the gateway's thread can be measured and profiled in isolation.
 //!
 //! `cargo run --release -p mulberryyoke-gateway --example cost -- [REQUESTS] [CALLERS] [SERVERS] [refused|long]`
 //!
-//! With `long` each answer is a stream of 40 events, else of 4. Under `valgrind --tool=callgrind
-//! --separate-threads=yes` the thread with most instructions is the gateway's; the program has to
-//! be built with `RUSTFLAGS=--cfg=rustix_use_libc` for that. Instructions an event: the difference
-//! of two runs with and without `long`, by 36 times the requests.
+//! With `long` each response is a stream of 40 events instead of 4. To profile with
+//! `valgrind --tool=callgrind --separate-threads=yes`, build with
+//! `RUSTFLAGS=--cfg=rustix_use_libc`; the gateway's thread is the one with the most instructions.
+//! The instructions per event are the difference between a run with and one without `long`,
+//! divided by 36 times the number of requests.
 //!
-//! With `refused` every server reads a prompt that takes longer than the objective, and all
-//! requests come on kept connections and are refused.
+//! With `refused` every server is occupied by a long prompt; all requests use persistent
+//! connections and are refused.
 
 #[allow(dead_code, reason = "the tests use all of it")]
 #[path = "../tests/gateway/backend.rs"]
@@ -41,69 +42,75 @@
 use crate::feed::Service;
 use crate::protocol::Words;
 
-/// Ticks of the system's clock a second.
-const TICKS_S: f64 = 100.0;
+/// Clock ticks per second in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Servers, unless said otherwise.
-const SERVERS: u32 = 55;
+const DEFAULT_SERVERS: u32 = 55;
 
-/// Long prompts for each server that are to keep all of them busy: each is sent to the one of
-/// some that has least to do.
-const LONG_A_SERVER: u32 = 4;
+/// Long prompts per server. One each would not occupy all servers, since the gateway chooses the
+/// least loaded server among a sample.
+const LONG_PROMPTS_PER_SERVER: u32 = 4;
 
-/// Addresses of the gateway: callers, health, control, store.
+/// Ports of the gateway: callers, health, control, store.
 const PORTS: [u16; 4] = [17_401, 17_402, 17_403, 17_404];
 
 fn main() {
-    let mut words = std::env::args().skip(1);
-    let mut number = |usual: u32| {
-        words
-            .next()
-            .and_then(|word| word.parse().ok())
-            .unwrap_or(usual)
+    let mut args = std::env::args().skip(1);
+    let mut number = |default: u32| {
+        args.next()
+            .and_then(|arg| arg.parse().ok())
+            .unwrap_or(default)
     };
-    let (requests, callers, servers) = (number(4_000), number(16), number(SERVERS));
-    let word = words.next().unwrap_or_default();
-    let is_refused = word == "refused";
-    let way = match word.as_str() {
+    let (requests, callers, servers) = (number(4_000), number(16), number(DEFAULT_SERVERS));
+    let mode = args.next().unwrap_or_default();
+    let is_refused = mode == "refused";
+    let way = match mode.as_str() {
         "refused" => Way::Hang,
         "long" => Way::LongStream,
         _ => Way::Stream,
     };
     let service = Service::new();
     let (sender, receiver) = mpsc::channel();
-    let behind = Arc::clone(&service);
+    let servers_service = Arc::clone(&service);
     thread::spawn(move || {
         let runtime = Builder::new_current_thread().enable_all().build();
         runtime.expect("a runtime").block_on(async {
-            service_with_servers(&behind, way, servers).await;
+            start_servers(&servers_service, way, servers).await;
             sender.send(()).expect("the main thread waits");
             std::future::pending::<()>().await;
         });
     });
     receiver.recv().expect("the servers start");
-    let gateway = Arc::clone(&service);
+    let gateway_service = Arc::clone(&service);
     thread::Builder::new()
         .name("gateway".to_owned())
-        .spawn(move || run_gateway(&gateway))
+        .spawn(move || run_gateway(&gateway_service))
         .expect("a thread");
     thread::sleep(Duration::from_millis(1_500));
     if is_refused {
-        load(Load::Long, LONG_A_SERVER * servers, LONG_A_SERVER * servers);
+        run_load(
+            Load::LongPrompt,
+            LONG_PROMPTS_PER_SERVER * servers,
+            LONG_PROMPTS_PER_SERVER * servers,
+        );
     }
-    let kind = if is_refused { Load::Kept } else { Load::Fresh };
-    let before = ticks();
-    let begun = Instant::now();
-    let whole = load(kind, requests, callers);
-    let spent_ms = (ticks() - before) / TICKS_S * 1_000.0;
+    let load = if is_refused {
+        Load::KeepAlive
+    } else {
+        Load::NewConnection
+    };
+    let start_ticks = gateway_thread_ticks();
+    let start = Instant::now();
+    let completed = run_load(load, requests, callers);
+    let spent_ms = (gateway_thread_ticks() - start_ticks) / TICKS_PER_SECOND * 1_000.0;
     println!(
-        "{{\"requests\":{requests},\"whole\":{whole},\"seconds\":{:.2},\"processor_ms_a_request\":{:.3}}}",
-        begun.elapsed().as_secs_f64(),
+        "{{\"requests\":{requests},\"whole\":{completed},\"seconds\":{:.2},\"processor_ms_a_request\":{:.3}}}",
+        start.elapsed().as_secs_f64(),
         spent_ms / f64::from(requests)
     );
 }
 
-async fn service_with_servers(service: &Service, way: Way, servers: u32) {
+async fn start_servers(service: &Service, way: Way, servers: u32) {
     service.set("config", Some("1 secret"));
     for index in 0..servers {
         let backend = Backend::spawn(way).await;
@@ -145,21 +152,21 @@
     });
 }
 
-/// What callers send.
+/// Kind of requests that callers send.
 #[derive(Clone, Copy, Debug)]
 enum Load {
-    /// Requests on connections of their own.
-    Fresh,
-    /// Requests on kept connections.
-    Kept,
-    /// Long prompts, whose answers nobody waits for.
-    Long,
+    /// Each request on a new connection.
+    NewConnection,
+    /// Requests on persistent connections.
+    KeepAlive,
+    /// Long prompts whose responses are not read.
+    LongPrompt,
 }
 
-/// Sends the requests and returns how many were answered whole.
-fn load(kind: Load, requests: u32, callers: u32) -> u32 {
-    let left = Arc::new(AtomicU32::new(requests));
-    let whole = Arc::new(AtomicU32::new(0));
+/// Sends the requests and returns how many got a complete response.
+fn run_load(load: Load, requests: u32, callers: u32) -> u32 {
+    let remaining = Arc::new(AtomicU32::new(requests));
+    let completed = Arc::new(AtomicU32::new(0));
     let runtime = Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -167,21 +174,22 @@
     runtime.expect("a runtime").block_on(async {
         let mut tasks = Vec::new();
         for _ in 0..callers {
-            let (left, whole) = (Arc::clone(&left), Arc::clone(&whole));
+            let (remaining, completed) = (Arc::clone(&remaining), Arc::clone(&completed));
             tasks.push(tokio::spawn(async move {
-                while left
+                while remaining
                     .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| n.checked_sub(1))
                     .is_ok()
                 {
-                    let is_complete = match kind {
-                        Load::Fresh => fresh().await,
-                        Load::Long => long().await,
-                        Load::Kept => {
-                            whole.fetch_add(kept(&left).await, Ordering::Relaxed);
+                    let is_complete = match load {
+                        Load::NewConnection => send_request().await,
+                        Load::LongPrompt => send_long_prompt().await,
+                        Load::KeepAlive => {
+                            completed
+                                .fetch_add(send_keep_alive(&remaining).await, Ordering::Relaxed);
                             return;
                         }
                     };
-                    whole.fetch_add(u32::from(is_complete), Ordering::Relaxed);
+                    completed.fetch_add(u32::from(is_complete), Ordering::Relaxed);
                 }
             }));
         }
@@ -189,57 +197,57 @@
             task.await.expect("a caller ends");
         }
     });
-    whole.load(Ordering::Relaxed)
+    completed.load(Ordering::Relaxed)
 }
 
-fn gateway() -> SocketAddr {
+fn callers_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], PORTS[0]))
 }
 
-async fn fresh() -> bool {
+async fn send_request() -> bool {
     let request = caller::request("/stream/", "x-tokens: 500\r\n");
-    let reply = caller::send(gateway(), &request).await;
-    reply.status == 200 && reply.is_complete
+    let response = caller::send(callers_address(), &request).await;
+    response.status == 200 && response.is_complete
 }
 
-async fn long() -> bool {
+async fn send_long_prompt() -> bool {
     let request = caller::request("/stream/", "x-tokens: 60000\r\n");
-    let stream = caller::open(gateway(), &request).await;
-    // It stays open until the process ends.
+    let stream = caller::open(callers_address(), &request).await;
+    // Keeps the connection open until the process exits.
     std::mem::forget(stream.into_std());
     true
 }
 
-/// Sends requests on one connection until none is left, and returns how many were answered.
-async fn kept(left: &AtomicU32) -> u32 {
+/// Sends requests on one connection until none remains and returns the number of responses.
+async fn send_keep_alive(remaining: &AtomicU32) -> u32 {
     let request = caller::request("/stream/", "x-tokens: 500\r\n");
     let request = request.replace("Connection: close\r\n", "");
-    let mut stream = caller::open(gateway(), &request).await;
-    let mut answered = 0;
-    let mut read = Vec::new();
+    let mut stream = caller::open(callers_address(), &request).await;
+    let mut responses = 0;
+    let mut buffer = Vec::new();
     loop {
-        read.clear();
-        while !read.ends_with(b"}\n") {
-            if stream.read_buf(&mut read).await.unwrap_or(0) == 0 {
-                return answered;
+        buffer.clear();
+        while !buffer.ends_with(b"}\n") {
+            if stream.read_buf(&mut buffer).await.unwrap_or(0) == 0 {
+                return responses;
             }
         }
-        answered += 1;
-        if left
+        responses += 1;
+        if remaining
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| n.checked_sub(1))
             .is_err()
         {
-            return answered;
+            return responses;
         }
         if stream.write_all(request.as_bytes()).await.is_err() {
-            return answered;
+            return responses;
         }
     }
 }
 
-/// Processor time of the gateway's thread, in ticks.
-fn ticks() -> f64 {
-    let tasks = fs::read_dir("/proc/self/task").expect("the process's threads");
+/// Returns the processor time of the gateway's thread, in clock ticks.
+fn gateway_thread_ticks() -> f64 {
+    let tasks = fs::read_dir("/proc/self/task").expect("the threads of the process are listed");
     for task in tasks.flatten() {
         let stat = fs::read_to_string(task.path().join("stat")).unwrap_or_default();
         if let Some((_, fields)) = stat.split_once("(gateway) ") {
@@ -247,7 +255,7 @@
                 .split(' ')
                 .filter_map(|field| field.parse().ok())
                 .collect();
-            // Without the state letter, user and system time are the 11th and 12th number.
+            // Only numeric fields are kept: user and system time are the 11th and 12th.
             return fields.get(10).copied().unwrap_or(0.0) + fields.get(11).copied().unwrap_or(0.0);
         }
     }
--- a/crates/gateway/tests/gateway/admission.rs
+++ b/crates/gateway/tests/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! What cannot be served in time is refused at once.
+//! Admission: requests that cannot meet the latency objective are refused at once.
 
 use std::time::Duration;
 
@@ -10,44 +10,44 @@
 use crate::fleet::{Node, ready};
 use crate::protocol::LONG_PROMPT;
 
-/// Has a long prompt be read by the only server.
+/// Occupies the only server with a long prompt.
 async fn occupy(node: &Node) -> tokio::net::TcpStream {
-    let fields = format!("x-tokens: {LONG_PROMPT}\r\n");
-    let stream = caller::open(node.callers, &caller::request("/stream/", &fields)).await;
+    let header_lines = format!("x-tokens: {LONG_PROMPT}\r\n");
+    let stream = caller::open(node.callers, &caller::request("/stream/", &header_lines)).await;
     sleep(Duration::from_millis(100)).await;
     stream
 }
 
 #[gtest]
 #[tokio::test]
-async fn behind_a_long_prompt_others_are_refused_at_once_and_reach_no_server() {
+async fn prompt_behind_a_long_one_is_refused_at_once_and_not_forwarded() {
     let backend = Backend::spawn(Way::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
-    let _long = occupy(&node).await;
-    let begun = Instant::now();
-    let reply = node.ask("/stream/", "x-tokens: 2000\r\n").await;
-    expect_that!(reply.status, eq(503));
-    expect_that!(reply.head, contains_substring("retry-after: "));
-    expect_that!(begun.elapsed(), lt(Duration::from_millis(50)));
+    let _stream = occupy(&node).await;
+    let start = Instant::now();
+    let response = node.ask("/stream/", "x-tokens: 2000\r\n").await;
+    expect_that!(response.status, eq(503));
+    expect_that!(response.head, contains_substring("retry-after: "));
+    expect_that!(start.elapsed(), lt(Duration::from_millis(50)));
     expect_that!(backend.state.heads().len(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_long_prompt_goes_to_an_idle_server_though_it_cannot_be_on_time() {
+async fn long_prompt_goes_to_an_idle_server_though_it_misses_the_objective() {
     let backend = Backend::spawn(Way::Stream).await;
     let (_service, node) = ready(&[&backend]).await;
-    let fields = format!("x-tokens: {LONG_PROMPT}\r\n");
-    expect_that!(node.ask("/stream/", &fields).await.status, eq(200));
+    let header_lines = format!("x-tokens: {LONG_PROMPT}\r\n");
+    expect_that!(node.ask("/stream/", &header_lines).await.status, eq(200));
 }
 
 #[gtest]
 #[tokio::test]
-async fn what_waits_no_longer_counts_no_longer() {
+async fn aborted_prompt_no_longer_counts_as_load() {
     let backend = Backend::spawn(Way::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
-    let long = occupy(&node).await;
-    drop(long);
+    let stream = occupy(&node).await;
+    drop(stream);
     sleep(Duration::from_millis(200)).await;
     let request = caller::request("/stream/", "x-tokens: 2000\r\n");
     let _second = caller::open(node.callers, &request).await;
@@ -57,7 +57,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_customer_is_not_charged_for_what_servers_turned_away() {
+async fn customer_is_not_charged_for_rejected_requests() {
     let backend = Backend::spawn(Way::TurnAway).await;
     let (service, node) = ready(&[&backend]).await;
     service.set("config", Some("6 tokens=1000 secret"));
@@ -67,20 +67,21 @@
         expect_that!(node.ask("/keyed/", keyed).await.status, eq(503));
     }
     backend.state.turn(Way::Hang, "");
-    let long = format!("x-tokens: {LONG_PROMPT}\r\n");
-    let _long = caller::open(node.callers, &caller::request("/once/", &long)).await;
+    let long_prompt = format!("x-tokens: {LONG_PROMPT}\r\n");
+    let _stream = caller::open(node.callers, &caller::request("/once/", &long_prompt)).await;
     sleep(Duration::from_millis(100)).await;
-    let reply = node.ask("/keyed/", keyed).await;
+    let response = node.ask("/keyed/", keyed).await;
     expect_that!(
-        reply.body,
+        response.body,
         contains_substring("busy"),
-        "it had nothing of its portion"
+        "the customer has used none of its share"
     );
-    expect_that!(reply.status, eq(503));
+    expect_that!(response.status, eq(503));
 }
 
-/// What a customer is told whose prompts of 3,500 tokens were just run, while a long prompt is read.
-async fn told_after(tokens_per_s: u32, is_other_cold: bool) -> String {
+/// Returns the refusal of a prompt that arrives behind a long one, after the customer has used
+/// 3,500 tokens.
+async fn refusal_after_usage(tokens_per_s: u32, is_other_cold: bool) -> String {
     let (busy, other) = (
         Backend::spawn(Way::Answer).await,
         Backend::spawn(Way::Answer).await,
@@ -96,18 +97,21 @@
         expect_that!(node.ask("/keyed/", keyed).await.status, eq(200));
     }
     busy.state.turn(Way::Hang, "");
-    let long = format!("x-tokens: {LONG_PROMPT}\r\n");
-    let _long = caller::open(node.callers, &caller::request("/once/", &long)).await;
+    let long_prompt = format!("x-tokens: {LONG_PROMPT}\r\n");
+    let _stream = caller::open(node.callers, &caller::request("/once/", &long_prompt)).await;
     sleep(Duration::from_millis(100)).await;
     node.ask("/keyed/", keyed).await.body
 }
 
 #[gtest]
 #[tokio::test]
-async fn portions_go_by_the_servers_that_take_prompts() {
-    expect_that!(told_after(2_000, false).await, contains_substring("busy"));
+async fn shares_are_based_on_servers_that_accept_prompts() {
     expect_that!(
-        told_after(2_000, true).await,
+        refusal_after_usage(2_000, false).await,
+        contains_substring("busy")
+    );
+    expect_that!(
+        refusal_after_usage(2_000, true).await,
         contains_substring("over_share")
     );
 }
--- a/crates/gateway/tests/gateway/caller.rs
+++ b/crates/gateway/tests/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! Callers.
+//! HTTP client of the gateway's tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,29 +7,29 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time that any test waits for an answer.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Time limit for a response.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer as it came.
+/// A response, possibly incomplete.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// Whether the body came to its end.
+    /// Whether the whole body was received.
     pub(crate) is_complete: bool,
 }
 
-/// A request on a connection of its own.
-pub(crate) fn request(path: &str, fields: &str) -> String {
-    request_with_body(path, fields, "hi")
+/// Formats a request that closes its connection.
+pub(crate) fn request(path: &str, header_lines: &str) -> String {
+    request_with_body(path, header_lines, "hi")
 }
 
-/// As [`request`], with a body.
-pub(crate) fn request_with_body(path: &str, fields: &str, body: &str) -> String {
+/// Like [`request`], with a body.
+pub(crate) fn request_with_body(path: &str, header_lines: &str, body: &str) -> String {
     let length = body.len();
     format!(
-        "POST {path} HTTP/1.1\r\nHost: host.example\r\nx-id: q1\r\nConnection: close\r\n{fields}Content-Length: {length}\r\n\r\n{body}"
+        "POST {path} HTTP/1.1\r\nHost: host.example\r\nx-id: q1\r\nConnection: close\r\n{header_lines}Content-Length: {length}\r\n\r\n{body}"
     )
 }
 
@@ -37,14 +37,14 @@
 pub(crate) async fn send(gateway: SocketAddr, request: &str) -> Response {
     let mut stream = open(gateway, request).await;
     let mut bytes = Vec::new();
-    // A connection that is reset ends here as well; what came before counts.
-    let _ = timeout(LONGEST, stream.read_to_end(&mut bytes))
+    // A reset is not an error: the data received before it is evaluated.
+    let _ = timeout(TIMEOUT, stream.read_to_end(&mut bytes))
         .await
-        .expect("an end");
+        .expect("the connection ends in time");
     parse(&bytes)
 }
 
-/// Sends a request and leaves the answer unread.
+/// Sends a request without reading the response.
 pub(crate) async fn open(gateway: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(gateway)
         .await
@@ -56,7 +56,7 @@
     stream
 }
 
-/// Reads an answer.
+/// Parses a response.
 pub(crate) fn parse(bytes: &[u8]) -> Response {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
--- a/crates/gateway/tests/gateway/responses.rs
+++ b/crates/gateway/tests/gateway/responses.rs
@@ -1,4 +1,4 @@
-//! Each caller gets its own whole answer, or is told what is known.
+//! Responses to callers: status, forwarded headers, timeouts and large bodies.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_is_told_as_its_proof_allows() {
+async fn response_status_matches_the_server_outcome() {
     let table = [
         (Way::Answer, "/once/", 200),
         (Way::Fail, "/once/", 500),
@@ -30,30 +30,30 @@
     for (way, path, status) in table {
         let backend = Backend::spawn(way).await;
         let (_service, node) = ready(&[&backend]).await;
-        let reply = node.ask(path, "").await;
-        expect_that!(reply.status, eq(status), "{way:?} {path}");
-        expect_that!(reply.is_complete, eq(true), "{way:?} {path}");
+        let response = node.ask(path, "").await;
+        expect_that!(response.status, eq(status), "{way:?} {path}");
+        expect_that!(response.is_complete, eq(true), "{way:?} {path}");
         expect_that!(backend.state.heads().len(), eq(1), "{way:?} {path}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_refusal_that_promises_says_when_to_come_back() {
+async fn rejected_request_gets_a_retry_after_header() {
     let backend = Backend::spawn(Way::TurnAway).await;
     let (_service, node) = ready(&[&backend]).await;
-    let reply = node.ask("/once/", "").await;
-    expect_that!(reply.head, contains_substring("retry-after: 0."));
+    let response = node.ask("/once/", "").await;
+    expect_that!(response.head, contains_substring("retry-after: 0."));
 }
 
 #[gtest]
 #[tokio::test]
-async fn the_server_gets_the_request_and_what_the_router_says() {
+async fn request_is_forwarded_with_the_gateways_headers() {
     let backend = Backend::spawn(Way::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
-    let fields = "Authorization: Bearer secret\r\nx-customer: forged\r\nx-own: kept\r\nx-patience-ms: 900\r\n";
-    let reply = node.ask("/keyed/a/b?c=%20d", fields).await;
-    expect_that!(reply.status, eq(200));
+    let header_lines = "Authorization: Bearer secret\r\nx-customer: forged\r\nx-own: kept\r\nx-patience-ms: 900\r\n";
+    let response = node.ask("/keyed/a/b?c=%20d", header_lines).await;
+    expect_that!(response.status, eq(200));
     let heads = backend.state.heads();
     let head = &heads[0];
     expect_that!(head, starts_with("post /keyed/a/b?c=%20d http/1.1"));
@@ -62,15 +62,15 @@
     expect_that!(field(head, "x-own"), some(eq("kept")));
     expect_that!(field(head, "authorization"), none());
     expect_that!(field(head, "connection"), none());
-    let left: u64 = field(head, "x-left-ms")
+    let left_ms: u64 = field(head, "x-left-ms")
         .and_then(|ms| ms.parse().ok())
         .unwrap_or(0);
-    expect_that!(left, all!(gt(400), le(900)));
+    expect_that!(left_ms, all!(gt(400), le(900)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn bad_input_is_answered_and_reaches_no_server() {
+async fn invalid_requests_are_refused_and_not_forwarded() {
     let backend = Backend::spawn(Way::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let large = format!("x-large: {}\r\n", "x".repeat(20_000));
@@ -95,24 +95,24 @@
     ];
     for (request, status) in table {
         let text = request.replacen("hi", &"h".repeat(2_000), usize::from(status == 413));
-        let reply = caller::send(node.callers, &text).await;
-        let first: String = request.chars().take(60).collect();
-        expect_that!(reply.status, eq(status), "{first}");
+        let response = caller::send(node.callers, &text).await;
+        let prefix: String = request.chars().take(60).collect();
+        expect_that!(response.status, eq(status), "{prefix}");
     }
     expect_that!(backend.state.heads().len(), eq(0));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_inside_another_is_not_smuggled() {
+async fn request_in_a_chunked_body_is_not_smuggled() {
     let backend = Backend::spawn(Way::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let inner = "POST /once/inner HTTP/1.1\r\nx-id: q2\r\n\r\n";
     let chunk = format!("{:x}\r\n{inner}\r\n0\r\n\r\n", inner.len());
     let request = caller::request("/once/", "Transfer-Encoding: chunked\r\n")
         .replace("Content-Length: 2\r\n\r\nhi", &format!("\r\n{chunk}"));
-    let reply = caller::send(node.callers, &request).await;
-    expect_that!(reply.status, eq(200));
+    let response = caller::send(node.callers, &request).await;
+    expect_that!(response.status, eq(200));
     let heads = backend.state.heads();
     expect_that!(heads.len(), eq(1));
     expect_that!(field(&heads[0], "transfer-encoding"), none());
@@ -120,42 +120,42 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_caller_is_not_kept_longer_than_its_route_allows() {
+async fn hanging_request_times_out_at_the_route_timeout() {
     let backend = Backend::spawn(Way::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
-    let begun = Instant::now();
-    let reply = node.ask("/once/", "").await;
-    let elapsed = begun.elapsed();
-    expect_that!(reply.status, eq(504));
+    let start = Instant::now();
+    let response = node.ask("/once/", "").await;
+    let elapsed = start.elapsed();
+    expect_that!(response.status, eq(504));
     expect_that!(elapsed, ge(Duration::from_millis(TIMEOUT_MS - 50)));
     expect_that!(elapsed, lt(Duration::from_millis(TIMEOUT_MS + 500)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_body_that_does_not_come_is_given_up() {
+async fn incomplete_body_times_out() {
     let backend = Backend::spawn(Way::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let request = caller::request("/once/", "").replace("Length: 2", "Length: 20");
-    let reply = caller::send(node.callers, &request).await;
-    expect_that!(reply.status, eq(408));
+    let response = caller::send(node.callers, &request).await;
+    expect_that!(response.status, eq(408));
     expect_that!(backend.state.heads().len(), eq(0));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_connection_without_a_request_is_closed() {
+async fn connection_with_an_incomplete_head_is_closed() {
     let backend = Backend::spawn(Way::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
-    let begun = Instant::now();
-    let reply = caller::send(node.callers, "POST /once/ HTTP/1.1\r\n").await;
-    expect_that!(reply.status, any!(eq(0), eq(408)));
-    expect_that!(begun.elapsed(), lt(Duration::from_secs(7)));
+    let start = Instant::now();
+    let response = caller::send(node.callers, "POST /once/ HTTP/1.1\r\n").await;
+    expect_that!(response.status, any!(eq(0), eq(408)));
+    expect_that!(start.elapsed(), lt(Duration::from_secs(7)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_server_is_left_at_once_when_the_caller_leaves() {
+async fn server_connection_closes_when_the_caller_disconnects() {
     let backend = Backend::spawn(Way::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
     let stream = caller::open(node.callers, &caller::request("/once/", "")).await;
@@ -169,14 +169,18 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_large_answer_is_passed_on_whole() {
+async fn large_response_is_relayed_completely() {
     let backend = Backend::spawn(Way::Large).await;
     let (_service, node) = ready(&[&backend]).await;
     for path in ["/once/", "/idempotent/"] {
-        let reply = node.ask(path, "").await;
-        expect_that!((reply.status, reply.is_complete), eq((200, true)), "{path}");
-        let came = reply.body.bytes().filter(|byte| *byte == b'x').count();
-        expect_that!(came, eq(LARGE), "{path}");
+        let response = node.ask(path, "").await;
+        expect_that!(
+            (response.status, response.is_complete),
+            eq((200, true)),
+            "{path}"
+        );
+        let received = response.body.bytes().filter(|byte| *byte == b'x').count();
+        expect_that!(received, eq(LARGE), "{path}");
     }
     expect_that!(backend.state.heads().len(), eq(2));
 }
--- a/crates/gateway/tests/gateway/retries.rs
+++ b/crates/gateway/tests/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! What may run more than once is tried again; what may not never is.
+//! Retries: only requests that are safe to repeat may run more than once.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use crate::fleet::ready;
 use crate::protocol::OBJECTIVE_MS;
 
-/// Requests that came to servers, in total.
-fn came(backends: &[&Backend]) -> usize {
+/// Returns the total number of requests that servers received.
+fn request_count(backends: &[&Backend]) -> usize {
     backends
         .iter()
         .map(|backend| backend.state.heads().len())
@@ -19,7 +19,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_request_runs_on_as_many_servers_as_its_route_allows() {
+async fn attempts_are_limited_by_the_route() {
     let table = [
         (Way::Close, "/once/", 502, 1),
         (Way::Cross, "/once/", 502, 1),
@@ -29,26 +29,26 @@
         (Way::Truncate, "/idempotent/", 502, 2),
         (Way::Fail, "/idempotent/", 500, 2),
     ];
-    for (way, path, status, most) in table {
+    for (way, path, status, attempts) in table {
         let [a, b, c] = [way; 3].map(Backend::spawn);
         let (a, b, c) = (a.await, b.await, c.await);
         let (_service, node) = ready(&[&a, &b, &c]).await;
-        let reply = node.ask(path, "").await;
-        expect_that!(reply.status, eq(status), "{way:?} {path}");
-        expect_that!(came(&[&a, &b, &c]), eq(most), "{way:?} {path}");
+        let response = node.ask(path, "").await;
+        expect_that!(response.status, eq(status), "{way:?} {path}");
+        expect_that!(request_count(&[&a, &b, &c]), eq(attempts), "{way:?} {path}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn what_a_server_has_not_run_goes_to_another() {
+async fn request_that_has_not_run_is_sent_to_another_server() {
     for path in ["/once/", "/idempotent/"] {
         for way in [Way::TurnAway, Way::OtherServer] {
             let (bad, good) = (Backend::spawn(way).await, Backend::spawn(Way::Answer).await);
             let (_service, node) = ready(&[&bad, &good]).await;
             for _ in 0..4 {
-                let reply = node.ask(path, "").await;
-                expect_that!(reply.status, eq(200), "{way:?} {path}");
+                let response = node.ask(path, "").await;
+                expect_that!(response.status, eq(200), "{way:?} {path}");
             }
         }
     }
@@ -56,13 +56,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_cannot_be_reached_is_passed_over() {
-    let gone = Backend {
+async fn unreachable_server_is_skipped() {
+    let unreachable = Backend {
         address: "127.0.0.1:1".parse().expect("an address"),
         ..Backend::spawn(Way::Answer).await
     };
     let good = Backend::spawn(Way::Answer).await;
-    let (_service, node) = ready(&[&gone, &good]).await;
+    let (_service, node) = ready(&[&unreachable, &good]).await;
     for _ in 0..4 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
@@ -70,17 +70,17 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_silent_server_is_given_up_in_time_for_another() {
-    let (silent, good) = (
+async fn stalled_server_is_abandoned_in_time_for_another() {
+    let (hanging, good) = (
         Backend::spawn(Way::Hang).await,
         Backend::spawn(Way::Answer).await,
     );
-    let (_service, node) = ready(&[&silent, &good]).await;
+    let (_service, node) = ready(&[&hanging, &good]).await;
     for _ in 0..3 {
-        let begun = Instant::now();
+        let start = Instant::now();
         expect_that!(node.ask("/idempotent/", "").await.status, eq(200));
         expect_that!(
-            begun.elapsed(),
+            start.elapsed(),
             lt(Duration::from_millis(OBJECTIVE_MS + 100))
         );
     }
@@ -88,7 +88,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn retries_are_bounded_by_the_requests_of_their_own_pool() {
+async fn retries_are_limited_by_the_requests_of_the_same_pool() {
     let (bad, other) = (
         Backend::spawn(Way::Fail).await,
         Backend::spawn(Way::Fail).await,
@@ -99,7 +99,10 @@
         node.ask("/stream/", "x-tokens: 10\r\n").await;
         node.ask("/idempotent/", "").await;
     }
-    let again = came(&[&bad, &other]) - 2 * requests;
-    // Four fifths of the ratio of 1, and half of the slack of 20.
-    expect_that!(again, all!(ge(requests * 4 / 5), le(requests * 4 / 5 + 10)));
+    let retries = request_count(&[&bad, &other]) - 2 * requests;
+    // A gateway uses four fifths of the ratio of 1 and half of the slack of 20.
+    expect_that!(
+        retries,
+        all!(ge(requests * 4 / 5), le(requests * 4 / 5 + 10))
+    );
 }
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -1,4 +1,4 @@
-//! Streams are passed on whole and in order, marked when cut, resumed where allowed.
+//! Event streams: relayed in order, marked as incomplete when truncated, resumed where allowed.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 
 const PROMPT: &str = "x-tokens: 100\r\n";
 
-/// The numbers of the events that came whole, in their order.
-fn events(reply: &Response) -> Vec<u64> {
-    let lines = reply
+/// Returns the ids of the received events.
+fn event_ids(response: &Response) -> Vec<u64> {
+    let lines = response
         .body
         .lines()
         .filter_map(|line| line.strip_prefix("id: "));
@@ -23,62 +23,62 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_stream_comes_as_it_was_made() {
+async fn stream_is_relayed_unchanged() {
     let backend = Backend::spawn(Way::Stream).await;
     let (_service, node) = ready(&[&backend]).await;
     for path in ["/stream/", "/resumable/"] {
-        let reply = node.ask(path, PROMPT).await;
-        expect_that!(reply.status, eq(200));
+        let response = node.ask(path, PROMPT).await;
+        expect_that!(response.status, eq(200));
         expect_that!(
-            events(&reply),
+            event_ids(&response),
             elements_are![eq(&1), eq(&2), eq(&3), eq(&4)]
         );
-        expect_that!(reply.is_complete, eq(true));
+        expect_that!(response.is_complete, eq(true));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_stream_that_breaks_off_does_not_look_whole_and_has_no_part_of_an_event() {
+async fn truncated_stream_is_incomplete_and_ends_with_a_whole_event() {
     let (cut, other) = (
         Backend::spawn(Way::CutStream).await,
         Backend::spawn(Way::CutStream).await,
     );
     let (_service, node) = ready(&[&cut, &other]).await;
-    let reply = node.ask("/stream/", PROMPT).await;
-    expect_that!(reply.status, eq(200));
-    expect_that!(events(&reply), elements_are![eq(&1), eq(&2)]);
-    expect_that!(reply.is_complete, eq(false));
-    let came = cut.state.heads().len() + other.state.heads().len();
-    expect_that!(came, eq(1));
+    let response = node.ask("/stream/", PROMPT).await;
+    expect_that!(response.status, eq(200));
+    expect_that!(event_ids(&response), elements_are![eq(&1), eq(&2)]);
+    expect_that!(response.is_complete, eq(false));
+    let requests = cut.state.heads().len() + other.state.heads().len();
+    expect_that!(requests, eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn events_that_came_before_a_break_are_passed_on_though_both_came_at_once() {
+async fn events_received_together_with_the_truncation_are_relayed() {
     let backend = Backend::spawn(Way::CutAtOnce).await;
     let (_service, node) = ready(&[&backend]).await;
     for _ in 0..5 {
-        let reply = node.ask("/stream/", PROMPT).await;
-        expect_that!(events(&reply), elements_are![eq(&1), eq(&2)]);
-        expect_that!(reply.is_complete, eq(false));
+        let response = node.ask("/stream/", PROMPT).await;
+        expect_that!(event_ids(&response), elements_are![eq(&1), eq(&2)]);
+        expect_that!(response.is_complete, eq(false));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_stream_that_may_be_resumed_goes_on_after_the_last_whole_event() {
+async fn resumable_stream_continues_after_the_last_whole_event() {
     for way in [Way::CutStream, Way::HangStream] {
         let (bad, good) = (Backend::spawn(way).await, Backend::spawn(Way::Stream).await);
         let (_service, node) = ready(&[&bad, &good]).await;
         for _ in 0..3 {
-            let reply = node.ask("/resumable/", PROMPT).await;
+            let response = node.ask("/resumable/", PROMPT).await;
             expect_that!(
-                events(&reply),
+                event_ids(&response),
                 elements_are![eq(&1), eq(&2), eq(&3), eq(&4)],
                 "{way:?}"
             );
-            expect_that!(reply.is_complete, eq(true), "{way:?}");
+            expect_that!(response.is_complete, eq(true), "{way:?}");
         }
         let heads = good.state.heads();
         let resumed = heads
@@ -90,18 +90,18 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_stream_ends_when_its_route_allows_no_more() {
+async fn stream_ends_at_the_route_timeout() {
     let backend = Backend::spawn(Way::HangStream).await;
     let (_service, node) = ready(&[&backend]).await;
-    let begun = tokio::time::Instant::now();
-    let reply = node.ask("/stream/", PROMPT).await;
-    expect_that!(reply.is_complete, eq(false));
-    expect_that!(begun.elapsed(), lt(Duration::from_millis(TIMEOUT_MS + 500)));
+    let start = tokio::time::Instant::now();
+    let response = node.ask("/stream/", PROMPT).await;
+    expect_that!(response.is_complete, eq(false));
+    expect_that!(start.elapsed(), lt(Duration::from_millis(TIMEOUT_MS + 500)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_stream_ends_at_its_server_when_the_caller_leaves() {
+async fn server_stream_closes_when_the_caller_disconnects() {
     let backend = Backend::spawn(Way::HangStream).await;
     let (_service, node) = ready(&[&backend]).await;
     let stream = caller::open(node.callers, &caller::request("/stream/", PROMPT)).await;
@@ -113,55 +113,55 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_slow_stream_is_not_broken_off_when_no_retry_is_left() {
+async fn slow_stream_continues_when_the_retry_budget_is_exhausted() {
     let (slow, other) = (
         Backend::spawn(Way::SlowStream).await,
         Backend::spawn(Way::SlowStream).await,
     );
     let (_service, node) = ready(&[&slow, &other]).await;
-    let asks = (0..40).map(|_| node.ask("/resumable/", PROMPT));
-    let replies = futures::future::join_all(asks).await;
-    let whole = replies
+    let requests = (0..40).map(|_| node.ask("/resumable/", PROMPT));
+    let responses = futures::future::join_all(requests).await;
+    let completed = responses
         .iter()
-        .filter(|reply| reply.status == 200 && reply.is_complete);
-    let begun = replies.iter().filter(|reply| reply.status == 200);
-    expect_that!(whole.count(), eq(begun.count()));
+        .filter(|response| response.status == 200 && response.is_complete);
+    let started = responses.iter().filter(|response| response.status == 200);
+    expect_that!(completed.count(), eq(started.count()));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_broken_stream_is_offered_to_a_server_where_a_new_request_would_be_refused() {
+async fn truncated_stream_resumes_on_a_server_too_busy_for_new_requests() {
     let busy = Backend::spawn(Way::Hang).await;
     let (service, node) = ready(&[&busy]).await;
-    let long = caller::request("/stream/", &format!("x-tokens: {LONG_PROMPT}\r\n"));
-    let _long = caller::open(node.callers, &long).await;
+    let long_prompt = caller::request("/stream/", &format!("x-tokens: {LONG_PROMPT}\r\n"));
+    let _stream = caller::open(node.callers, &long_prompt).await;
     sleep(Duration::from_millis(100)).await;
     expect_that!(node.ask("/resumable/", PROMPT).await.status, eq(503));
     let cut = Backend::spawn(Way::CutStream).await;
     register(&service, 1, &cut, "ready");
     sleep(Duration::from_millis(500)).await;
-    let reply = node.ask("/resumable/", PROMPT).await;
-    expect_that!(events(&reply), elements_are![eq(&1), eq(&2)]);
+    let response = node.ask("/resumable/", PROMPT).await;
+    expect_that!(event_ids(&response), elements_are![eq(&1), eq(&2)]);
     let heads = busy.state.heads();
     expect_that!(field(&heads[heads.len() - 1], "x-after"), some(eq("2")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_stream_goes_on_where_it_is_taken_though_other_servers_turn_it_away() {
+async fn truncated_stream_resumes_though_other_servers_reject_it() {
     let (cut, free) = (
         Backend::spawn(Way::CutStream).await,
         Backend::spawn(Way::Stream).await,
     );
-    let (away, also) = (
+    let (rejecting, also_rejecting) = (
         Backend::spawn(Way::TurnAway).await,
         Backend::spawn(Way::TurnAway).await,
     );
     for _ in 0..4 {
-        let (_service, node) = ready(&[&cut, &away, &also, &free]).await;
-        let reply = node.ask("/resumable/", PROMPT).await;
+        let (_service, node) = ready(&[&cut, &rejecting, &also_rejecting, &free]).await;
+        let response = node.ask("/resumable/", PROMPT).await;
         expect_that!(
-            events(&reply),
+            event_ids(&response),
             elements_are![eq(&1), eq(&2), eq(&3), eq(&4)]
         );
     }
