--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -17,8 +17,8 @@
 pub(crate) use self::in_flight::InFlight;
 pub(crate) use self::instance::Instance;
 pub(crate) use self::liveness::Liveness;
+use crate::config::Model;
 use crate::conn::{Conn, Conns};
-use crate::plan::Model;
 use crate::protocol::ResponseHead;
 use crate::server::Server;
 
--- a/crates/gateway/src/cache_report.rs
+++ b/crates/gateway/src/cache_report.rs
@@ -34,10 +34,10 @@
 
 /// Asks a model server what it keeps, in a task of its own. Other servers are not asked.
 pub(crate) fn spawn_fetch(core: &Arc<Core>, backend: &Arc<Backend>) {
-    let plan = core.view.plan();
-    let pool = plan
+    let config = core.view.config();
+    let pool = config
         .as_ref()
-        .and_then(|plan| plan.pool(backend.server.pool));
+        .and_then(|config| config.pool(backend.server.pool));
     let is_model = pool.is_some_and(|pool| pool.model.is_some());
     // A cold server has just started and keeps nothing, and questions count in what it bears.
     let now_ms = clock::now_ms();
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::plan::{Customer, Route};
+use crate::config::{Customer, Route};
 
 /// A caller's request that was read whole and is allowed.
 #[derive(Debug)]
--- a/crates/gateway/src/plan.rs
+++ b/crates/gateway/src/config.rs
@@ -18,7 +18,7 @@
 
 /// One version of the configuration. It never changes; a newer one takes its place.
 #[derive(Debug)]
-pub struct Plan {
+pub struct Config {
     version: u64,
     limits: Limits,
     has_customers: bool,
@@ -27,7 +27,7 @@
     pools: HashMap<PoolId, Pool>,
 }
 
-impl Plan {
+impl Config {
     /// Indexes a configuration. Without customers, requests need no key.
     #[must_use]
     pub fn new(
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -48,8 +48,8 @@
 /// Finds the level to which the servers' capacity is shared out, and the retries
 /// that this node may make.
 fn settle(core: &Core) {
-    let plan = core.view.plan();
-    let capacity = plan.and_then(|plan| plan.limits().tokens_per_s);
+    let config = core.view.config();
+    let capacity = config.and_then(|config| config.limits().tokens_per_s);
     let capacity = capacity.map_or(f64::INFINITY, f64::from);
     // What the others bear is not there to be shared out.
     let models = core.registry.model_stats();
--- a/crates/gateway/src/follow/contents.rs
+++ b/crates/gateway/src/follow/contents.rs
@@ -219,9 +219,9 @@
 
     fn configure(&mut self, value: &[u8], revision: Revision) {
         match self.core.protocol.parse_config(value) {
-            Ok(plan) => {
-                let version = plan.version();
-                if self.core.view.apply(plan) {
+            Ok(config) => {
+                let version = config.version();
+                if self.core.view.apply(config) {
                     self.shares.members.invalidate();
                     log!(self.core.logger, Event::ConfigApplied,
                         "revision" => revision, "version" => version, "view_age_ms" => self.core.view.age_ms());
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -118,12 +118,12 @@
             }
         };
         let is_leaving = server.is_leaving;
-        let plan = self.core.view.plan();
-        let pool = plan.as_ref().and_then(|plan| plan.pool(server.pool));
+        let config = self.core.view.config();
+        let pool = config.as_ref().and_then(|config| config.pool(server.pool));
         let may_be_cold = pool.is_none_or(|pool| pool.cold.is_some());
         let left_ms = Some(server.cold_left_ms).filter(|left_ms| may_be_cold && *left_ms > 0);
         let before = self.core.registry.get(name);
-        let is_new = self.core.registry.register(server, plan.as_deref());
+        let is_new = self.core.registry.register(server, config.as_deref());
         let backend = self.core.registry.get(name);
         if let (Some(left_ms), Some(backend)) = (left_ms, &backend) {
             backend.cold.extend(clock::now_ms() + left_ms);
--- a/crates/gateway/src/follow/shares.rs
+++ b/crates/gateway/src/follow/shares.rs
@@ -50,10 +50,10 @@
 
     /// Requests a second that a server bears from all gateways together while it is cold.
     fn requests(&self, backend: &Backend) -> u32 {
-        let plan = self.core.view.plan();
-        let pool = plan
+        let config = self.core.view.config();
+        let pool = config
             .as_ref()
-            .and_then(|plan| plan.pool(backend.server.pool));
+            .and_then(|config| config.pool(backend.server.pool));
         let Some(cold) = pool.and_then(|pool| pool.cold) else {
             return u32::MAX;
         };
--- a/crates/gateway/src/follow/zones.rs
+++ b/crates/gateway/src/follow/zones.rs
@@ -40,12 +40,12 @@
         if !self.names.remove(zone) {
             return;
         }
-        let plan = self.core.view.plan();
+        let config = self.core.view.config();
         let servers = self.core.registry.set_evacuated(zone, false);
         for backend in &servers {
-            let pool = plan
+            let pool = config
                 .as_ref()
-                .and_then(|plan| plan.pool(backend.server.pool));
+                .and_then(|config| config.pool(backend.server.pool));
             if let Some(cold) = pool.and_then(|pool| pool.cold) {
                 backend
                     .cold
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -72,7 +72,7 @@
 pub(crate) async fn accept(core: &Core, stream: &mut TcpStream) -> bool {
     let agreed = async {
         let least = receive(stream).await?;
-        let version = core.view.plan().map_or(0, |plan| plan.version());
+        let version = core.view.config().map_or(0, |config| config.version());
         let may = version > 0 && version >= least && !core.view.is_superseded();
         if may {
             send(stream, version).await?;
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -14,8 +14,8 @@
 use tokio::time::Instant;
 
 use crate::call::Call;
+use crate::config::{Config, Customer, Route};
 use crate::core::Core;
-use crate::plan::{Customer, Plan, Route};
 use crate::protocol::RequestHead;
 use crate::refusal::Refusal;
 use crate::{clock, header};
@@ -58,9 +58,9 @@
         if core.view.predates_suspension() || core.view.is_superseded() {
             return Err(Refusal::NoView);
         }
-        let plan = core.view.plan().ok_or(Refusal::NoView)?;
-        let route = Arc::clone(self.route(core, &plan)?);
-        let customer = self.customer(core, &plan, &route)?;
+        let config = core.view.config().ok_or(Refusal::NoView)?;
+        let route = Arc::clone(self.route(core, &config)?);
+        let customer = self.customer(core, &config, &route)?;
         let pool = route
             .select_pool(rand::rng().random())
             .ok_or(Refusal::NoServer)?;
@@ -68,7 +68,7 @@
         let deadline = self
             .since_ms
             .saturating_add(patience_ms.min(route.timeout_ms));
-        let body = read_body(self.body, plan.limits().max_body_bytes);
+        let body = read_body(self.body, config.limits().max_body_bytes);
         let body = tokio::select! {
             body = body => body,
             () = clock::wait_until(deadline) => Err(Refusal::Slow),
@@ -91,23 +91,23 @@
         })
     }
 
-    fn route<'a>(&self, core: &Core, plan: &'a Plan) -> Result<&'a Arc<Route>, Refusal> {
+    fn route<'a>(&self, core: &Core, config: &'a Config) -> Result<&'a Arc<Route>, Refusal> {
         let named = self.parts.headers.get(HOST);
         let host = match self.parts.uri.authority() {
             Some(authority) => authority.as_str(),
             None => named.and_then(|host| host.to_str().ok()).unwrap_or(""),
         };
-        let route = plan.route(host, self.parts.uri.path());
+        let route = config.route(host, self.parts.uri.path());
         route.ok_or_else(|| deny(core, Refusal::NoRoute))
     }
 
     fn customer(
         &self,
         core: &Core,
-        plan: &Plan,
+        config: &Config,
         route: &Route,
     ) -> Result<Option<Arc<Customer>>, Refusal> {
-        if !plan.has_customers() || route.is_public {
+        if !config.has_customers() || route.is_public {
             return Ok(None);
         }
         let fresh_ms = core.settings.load().keys_fresh_ms;
@@ -115,7 +115,7 @@
             return Err(Refusal::NoView);
         }
         let key = self.ask.key.as_deref();
-        let customer = key.and_then(|key| plan.customer(key));
+        let customer = key.and_then(|key| config.customer(key));
         match customer {
             Some(customer) => Ok(Some(Arc::clone(customer))),
             None => Err(deny(core, Refusal::NoCustomer)),
--- a/crates/gateway/src/listen/connection.rs
+++ b/crates/gateway/src/listen/connection.rs
@@ -38,8 +38,8 @@
 
 /// Serves a connection until it ends or the node does.
 pub(super) fn connect(core: &Arc<Core>, watcher: Watcher, stream: TcpStream, way: Way) {
-    let plan = core.view.plan();
-    let limits = plan.as_ref().map(|plan| plan.limits());
+    let config = core.view.config();
+    let limits = config.as_ref().map(|config| config.limits());
     let head_bytes = limits.map_or(HEAD_BYTES, |limits| limits.max_head_bytes);
     let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_timeout_ms);
     let service = {
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -15,7 +15,7 @@
 pub use self::parse_error::ParseError;
 pub use self::request_head::RequestHead;
 pub use self::response_head::{ResponseHead, Verification};
-use crate::plan::Plan;
+use crate::config::Config;
 use crate::server::Server;
 
 /// Translates between the headers and values of a platform and the router's types.
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// [`ParseError`] when the value is no configuration.
-    fn parse_config(&self, value: &[u8]) -> Result<Plan, ParseError>;
+    fn parse_config(&self, value: &[u8]) -> Result<Config, ParseError>;
 
     /// Path at which a model server lists the prompt parts that it keeps; `None` where
     /// servers list none.
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -46,8 +46,8 @@
     let reach_s = Duration::from_millis(core.view.kv_contact_age_ms()).as_secs_f64();
     metrics::gauge!("kv_reached_age_seconds").set(reach_s);
     metrics::gauge!("callers_connections").set(core.connections.load(Ordering::Relaxed));
-    let plan = core.view.plan();
-    let version = plan.map_or(0, |plan| plan.version());
+    let config = core.view.config();
+    let version = config.map_or(0, |config| config.version());
     #[expect(clippy::cast_precision_loss, reason = "a gauge is a floating number")]
     metrics::gauge!("configuration_version").set(version as f64);
     handle().map_or_else(String::new, |handle| {
@@ -66,10 +66,10 @@
 
 /// Whether callers should be sent to this node.
 pub(crate) fn is_ready(core: &Core) -> bool {
-    let has_plan = core.view.plan().is_some();
+    let has_config = core.view.config().is_some();
     let is_fresh = core.view.age_ms() < FRESH_MS && core.view.kv_contact_age_ms() < REACH_MS;
     let is_fresh = is_fresh && !core.view.predates_suspension();
-    has_plan && is_fresh && !core.strain.is_away() && !core.stop.leave.is_cancelled()
+    has_config && is_fresh && !core.strain.is_away() && !core.stop.leave.is_cancelled()
 }
 
 /// Answers one question for readiness.
--- a/crates/gateway/src/registry.rs
+++ b/crates/gateway/src/registry.rs
@@ -18,7 +18,7 @@
 pub(crate) use self::model_stats::ModelStats;
 use crate::backend::Backend;
 use crate::clock;
-use crate::plan::Plan;
+use crate::config::Config;
 use crate::server::Server;
 
 /// Servers of a pool that a node uses, about: of more it uses a part, so that what it does for a
@@ -139,7 +139,7 @@
     }
 
     /// Notes a registration; `true` if it changed what may be sent where.
-    pub(crate) fn register(&self, server: Server, plan: Option<&Plan>) -> bool {
+    pub(crate) fn register(&self, server: Server, config: Option<&Config>) -> bool {
         if let Some(held) = self.get(&server.name) {
             if is_earlier(&server, &held.server) {
                 return false;
@@ -154,7 +154,7 @@
             }
             held.instance.touch(clock::now_ms());
         }
-        let model = plan.and_then(|plan| plan.pool(server.pool)?.model);
+        let model = config.and_then(|config| config.pool(server.pool)?.model);
         let name = server.name.clone();
         let pace = Arc::clone(self.paces.lock().entry(server.pool).or_default());
         let is_evacuated = self.evacuated.lock().contains(&server.zone);
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwapOption;
 
 use crate::clock;
-use crate::plan::Plan;
+use crate::config::Config;
 
 /// Age up to which what is known here is taken to be what others know, in milliseconds: a call
 /// that waits has ended by then, also one at a peer whose own call has just ended.
@@ -16,7 +16,7 @@
 /// life of a process.
 #[derive(Debug, Default)]
 pub(crate) struct View {
-    plan: ArcSwapOption<Plan>,
+    config: ArcSwapOption<Config>,
     /// Latest version by which another gateway answers callers of this one.
     seen: AtomicU64,
     confirmed_ms: AtomicU64,
@@ -25,24 +25,24 @@
 
 impl View {
     /// The configuration; `None` before the first.
-    pub(crate) fn plan(&self) -> Option<Arc<Plan>> {
-        self.plan.load_full()
+    pub(crate) fn config(&self) -> Option<Arc<Config>> {
+        self.config.load_full()
     }
 
     /// Puts a configuration in force; `false` if it is not newer than the one in force.
-    pub(crate) fn apply(&self, plan: Plan) -> bool {
-        let held = self.plan.load().as_ref().map(|held| held.version());
-        if held.is_some_and(|held| held >= plan.version()) {
+    pub(crate) fn apply(&self, config: Config) -> bool {
+        let held = self.config.load().as_ref().map(|held| held.version());
+        if held.is_some_and(|held| held >= config.version()) {
             return false;
         }
-        self.plan.store(Some(Arc::new(plan)));
+        self.config.store(Some(Arc::new(config)));
         true
     }
 
     /// The latest version by which callers of this node were answered, here or by another
     /// gateway; 0 before the first.
     pub(crate) fn latest_version(&self) -> u64 {
-        let held = self.plan.load().as_ref().map_or(0, |held| held.version());
+        let held = self.config.load().as_ref().map_or(0, |held| held.version());
         held.max(self.seen.load(Ordering::Relaxed))
     }
 
@@ -54,7 +54,7 @@
     /// Whether callers of this node were answered by a later version than the one in force here:
     /// what that changed must not be as it was before.
     pub(crate) fn is_superseded(&self) -> bool {
-        let held = self.plan.load().as_ref().map_or(0, |held| held.version());
+        let held = self.config.load().as_ref().map_or(0, |held| held.version());
         held < self.seen.load(Ordering::Relaxed)
     }
 
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -5,8 +5,8 @@
 use hyper::http::{request, response};
 use mulberryyoke_decide::engine::{PartId, Prompt};
 use mulberryyoke_gateway::Server;
-use mulberryyoke_gateway::plan::{
-    ColdStart, Customer, Limits, Model, Plan, Pool, RequestKind, Route, Target,
+use mulberryyoke_gateway::config::{
+    ColdStart, Config, Customer, Limits, Model, Pool, RequestKind, Route, Target,
 };
 use mulberryyoke_gateway::protocol::{
     Forwarding, Notice, ParseError, Protocol, RequestHead, ResponseHead, Verification,
@@ -122,7 +122,7 @@
         "evacuate/"
     }
 
-    fn parse_config(&self, value: &[u8]) -> Result<Plan, ParseError> {
+    fn parse_config(&self, value: &[u8]) -> Result<Config, ParseError> {
         let text = String::from_utf8_lossy(value);
         let mut words = text.split_whitespace();
         let version = words.next().and_then(|word| word.parse().ok());
@@ -151,7 +151,7 @@
         ];
         let routes = routes.map(|(prefix, kind, attempts)| route(prefix, kind, attempts));
         let pools = vec![pool("plain", None), pool("model", Some(model()))];
-        Ok(Plan::new(
+        Ok(Config::new(
             version,
             limits,
             routes.into(),
