--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server as this router knows it.
+//! Per-server state of the gateway.
 
 mod cold_limiter;
 mod health;
@@ -22,30 +22,30 @@
 use crate::protocol::ResponseHead;
 use crate::server::Server;
 
-/// Part of a model server's memory in which shared prompt parts are expected to
-/// last; running requests take the rest.
-const CACHE_PART: u32 = 2;
+/// Divisor of a model server's memory that gives the size of its prompt cache; running requests
+/// use the rest.
+const CACHE_DIVISOR: u32 = 2;
 
-/// A backend server as this router knows it.
+/// A backend server: its registration, connections and everything that the choice of a server
+/// depends on.
 #[derive(Debug)]
 pub(crate) struct Backend {
     pub(crate) server: Server,
     pub(crate) conns: Conns,
     pub(crate) engine: Mutex<Engine>,
-    /// How fast servers of its pool read prompts and end requests.
+    /// Prefill speed and request duration, averaged over the servers of the pool.
     pub(crate) pool_stats: Arc<Mutex<PoolStats>>,
     pub(crate) health: Mutex<Health>,
-    /// Whether it is a model server.
     pub(crate) is_model: bool,
-    /// What was seen of its lives; held while one looks.
+    /// Locked while the server is probed, so that concurrent failures share one probe.
     pub(crate) liveness: tokio::sync::Mutex<Liveness>,
-    /// Requests under suspicion that run there apart from others.
+    /// Suspect requests in flight; at most one runs on a server while others are free.
     pub(crate) isolated_requests: AtomicU32,
     pub(crate) cold: ColdLimiter,
     pub(crate) instance: Arc<Instance>,
-    /// Whether its registration says that it leaves, or has ended.
+    /// Whether the server is registered as leaving, or no longer registered.
     is_closed: AtomicBool,
-    /// Whether nothing is to be sent to its availability zone.
+    /// Whether its availability zone is being evacuated.
     is_evacuated: AtomicBool,
 }
 
@@ -53,59 +53,61 @@
     pub(crate) fn new(
         server: Server,
         model: Option<Model>,
-        pace: Arc<Mutex<PoolStats>>,
-        life: Arc<Instance>,
+        pool_stats: Arc<Mutex<PoolStats>>,
+        instance: Arc<Instance>,
     ) -> Self {
-        let cache_tokens = model.map_or(0, |model| model.memory_tokens / CACHE_PART);
+        let cache_tokens = model.map_or(0, |model| model.memory_tokens / CACHE_DIVISOR);
         let slots = model.map_or(server.slots, |model| model.slots);
         Self {
             conns: Conns::new(server.address),
             engine: Mutex::new(Engine::new(slots, cache_tokens)),
-            pool_stats: pace,
+            pool_stats,
             health: Mutex::new(Health::default()),
             is_model: model.is_some(),
             liveness: tokio::sync::Mutex::default(),
             isolated_requests: AtomicU32::new(0),
             cold: ColdLimiter::default(),
-            instance: life,
+            instance,
             is_evacuated: AtomicBool::new(false),
             is_closed: AtomicBool::new(server.is_leaving),
             server,
         }
     }
 
-    /// What is believed of it as a model server, with what was last learnt of its pool.
+    /// Locks the engine model after copying the current pool statistics into it.
     pub(crate) fn engine(&self) -> MutexGuard<'_, Engine> {
-        let pace = *self.pool_stats.lock();
+        let pool_stats = *self.pool_stats.lock();
         let mut engine = self.engine.lock();
-        engine.pool_stats = pace;
+        engine.pool_stats = pool_stats;
         engine
     }
 
-    /// Whether it may get new requests.
+    /// Whether new requests may be sent to the server.
     pub(crate) fn is_open(&self) -> bool {
         !self.is_closed() && !self.is_evacuated.load(Ordering::Relaxed)
     }
 
-    /// Whether it leaves or is gone.
+    /// Whether the server is leaving or gone.
     pub(crate) fn is_closed(&self) -> bool {
-        // What the server itself says counts at once: an outage may hold its registration back.
+        // An announcement by the server counts without its registration, which an outage of the
+        // key-value service may delay.
         self.is_closed.load(Ordering::Relaxed) || self.instance.is_leaving()
     }
 
-    /// Lets it get no requests while its availability zone is evacuated, or again.
+    /// Sets whether its availability zone is being evacuated.
     pub(crate) fn set_evacuated(&self, is_evacuated: bool) {
         self.is_evacuated.store(is_evacuated, Ordering::Relaxed);
     }
 
-    /// Keeps a connection whose answer was read whole, if another request may go there.
-    pub(crate) fn release_conn(&self, conn: Conn, reading: ResponseHead) {
-        if !reading.closes_connection && self.is_open() {
-            self.conns.give(conn, reading.keep_alive_ms);
+    /// Returns a connection to the pool after a complete response, unless the server is closed or
+    /// ends the connection.
+    pub(crate) fn release_conn(&self, conn: Conn, response_head: ResponseHead) {
+        if !response_head.closes_connection && self.is_open() {
+            self.conns.give(conn, response_head.keep_alive_ms);
         }
     }
 
-    /// Lets it get no more requests; those that run go on.
+    /// Stops new requests to the server; requests in flight continue.
     pub(crate) fn close(&self) {
         self.is_closed.store(true, Ordering::Relaxed);
         self.conns.clear();
--- a/crates/gateway/src/backend/health.rs
+++ b/crates/gateway/src/backend/health.rs
@@ -1,23 +1,23 @@
-//! What is held against a server for failures seen.
+//! Penalty of a server for recent failures.
 
 use tokio::time::Instant;
 
 use crate::clock;
 
-/// Penalty for a failure, in milliseconds of waiting.
+/// Penalty per failure, in milliseconds of queueing time.
 const FAILURE_MS: f64 = 300.0;
 
-/// Most penalty, in milliseconds: beyond it no queue is preferred to a server.
-const MOST_MS: f64 = 3_000.0;
+/// Upper limit of the penalty, in milliseconds.
+const MAX_PENALTY_MS: f64 = 3_000.0;
 
-/// Time in which a penalty halves, in milliseconds: a restarted server is tried
-/// again within seconds.
-const HALF_MS: f64 = 700.0;
+/// Half-life of the penalty, in milliseconds. A restarted server gets requests again within
+/// seconds.
+const HALF_LIFE_MS: f64 = 700.0;
 
-/// Part of the penalty that a success leaves.
-const SUCCESS_LEAVES: f64 = 0.7;
+/// Factor by which a success reduces the penalty.
+const SUCCESS_FACTOR: f64 = 0.7;
 
-/// What is held against a server for failures seen. It fades with time and success.
+/// Penalty of a server for recent failures, which decays over time and with each success.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     penalty_ms: f64,
@@ -25,28 +25,29 @@
 }
 
 impl Health {
-    /// Time that is added to the cost of choosing the server, in milliseconds.
+    /// Time to add to the estimated cost of the server, in milliseconds.
     pub(crate) fn penalty_ms(&self, now: Instant) -> f64 {
-        let Some(at) = self.updated_at else {
+        let Some(updated_at) = self.updated_at else {
             return 0.0;
         };
-        #[expect(clippy::cast_precision_loss, reason = "some seconds in milliseconds")]
-        let elapsed = clock::between_ms(at, now) as f64;
-        self.penalty_ms * (-elapsed / HALF_MS).exp2()
+        #[expect(
+            clippy::cast_precision_loss,
+            reason = "durations of seconds fit exactly"
+        )]
+        let elapsed = clock::between_ms(updated_at, now) as f64;
+        self.penalty_ms * (-elapsed / HALF_LIFE_MS).exp2()
     }
 
-    /// Notes a failure.
     pub(crate) fn record_failure(&mut self, now: Instant) {
-        self.penalty_ms = (self.penalty_ms(now) * 2.0 + FAILURE_MS).min(MOST_MS);
+        self.penalty_ms = (self.penalty_ms(now) * 2.0 + FAILURE_MS).min(MAX_PENALTY_MS);
         self.updated_at = Some(now);
     }
 
-    /// Notes a success.
     pub(crate) fn record_success(&mut self, now: Instant) {
         if self.updated_at.is_none() {
             return;
         }
-        self.penalty_ms = self.penalty_ms(now) * SUCCESS_LEAVES;
+        self.penalty_ms = self.penalty_ms(now) * SUCCESS_FACTOR;
         self.updated_at = Some(now);
     }
 }
--- a/crates/gateway/src/backend/in_flight.rs
+++ b/crates/gateway/src/backend/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request at a server, counted there until it ends.
+//! A request in flight at a backend server.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,49 +11,46 @@
 use crate::conn::Conn;
 use crate::protocol::ResponseHead;
 
-/// A request at a server, counted in what the server is believed to have until
-/// it is dropped.
+/// A request in flight, counted in the estimated load of its server until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     pub(crate) backend: Arc<Backend>,
-    /// Prompt tokens that the server has to read for it.
+    /// Prompt tokens of the request that the server has not cached.
     pub(crate) prompt_tokens: u32,
-    /// Prompt tokens that the server had to read before it.
+    /// Prompt tokens queued at the server when the request was sent.
     queued_tokens: u32,
-    /// Whether the server had a free slot.
-    had_slot: bool,
-    /// When it was about to be sent.
+    /// Whether the server had a free slot when the request was sent.
+    had_free_slot: bool,
     pub(crate) sent_at: Instant,
-    /// When its answer began.
     first_token_at: Option<Instant>,
-    /// Whether it is under suspicion and runs apart from others that are.
+    /// Whether it is a suspect request that is kept apart from other suspects.
     is_isolated: bool,
 }
 
 impl InFlight {
-    /// Counts a request that is about to be sent.
+    /// Counts a request, directly before it is sent.
     pub(crate) fn start(backend: &Arc<Backend>, prompt: Option<&Prompt>) -> Self {
-        let none = Prompt::default();
+        let empty = Prompt::default();
         let now_ms = clock::now_ms();
         backend.cold.record_send(now_ms);
         backend.instance.record_send(now_ms);
         let mut engine = backend.engine.lock();
-        let ahead = engine.backlog();
-        let had_slot = engine.excess_requests() == 0;
-        let tokens = engine.record_send(prompt.unwrap_or(&none), now_ms);
+        let queued_tokens = engine.backlog();
+        let had_free_slot = engine.excess_requests() == 0;
+        let prompt_tokens = engine.record_send(prompt.unwrap_or(&empty), now_ms);
         drop(engine);
         Self {
             backend: Arc::clone(backend),
-            prompt_tokens: tokens,
-            queued_tokens: ahead,
-            had_slot,
+            prompt_tokens,
+            queued_tokens,
+            had_free_slot,
             sent_at: Instant::now(),
             first_token_at: None,
             is_isolated: false,
         }
     }
 
-    /// Counts it as one that runs apart from others under suspicion.
+    /// Marks the request as a suspect that is kept apart from other suspects.
     pub(crate) fn isolate(mut self) -> Self {
         self.backend
             .isolated_requests
@@ -62,19 +59,19 @@
         self
     }
 
-    /// Prompt tokens that the server had to read before it.
+    /// Prompt tokens queued at the server when the request was sent.
     pub(crate) const fn queued_tokens(&self) -> u32 {
         self.queued_tokens
     }
 
-    /// Notes that its answer has come whole, and keeps the connection on which it came.
-    pub(crate) fn complete(mut self, conn: Conn, reading: ResponseHead) {
+    /// Records a complete response and returns its connection to the pool.
+    pub(crate) fn complete(mut self, conn: Conn, response_head: ResponseHead) {
         self.record_first_token();
         self.backend.health.lock().record_success(Instant::now());
-        self.backend.release_conn(conn, reading);
+        self.backend.release_conn(conn, response_head);
     }
 
-    /// Notes that its answer has begun: its prompt is read.
+    /// Records the start of the response, which means that the prompt has been processed.
     pub(crate) fn record_first_token(&mut self) {
         if self.first_token_at.is_some() {
             return;
@@ -83,13 +80,15 @@
         self.first_token_at = Some(now);
         let mut engine = self.backend.engine.lock();
         engine.record_first_token(self.prompt_tokens);
-        // The time that it waited for a slot says nothing of how fast prompts are read.
-        if self.had_slot {
+        // Time spent waiting for a slot would distort the measured prefill speed.
+        if self.had_free_slot {
             let elapsed = elapsed_ms(self.sent_at, now);
             let tokens = self.queued_tokens + self.prompt_tokens;
-            let mut pace = self.backend.pool_stats.lock();
-            engine.relative_speed.record_prefill(tokens, elapsed, *pace);
-            pace.record_prefill(tokens, elapsed);
+            let mut pool_stats = self.backend.pool_stats.lock();
+            engine
+                .relative_speed
+                .record_prefill(tokens, elapsed, *pool_stats);
+            pool_stats.record_prefill(tokens, elapsed);
         }
     }
 }
@@ -102,17 +101,21 @@
                 .fetch_sub(1, Ordering::Relaxed);
         }
         let mut engine = self.backend.engine.lock();
-        let Some(begun) = self.first_token_at else {
+        let Some(first_token_at) = self.first_token_at else {
             return engine.record_abort(self.prompt_tokens);
         };
         engine.record_completion();
-        let held_ms = engine.first_token_ms(self.prompt_tokens) + elapsed_ms(begun, Instant::now());
+        let held_ms =
+            engine.first_token_ms(self.prompt_tokens) + elapsed_ms(first_token_at, Instant::now());
         drop(engine);
         self.backend.pool_stats.lock().record_hold(held_ms);
     }
 }
 
-#[expect(clippy::cast_precision_loss, reason = "some seconds in milliseconds")]
+#[expect(
+    clippy::cast_precision_loss,
+    reason = "durations of seconds fit exactly"
+)]
 fn elapsed_ms(from: Instant, to: Instant) -> f64 {
     clock::between_ms(from, to) as f64
 }
--- a/crates/gateway/src/backend/instance.rs
+++ b/crates/gateway/src/backend/instance.rs
@@ -1,4 +1,4 @@
-//! What one life of a server said of itself.
+//! State that one instance of a server reported.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -6,89 +6,90 @@
 use mulberryyoke_decide::pushback::Pushback;
 use parking_lot::Mutex;
 
-/// What one life of a server said of itself. It holds whatever the key-value service says of
-/// this life, and nothing of it holds for the next.
+/// State that one instance of a server reported in its responses, directly or through other
+/// gateways. It overrides the registration of this instance and does not apply to the next one.
 #[derive(Debug, Default)]
 pub(crate) struct Instance {
     announcement: Mutex<Announcement>,
-    /// Whether it said here that it leaves.
+    /// Whether the instance announced to this gateway that it is leaving.
     is_leaving: AtomicBool,
-    /// Until when others are better asked by what peers say, in milliseconds of the boot clock.
+    /// End of the time for which other servers are preferred because of a relayed announcement,
+    /// in milliseconds of the boot clock.
     avoided_until_ms: AtomicU64,
-    /// When it last said anything, or was last registered, likewise.
+    /// Time of the last report or registration, in milliseconds of the boot clock.
     last_seen_ms: AtomicU64,
-    /// Whether it asked for rest and has answered no request since: others are not looked at.
+    /// Whether a pushback has not ended yet. Avoids locking `pushback` for all other instances.
     has_pushback: AtomicBool,
     pushback: Mutex<Pushback>,
 }
 
 impl Instance {
-    /// Notes that it says that it leaves; `true` if it did not before.
+    /// Records an announcement to this gateway; `true` if it is the first.
     pub(crate) fn record_announcement(&self, now_ms: u64) -> bool {
         self.touch(now_ms);
         self.is_leaving.store(true, Ordering::Relaxed);
         self.announcement.lock().record_direct(now_ms)
     }
 
-    /// Whether it said here that it leaves.
+    /// Whether the instance announced to this gateway that it is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Notes that it said so to another gateway some time ago; `true` if that is new here.
+    /// Records an announcement relayed by another gateway; `true` if it is new.
     pub(crate) fn receive_announcement(&self, age_ms: u64, now_ms: u64) -> bool {
-        let mut word = self.announcement.lock();
-        let is_new = word.record_relayed(age_ms, now_ms);
-        let until_ms = word.avoid_until().unwrap_or(0);
+        let mut announcement = self.announcement.lock();
+        let is_new = announcement.record_relayed(age_ms, now_ms);
+        let until_ms = announcement.avoid_until().unwrap_or(0);
         self.avoided_until_ms.store(until_ms, Ordering::Relaxed);
-        drop(word);
+        drop(announcement);
         self.touch(now_ms.saturating_sub(age_ms));
         is_new
     }
 
-    /// Whether others are better asked by what peers say.
+    /// Whether other servers are preferred because of a relayed announcement.
     pub(crate) fn is_avoided(&self, now_ms: u64) -> bool {
         now_ms < self.avoided_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Time since it said that it leaves, to tell other gateways.
+    /// Age of the announcement, if it is to be relayed to other gateways.
     pub(crate) fn announcement_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.announcement.lock().age_ms(now_ms)
     }
 
-    /// Notes that it asks for so much rest from now on.
-    pub(crate) fn record_pushback(&self, rest_ms: u64, now_ms: u64) {
+    /// Records that the server wants no requests for the given time.
+    pub(crate) fn record_pushback(&self, delay_ms: u64, now_ms: u64) {
         self.touch(now_ms);
-        self.pushback.lock().extend(rest_ms, now_ms);
+        self.pushback.lock().extend(delay_ms, now_ms);
         self.has_pushback.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that it has answered a request; `true` if it takes them again by that.
+    /// Records a response to a request that ran; `true` if it ends the pushback.
     pub(crate) fn record_response(&self, now_ms: u64) -> bool {
         if !self.has_pushback.load(Ordering::Relaxed) {
             return false;
         }
-        let mut rest = self.pushback.lock();
-        let is_back = rest.record_response(now_ms);
-        if is_back {
+        let mut pushback = self.pushback.lock();
+        let has_ended = pushback.record_response(now_ms);
+        if has_ended {
             self.has_pushback.store(false, Ordering::Relaxed);
         }
-        is_back
+        has_ended
     }
 
-    /// Notes that a request is about to be sent.
+    /// Records a request, directly before it is sent.
     pub(crate) fn record_send(&self, now_ms: u64) {
         if self.has_pushback.load(Ordering::Relaxed) {
             self.pushback.lock().record_send(now_ms);
         }
     }
 
-    /// Whether it wants no requests now.
+    /// Whether the server currently wants no requests.
     pub(crate) fn is_pushing_back(&self, now_ms: u64) -> bool {
         self.has_pushback.load(Ordering::Relaxed) && self.pushback.lock().is_active(now_ms)
     }
 
-    /// Time until a request may be sent, in milliseconds; 0 if one may be sent now.
+    /// Time until the next request may be sent, in milliseconds.
     pub(crate) fn wait_ms(&self, now_ms: u64) -> u64 {
         if !self.has_pushback.load(Ordering::Relaxed) {
             return 0;
@@ -96,12 +97,11 @@
         self.pushback.lock().wait_ms(now_ms)
     }
 
-    /// Notes that it is there.
+    /// Records a sign of life.
     pub(crate) fn touch(&self, now_ms: u64) {
         self.last_seen_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    /// When it was last there.
     pub(crate) fn last_seen_ms(&self) -> u64 {
         self.last_seen_ms.load(Ordering::Relaxed)
     }
--- a/crates/gateway/src/cache_report.rs
+++ b/crates/gateway/src/cache_report.rs
@@ -1,7 +1,5 @@
-//! Learning what a model server keeps when this node begins to know it. Gateways that all
-//! restarted had 240,000 to 290,000 tokens of shared prompt parts read again that nine
-//! servers kept (half of a day's, by the servers' own count); with the list a whole day had
-//! 392,000 read again and not 566,000.
+//! Fetches the list of cached prompt parts from model servers. Without it, a restarted gateway
+//! would route prompts away from the servers that have them cached.
 
 mod error;
 
@@ -22,42 +20,41 @@
 use crate::core::Core;
 use crate::{clock, notice};
 
-/// Longest time that a list may take: a part that is read again meanwhile is known
-/// anyway, and parts that are not used for seconds yield.
+/// Timeout of a fetch. A later list would be out of date.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Largest list that is read, in bytes: 10,000 parts.
+/// Maximum size of a list, in bytes. Enough for 10,000 parts.
 const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// Name of a request that the list does not answer.
+/// Request ID of a fetch, which belongs to no request of a caller.
 const NO_REQUEST_ID: &str = "";
 
-/// Asks a model server what it keeps, in a task of its own. Other servers are not asked.
+/// Fetches the list of a model server in the background. Does nothing for other servers.
 pub(crate) fn spawn_fetch(core: &Arc<Core>, backend: &Arc<Backend>) {
     let config = core.view.config();
     let pool = config
         .as_ref()
         .and_then(|config| config.pool(backend.server.pool));
     let is_model = pool.is_some_and(|pool| pool.model.is_some());
-    // A cold server has just started and keeps nothing, and questions count in what it bears.
+    // A cold server has an empty cache, and a fetch would count against its request limit.
     let now_ms = clock::now_ms();
-    let is_held = backend.cold.is_cold(now_ms) || backend.instance.wait_ms(now_ms) > 0;
-    let may_ask = is_model && backend.is_open() && !is_held;
-    let Some(path) = core.protocol.cached_parts_path().filter(|_| may_ask) else {
+    let is_limited = backend.cold.is_cold(now_ms) || backend.instance.wait_ms(now_ms) > 0;
+    let can_fetch = is_model && backend.is_open() && !is_limited;
+    let Some(path) = core.protocol.cached_parts_path().filter(|_| can_fetch) else {
         return;
     };
     let (core, backend) = (Arc::clone(core), Arc::clone(backend));
     tokio::spawn(async move {
-        // By now all servers are known that were listed together.
+        // The servers of the same batch are registered by now, so that the subset is final.
         if !core.registry.is_in_subset(&backend) {
             return;
         }
-        let asked = timeout(FETCH_TIMEOUT, fetch(&core, &backend, path)).await;
-        match asked.unwrap_or(Err(Error::Timeout)) {
-            Ok(names) => {
+        let fetched = timeout(FETCH_TIMEOUT, fetch(&core, &backend, path)).await;
+        match fetched.unwrap_or(Err(Error::Timeout)) {
+            Ok(parts) => {
                 log!(core.logger, Event::Listed,
-                    "server" => &backend.server.name, "parts" => names.len());
-                backend.engine.lock().cache.set_reported(names);
+                    "server" => &backend.server.name, "parts" => parts.len());
+                backend.engine.lock().cache.set_reported(parts);
             }
             Err(error) => {
                 log!(core.logger, Event::ListFailed,
@@ -76,13 +73,13 @@
     request.headers_mut().insert(HOST, host);
     let response = conn.sender.send_request(request).await?;
     let (head, body) = response.into_parts();
-    let reading = core.protocol.parse_response(&head, NO_REQUEST_ID);
-    notice::apply(core, backend, reading, NO_REQUEST_ID);
+    let response_head = core.protocol.parse_response(&head, NO_REQUEST_ID);
+    notice::apply(core, backend, response_head, NO_REQUEST_ID);
     if head.status != StatusCode::OK {
         return Err(Error::Status(head.status));
     }
     let body = Limited::new(body, MAX_REPORT_BYTES).collect().await;
     let body = body.map_err(Error::Body)?.to_bytes();
-    backend.release_conn(conn, reading);
+    backend.release_conn(conn, response_head);
     Ok(core.protocol.parse_cached_parts(&body)?)
 }
--- a/crates/gateway/src/cache_report/error.rs
+++ b/crates/gateway/src/cache_report/error.rs
@@ -1,4 +1,4 @@
-//! Why a server's list could not be had.
+//! Error of fetching a list of cached prompt parts.
 
 use std::io;
 
@@ -7,20 +7,20 @@
 
 use crate::protocol::ParseError;
 
-/// Why a server's list could not be had.
+/// Error of fetching a list of cached prompt parts.
 #[derive(Debug, Display)]
 pub(super) enum Error {
     /// could not connect: {0}
     Connect(io::Error),
-    /// could not ask: {0}
+    /// could not send request: {0}
     Request(hyper::Error),
-    /// server answered with status {0}
+    /// server responded with status {0}
     Status(StatusCode),
-    /// could not read the list: {0}
+    /// could not read response body: {0}
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// {0}
     Parse(ParseError),
-    /// no list in time
+    /// timed out
     Timeout,
 }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration, indexed for the path of a request.
+//! Gateway configuration.
 
 mod customer;
 mod limits;
@@ -16,7 +16,7 @@
 pub use self::route::{Route, Target};
 use mulberryyoke_model::PoolId;
 
-/// One version of the configuration. It never changes; a newer one takes its place.
+/// An immutable version of the configuration, indexed for lookups by requests.
 #[derive(Debug)]
 pub struct Config {
     version: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Config {
-    /// Indexes a configuration. Without customers, requests need no key.
+    /// Creates a configuration. If `customers` is `None`, requests need no key.
     #[must_use]
     pub fn new(
         version: u64,
@@ -39,8 +39,8 @@
     ) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
-            let of_host = by_host.entry(route.host.to_ascii_lowercase()).or_default();
-            of_host.push(Arc::new(route));
+            let host_routes = by_host.entry(route.host.to_ascii_lowercase()).or_default();
+            host_routes.push(Arc::new(route));
         }
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
@@ -64,25 +64,25 @@
         }
     }
 
-    /// Its version; versions only rise.
+    /// Version number, which only increases.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// What callers may send.
+    /// Limits of requests and connections.
     #[must_use]
     pub const fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Whether requests need a key, on routes that are not public.
+    /// Whether requests on routes that are not public need a key.
     #[must_use]
     pub const fn has_customers(&self) -> bool {
         self.has_customers
     }
 
-    /// The route of a host and path: that with the longest prefix.
+    /// Finds the route of a host with the longest prefix of the path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
@@ -91,13 +91,13 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The customer that a bearer key names.
+    /// Finds the customer of a bearer key.
     #[must_use]
     pub fn customer(&self, key: &str) -> Option<&Arc<Customer>> {
         self.by_key.get(key)
     }
 
-    /// A pool of servers.
+    /// Finds a pool by ID.
     #[must_use]
     pub fn pool(&self, id: PoolId) -> Option<&Pool> {
         self.pools.get(&id)
--- a/crates/gateway/src/config/customer.rs
+++ b/crates/gateway/src/config/customer.rs
@@ -1,16 +1,16 @@
-//! Customers.
+//! Configured customers.
 
 use mulberryyoke_model::CustomerId;
 
-/// A customer as configured.
+/// A configured customer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
-    /// Its identity, a hash of the name.
+    /// Hash of the name.
     pub id: CustomerId,
-    /// Its name.
+    /// Configured name.
     pub name: String,
-    /// Bearer keys that name it.
+    /// Bearer keys.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's; 0 is the most urgent.
+    /// Priority that overrides that of the route; 0 is the highest.
     pub priority: Option<u8>,
 }
--- a/crates/gateway/src/config/limits.rs
+++ b/crates/gateway/src/config/limits.rs
@@ -1,17 +1,17 @@
-//! Bounds on what callers may send.
+//! Limits of requests and connections.
 
-/// Bounds on what callers may send and on what all may use.
+/// Limits of requests, connections and total usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time that a head may take, in milliseconds.
+    /// Timeout for reading a request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest time that a connection may be idle, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// What the servers give together, in tokens a second, if it is shared out:
-    /// each token read counts once, each generated twice.
+    /// Capacity to divide among customers, in weighted tokens per second: a prompt token counts
+    /// once, a generated token twice.
     pub tokens_per_s: Option<u32>,
 }
--- a/crates/gateway/src/config/pool.rs
+++ b/crates/gateway/src/config/pool.rs
@@ -1,38 +1,38 @@
-//! Pools of servers.
+//! Server pools.
 
 use mulberryyoke_model::PoolId;
 
-/// Servers that answer the same requests.
+/// A set of interchangeable servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its identity, a hash of the name.
+    /// Hash of the name.
     pub id: PoolId,
-    /// Its name.
+    /// Configured name.
     pub name: String,
-    /// Path under which a server tells its health.
+    /// Path of the health check.
     pub health_path: String,
-    /// Most connections that one server takes, from all routers together.
+    /// Maximum connections per server, over all routers.
     pub max_connections: u32,
-    /// What its model servers are like; `None` for a plain service.
+    /// Capacity of each model server; `None` for a plain service.
     pub model: Option<Model>,
-    /// What its servers bear while they are cold; `None` where none ever is.
+    /// Limit of servers that have just started; `None` if they need no warm-up.
     pub cold: Option<ColdStart>,
 }
 
-/// What the servers of a pool bear while they are cold.
+/// Request limit of a server that has just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// How long a server is cold after its start, in milliseconds.
+    /// Duration of the cold period after the start, in milliseconds.
     pub duration_ms: u64,
-    /// Requests a second that it is made for meanwhile, from all gateways together.
+    /// Requests per second during the cold period, over all gateways.
     pub requests_per_s: f64,
 }
 
-/// What the model servers of a pool are like.
+/// Capacity of a model server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Model {
-    /// Requests that run at once.
+    /// Maximum concurrent requests.
     pub slots: u32,
-    /// Tokens that fit into a server's memory.
+    /// Size of the KV cache, in tokens.
     pub memory_tokens: u32,
 }
--- a/crates/gateway/src/config/request_kind.rs
+++ b/crates/gateway/src/config/request_kind.rs
@@ -1,32 +1,32 @@
-//! What may be repeated.
+//! Retry semantics of requests.
 
-/// What may be done with a request of a route more than once.
+/// Retry semantics and response type of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// May run more than once.
     Idempotent,
-    /// It may run at most once.
+    /// May run at most once.
     Once,
-    /// It is answered by events and may run at most once.
+    /// Event stream of a request that may run at most once.
     Stream,
-    /// It is answered by events and may be resumed after any of them on another server.
+    /// Event stream that another server can resume after any event.
     Resumable,
 }
 
 impl RequestKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request that may have run can be retried.
     #[must_use]
     pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the response is an event stream.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/gateway/src/config/route.rs
+++ b/crates/gateway/src/config/route.rs
@@ -1,47 +1,48 @@
-//! Routes.
+//! Configured routes.
 
 use mulberryyoke_model::PoolId;
 
 use super::RequestKind;
 
-/// Where requests of a host and path go, and within what bounds.
+/// Maps a host and path prefix to pools, with limits and objectives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Configured name.
     pub name: String,
-    /// Host that callers name.
+    /// Host name that requests must have.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Path prefix, with a leading and a trailing slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Retry semantics and response type.
     pub kind: RequestKind,
-    /// Whether it takes requests without a key.
+    /// Whether requests need no key.
     pub is_public: bool,
-    /// Longest time that a caller is kept waiting, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer, or a stream's first event, is on time, in milliseconds.
+    /// Latency objective of a response, or of the first event of a stream, in milliseconds.
     pub objective_ms: u64,
-    /// Longest pause between events of an answer that is on time, in milliseconds.
+    /// Latency objective between two events of a stream, in milliseconds.
     pub max_gap_ms: Option<u64>,
-    /// Most servers that may run one request.
+    /// Maximum number of servers that may run one request.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Pools, with their portions of the requests.
+    /// Weighted pools.
     pub targets: Vec<Target>,
 }
 
-/// A pool and its portion of a route's requests.
+/// A pool and its share of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The pool.
+    /// ID of the pool.
     pub pool: PoolId,
-    /// Its portion, relative to those of the route's other targets.
+    /// Weight relative to the other targets of the route.
     pub weight: u32,
 }
 
 impl Route {
-    /// The pool of a request, for a uniformly random number. `None` without targets.
+    /// Selects a pool by weight with a uniformly distributed random number. `None` if there are no
+    /// targets.
     #[must_use]
     pub fn select_pool(&self, random: u32) -> Option<PoolId> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves with their answers.
+//! Handling of the status that servers report with responses.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 use crate::core::Core;
 use crate::protocol::{ResponseHead, Verification};
 
-/// Takes in what a server says of itself with the answer to a request.
-pub(crate) fn apply(core: &Core, backend: &Backend, reading: ResponseHead, request: &str) {
-    let notice = reading.verified_notice();
+/// Applies the status that a server reported with a response.
+pub(crate) fn apply(core: &Core, backend: &Backend, response_head: ResponseHead, request: &str) {
+    let notice = response_head.verified_notice();
     if notice.is_leaving {
         apply_leaving(core, backend, request);
     }
-    if let Some(rest_ms) = notice.pushback_ms {
-        apply_pushback(core, backend, rest_ms, request);
-    } else if reading.verification == Verification::Sealed
+    if let Some(pushback_ms) = notice.pushback_ms {
+        apply_pushback(core, backend, pushback_ms, request);
+    } else if response_head.verification == Verification::Sealed
         && backend.instance.record_response(clock::now_ms())
     {
         log!(core.logger, Event::ServerRested,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Closes a server that says it leaves.
+/// Closes a server that announced that it is leaving.
 fn apply_leaving(core: &Core, backend: &Backend, request: &str) {
     if !backend.instance.record_announcement(clock::now_ms()) {
         return;
@@ -40,28 +40,28 @@
         "request" => request, "server" => &backend.server.name, "source" => "answer");
 }
 
-/// Takes in which servers told other gateways that they leave.
+/// Applies announcements of leaving servers relayed by another gateway.
 pub(crate) fn receive(core: &Core, leaving: &[Leaving]) {
-    for told in leaving {
-        let backend = core.registry.get_by_id(told.server);
-        let life = backend
+    for announcement in leaving {
+        let backend = core.registry.get_by_id(announcement.server);
+        let instance = backend
             .as_ref()
             .map(|backend| Arc::clone(&backend.instance));
-        if !core.registry.instances.receive(*told, life) {
+        if !core.registry.instances.receive(*announcement, instance) {
             continue;
         }
         metrics::counter!("servers_leaving_total", "source" => "peer").increment(1);
         log!(core.logger, Event::ServerLeaves,
             "server" => backend.map(|backend| backend.server.name.clone()),
             "source" => "peer",
-            "age_ms" => told.age_ms);
+            "age_ms" => announcement.age_ms);
     }
 }
 
-/// Sends a server nothing for as long as it asks.
-fn apply_pushback(core: &Core, backend: &Backend, rest_ms: u64, request: &str) {
+/// Stops requests to a server for the time that it requested.
+fn apply_pushback(core: &Core, backend: &Backend, pushback_ms: u64, request: &str) {
     let now_ms = clock::now_ms();
-    backend.instance.record_pushback(rest_ms, now_ms);
+    backend.instance.record_pushback(pushback_ms, now_ms);
     core.registry
         .instances
         .insert(backend.server.id, &backend.instance);
@@ -69,6 +69,6 @@
     log!(core.logger, Event::ServerRests,
         "request" => request,
         "server" => &backend.server.name,
-        "rest_ms" => rest_ms,
+        "rest_ms" => pushback_ms,
         "wait_ms" => backend.instance.wait_ms(now_ms));
 }
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers say, read by an adapter at the process's edge.
+//! Interface to the adapter that parses the headers and stored values of a platform.
 
 mod forwarding;
 mod notice;
@@ -18,53 +18,53 @@
 use crate::config::Config;
 use crate::server::Server;
 
-/// Translates between the headers and values of a platform and the router's types.
+/// Converts between the headers and stored values of a platform and the types of the gateway.
 pub trait Protocol: Send + Sync {
-    /// Reads what a caller's head says beside method, path and host.
+    /// Parses the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// [`ParseError`] when a header has not the form it must have.
+    /// [`ParseError`] if a header is missing or malformed.
     fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, ParseError>;
 
-    /// Turns a caller's end-to-end headers into those for a server: names that are
-    /// the router's alone are removed, then what the order says is set.
+    /// Turns the end-to-end headers of a caller into those for a server: removes the headers that
+    /// are reserved for the gateway and sets those of `forwarding`.
     fn rewrite_headers(&self, headers: &mut HeaderMap, forwarding: &Forwarding<'_>);
 
-    /// Reads what the head of a server's answer proves.
+    /// Parses and verifies the head of a server's response to the request with this ID.
     fn parse_response(&self, head: &response::Parts, id: &str) -> ResponseHead;
 
-    /// Key under which the configuration lies.
+    /// Key of the configuration.
     fn config_key(&self) -> &'static str;
 
-    /// Prefix of the keys under which servers register.
+    /// Prefix of the keys of server registrations.
     fn servers_prefix(&self) -> &'static str;
 
-    /// Prefix of the keys that name availability zones to whose servers nothing is to be sent.
+    /// Prefix of the keys that name availability zones to evacuate.
     fn evacuations_prefix(&self) -> &'static str;
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
     ///
-    /// [`ParseError`] when the value is no configuration.
+    /// [`ParseError`] if the value is not a valid configuration.
     fn parse_config(&self, value: &[u8]) -> Result<Config, ParseError>;
 
-    /// Path at which a model server lists the prompt parts that it keeps; `None` where
-    /// servers list none.
+    /// Path at which a model server lists its cached prompt parts; `None` if the platform has no
+    /// such list.
     fn cached_parts_path(&self) -> Option<&'static str>;
 
-    /// Reads such a list.
+    /// Parses a list of cached prompt parts.
     ///
     /// # Errors
     ///
-    /// [`ParseError`] when the value is no list.
+    /// [`ParseError`] if the value is not a valid list.
     fn parse_cached_parts(&self, value: &[u8]) -> Result<Vec<PartId>, ParseError>;
 
-    /// Reads a server's registration.
+    /// Parses the registration of a server.
     ///
     /// # Errors
     ///
-    /// [`ParseError`] when the value is no registration.
+    /// [`ParseError`] if the value is not a valid registration.
     fn parse_server(&self, name: &str, value: &[u8]) -> Result<Server, ParseError>;
 }
--- a/crates/gateway/src/protocol/forwarding.rs
+++ b/crates/gateway/src/protocol/forwarding.rs
@@ -1,14 +1,14 @@
-//! What a router tells a server with a request.
+//! Values of the headers that a gateway sets on a forwarded request.
 
-/// What a router tells a server with a request.
+/// Values of the headers that a gateway sets on a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Forwarding<'a> {
-    /// Time that is left for the answer, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// The server that is meant; another one at its address has to turn the request away.
+    /// Name of the intended server; any other server at the address must reject the request.
     pub server: &'a str,
-    /// The customer, if the request has one.
+    /// Name of the customer, if the request has one.
     pub customer: Option<&'a str>,
-    /// The event after which the stream has to go on; as the caller said when `None`.
+    /// ID of the event after which to resume the stream; `None` leaves the header of the caller.
     pub resume_after: Option<u64>,
 }
--- a/crates/gateway/src/protocol/notice.rs
+++ b/crates/gateway/src/protocol/notice.rs
@@ -1,10 +1,10 @@
-//! What a server says of itself beside an answer.
+//! Status that a server reports with a response.
 
-/// What a server says of itself beside an answer.
+/// Status that a server reports with a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// It leaves and wants nothing new.
+    /// Whether the server is leaving and wants no new requests.
     pub is_leaving: bool,
-    /// How long it wants nothing from this router, in milliseconds, if it tells.
+    /// Time for which the server wants no requests from this router, in milliseconds.
     pub pushback_ms: Option<u64>,
 }
--- a/crates/gateway/src/protocol/parse_error.rs
+++ b/crates/gateway/src/protocol/parse_error.rs
@@ -1,13 +1,13 @@
-//! Why something could not be read.
+//! Error of parsing a header or stored value.
 
 use displaydoc::Display;
 
 /// could not read {subject}: {reason}
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub struct ParseError {
-    /// The header, key or field.
+    /// Name of the header, key or field.
     pub subject: String,
-    /// What is wrong with it.
+    /// Cause of the error.
     pub reason: String,
 }
 
--- a/crates/gateway/src/protocol/request_head.rs
+++ b/crates/gateway/src/protocol/request_head.rs
@@ -1,18 +1,18 @@
-//! What a caller's head says.
+//! Parsed headers of a caller's request.
 
 use mulberryyoke_decide::engine::Prompt;
 
-/// What a caller's head says beside method, path and host.
+/// Parsed headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The caller's name for this attempt.
+    /// Request ID, which the caller chooses for each attempt.
     pub id: String,
-    /// How long the caller waits from now, in milliseconds.
+    /// Time that the caller waits for the response, in milliseconds.
     pub timeout_ms: Option<u64>,
-    /// The bearer key.
+    /// Bearer key.
     pub key: Option<String>,
-    /// The prompt, if it is for a model.
+    /// Prompt, for requests to a model.
     pub prompt: Option<Prompt>,
-    /// The event after which the caller wants the stream to go on.
+    /// ID of the last event received, if the caller resumes a stream.
     pub resume_after: Option<u64>,
 }
--- a/crates/gateway/src/protocol/response_head.rs
+++ b/crates/gateway/src/protocol/response_head.rs
@@ -1,24 +1,25 @@
-//! What the head of a server's answer proves.
+//! Parsed head of a server's response.
 
 use super::Notice;
 
-/// What the head of a server's answer proves.
+/// Parsed head of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// What became of the request.
+    /// Origin of the response and whether the request ran.
     pub verification: Verification,
-    /// The server will take no more requests on this connection.
+    /// Whether the server closes the connection after this response.
     pub closes_connection: bool,
-    /// How long the connection may be idle, in milliseconds.
+    /// Idle timeout of the connection, in milliseconds.
     pub keep_alive_ms: Option<u64>,
-    /// How much longer the server is cold, in milliseconds, if it tells.
+    /// Remaining cold period of the server, in milliseconds.
     pub cold_left_ms: Option<u64>,
-    /// What the server says of itself, whoever it is.
+    /// Reported status, which may come from another server. See [`Self::verified_notice`].
     pub notice: Notice,
 }
 
 impl ResponseHead {
-    /// What the server that was meant says of itself: nothing, if the answer may be another's.
+    /// The reported status if the response is known to come from the intended server; empty
+    /// otherwise.
     #[must_use]
     pub fn verified_notice(&self) -> Notice {
         match self.verification {
@@ -30,17 +31,17 @@
     }
 }
 
-/// What became of a request.
+/// Origin of a response and whether the request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verification {
-    /// The answer is the server's own, as its seal shows.
+    /// The seal shows that the response is from the intended server.
     Sealed,
-    /// The server says that it has not run the request and never will.
+    /// The server rejected the request without running it.
     NotExecuted,
-    /// Another server has the address, and has not run the request.
+    /// Another server uses the address and rejected the request without running it.
     WrongServer,
-    /// The answer names another request, so it belongs to that one.
+    /// The response has the ID of another request.
     Mismatched,
-    /// None of these: whose answer it is cannot be told.
+    /// The origin of the response is unknown.
     Unverified,
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,5 +1,4 @@
-//! Requests that end the servers which run them: what this gateway knows of them, and whether
-//! a request may be sent.
+//! Quarantine of requests that crash the servers on which they run.
 
 mod admit;
 mod conviction;
@@ -21,21 +20,21 @@
 use crate::clock;
 use crate::core::Core;
 
-/// Longest time to connect to another gateway, in milliseconds.
-const CONNECT_MS: u64 = 100;
+/// Timeout for connecting to another gateway, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 100;
 
-/// Time between two looks for what is too old to matter, in milliseconds.
-const EXPIRE_MS: u64 = 1_000;
+/// Interval between expiry runs, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 1_000;
 
-/// What this gateway knows of requests that ended servers.
+/// Records of requests that may have crashed servers.
 #[derive(Debug)]
 pub(crate) struct Quarantine {
     records: Mutex<Records>,
-    /// Requests of which anything is known: while there are none, requests pay nothing.
+    /// Number of records. While it is zero, the hot path takes no lock and computes no digest.
     record_count: AtomicUsize,
     last_expiry_ms: AtomicU64,
     http: Http,
-    /// Convictions that are on their way to the key-value service.
+    /// Convictions being written to the key-value service.
     pending_writes: AtomicUsize,
 }
 
@@ -45,33 +44,32 @@
             records: Mutex::default(),
             record_count: AtomicUsize::new(0),
             last_expiry_ms: AtomicU64::new(0),
-            http: Http::open(CONNECT_MS),
+            http: Http::open(CONNECT_TIMEOUT_MS),
             pending_writes: AtomicUsize::new(0),
         }
     }
 
-    /// Whether nothing is known of any request.
     fn is_empty(&self) -> bool {
         self.record_count.load(Ordering::Relaxed) == 0
     }
 
     fn update<T>(&self, change: impl FnOnce(&mut Records) -> T) -> T {
         let mut records = self.records.lock();
-        let changed = change(&mut records);
+        let result = change(&mut records);
         self.record_count.store(records.len(), Ordering::Relaxed);
-        changed
+        result
     }
 
     fn verdict(&self, digest: Digest) -> Verdict {
         self.records.lock().verdict(digest, clock::now_ms())
     }
 
-    /// What is known of a request, for another gateway.
+    /// Record of a request, to send to another gateway.
     fn snapshot(&self, digest: Digest) -> Suspect {
         self.records.lock().snapshot(digest, clock::now_ms())
     }
 
-    /// What other gateways are to be told.
+    /// Records to send to other gateways.
     pub(crate) fn updates(&self) -> Vec<Suspect> {
         if self.is_empty() {
             return Vec::new();
@@ -79,22 +77,22 @@
         self.records.lock().updates(clock::now_ms())
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired records.
     pub(crate) fn expire(&self) {
         let now = clock::now_ms();
-        let expired_ms = self.last_expiry_ms.load(Ordering::Relaxed);
-        if now.saturating_sub(expired_ms) < EXPIRE_MS {
+        let last_expiry_ms = self.last_expiry_ms.load(Ordering::Relaxed);
+        if now.saturating_sub(last_expiry_ms) < EXPIRY_INTERVAL_MS {
             return;
         }
         self.last_expiry_ms.store(now, Ordering::Relaxed);
         self.update(|records| records.expire(now));
-        #[expect(clippy::cast_precision_loss, reason = "a gauge is a floating number")]
+        #[expect(clippy::cast_precision_loss, reason = "gauges are floating-point")]
         metrics::gauge!("quarantine_requests")
             .set(self.record_count.load(Ordering::Relaxed) as f64);
     }
 }
 
-/// Takes in what another gateway knows.
+/// Merges records of another gateway.
 pub(crate) fn receive(core: &Core, suspects: &[Suspect]) {
     for suspect in suspects {
         for crash in &suspect.crashes {
@@ -110,23 +108,23 @@
     }
 }
 
-/// Notes that another gateway saw a life end: what breaks off there later met another life, and
-/// meanwhile others are chosen.
+/// Records that another gateway detected a crash: later failures there belong to another
+/// instance, and until then other servers are preferred.
 fn receive_crash(core: &Core, server: ServerId) {
     let Some(backend) = core.registry.get_by_id(server) else {
         return;
     };
-    // While somebody looks at its life there is nothing to be learnt.
+    // A probe in progress holds the lock and will detect the crash itself.
     let is_new = backend
         .liveness
         .try_lock()
-        .is_ok_and(|mut seen| seen.receive_crash(Instant::now()));
+        .is_ok_and(|mut liveness| liveness.receive_crash(Instant::now()));
     if is_new {
         backend.health.lock().record_failure(Instant::now());
     }
 }
 
-/// Notes that a life of a server has ended, and what that says of requests that broke off there.
+/// Records a crash, which makes suspects of the requests that failed there.
 fn record_crash(core: &Arc<Core>, server: ServerId, name: &str) {
     let now = clock::now_ms();
     let suspects = core
@@ -144,46 +142,46 @@
     }
 }
 
-/// Notes that a run of a request ended well.
+/// Records that a request ran without a crash.
 pub(crate) fn record_success(core: &Arc<Core>, digest: impl FnOnce() -> Digest) {
     if core.quarantine.is_empty() {
         return;
     }
     let digest = digest();
     let now = clock::now_ms();
-    let held_for = core
+    let crashes_before = core
         .quarantine
         .update(|records| records.record_success(digest, now));
-    if held_for == 0 {
+    if crashes_before == 0 {
         return;
     }
-    log_cleared(core, digest, held_for, "ended well");
-    if held_for >= mulberryyoke_decide::quarantine::CONVICTION_THRESHOLD {
+    log_cleared(core, digest, crashes_before, "ended well");
+    if crashes_before >= mulberryyoke_decide::quarantine::CONVICTION_THRESHOLD {
         conviction::write(core, digest);
     }
 }
 
-/// Clears a request, as an operator says.
+/// Clears a request on behalf of an operator.
 pub(crate) fn release(core: &Core, digest: Digest) {
     let now = clock::now_ms();
-    let held_for = core
+    let crashes_before = core
         .quarantine
         .update(|records| records.record_success(digest, now));
-    if held_for > 0 {
-        log_cleared(core, digest, held_for, "released");
+    if crashes_before > 0 {
+        log_cleared(core, digest, crashes_before, "released");
     }
 }
 
-/// Logs that a request is cleared of which it was logged that it is under suspicion.
-fn log_cleared(core: &Core, digest: Digest, held_for: u32, why: &str) {
-    if held_for < 2 {
+/// Logs that a request is no longer a suspect, if it was logged as one.
+fn log_cleared(core: &Core, digest: Digest, crashes_before: u32, reason: &str) {
+    if crashes_before < 2 {
         return;
     }
     log!(core.logger, Event::Cleared,
-        "digest" => digest.to_string(), "ended" => held_for, "why" => why);
+        "digest" => digest.to_string(), "ended" => crashes_before, "why" => reason);
 }
 
-/// Logs a conviction that is new here.
+/// Logs a conviction that is new to this gateway.
 fn log_conviction(core: &Core, digest: Digest, before: Verdict, after: Verdict) {
     let Verdict::Convicted { crashes, until } = after else {
         return;
--- a/crates/gateway/src/quarantine/admit.rs
+++ b/crates/gateway/src/quarantine/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent to a server.
+//! Admission of suspect requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,41 +19,41 @@
 use crate::core::Core;
 use crate::refusal::Refusal;
 
-/// Path at which one gateway asks another whether a copy of a request may run.
+/// Path of the endpoint that decides for other gateways whether a copy of a request may run.
 pub(crate) const PATH: &str = "/quarantine/admit";
 
-/// Longest time of such a call.
+/// Timeout of a call to that endpoint.
 const CALL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Largest message, in bytes: a suspect with its ends has a few hundred.
+/// Maximum size of a message, in bytes. A suspect takes a few hundred.
 const MAX_MESSAGE_BYTES: usize = 4 << 10;
 
-/// Ends with which a request may run though the gateway that decides cannot be asked: any
-/// request may have stood beside one that ends servers.
+/// Maximum crashes with which a request may run if the arbiter does not answer. A single crash may
+/// have been caused by another request on the same server.
 const MAX_UNARBITRATED_CRASHES: u32 = 1;
 
-/// Whether a request may be sent to a server, and what is held against it. Of one under
-/// suspicion one copy at a time may run in the whole fleet: one gateway decides, which all that
-/// know of each other agree on. One that `is_admitted` was told so and has not run since.
+/// Decides whether a request may be sent to a server, and returns the verdict on it. At most one
+/// copy of a suspect runs in the fleet at a time, which one gateway, the arbiter, enforces. If
+/// `is_admitted`, the request was admitted before and has not run since.
 pub(crate) async fn admit(core: &Core, call: &Call, is_admitted: bool) -> Result<Verdict, Refusal> {
     if core.quarantine.is_empty() {
         return Ok(Verdict::Clear);
     }
     let digest = call.digest();
     let verdict = core.quarantine.verdict(digest);
-    let may = match verdict {
+    let is_allowed = match verdict {
         Verdict::Clear => true,
         Verdict::Convicted { .. } => false,
         Verdict::Suspect { .. } if is_admitted => true,
         Verdict::Suspect { crashes } => match core.exchange.arbiter(digest) {
             None => admit_locally(core, digest),
             Some(arbiter) => {
-                let asked = request_admission(core, arbiter, digest).await;
-                asked.unwrap_or(crashes <= MAX_UNARBITRATED_CRASHES)
+                let decision = request_admission(core, arbiter, digest).await;
+                decision.unwrap_or(crashes <= MAX_UNARBITRATED_CRASHES)
             }
         },
     };
-    if may {
+    if is_allowed {
         return Ok(verdict);
     }
     log!(core.logger, Event::Withheld,
@@ -70,19 +70,19 @@
         .update(|records| records.admit(digest, clock::now_ms()))
 }
 
-/// Asks the gateway that decides. `None` if it does not answer.
+/// Asks the arbiter for admission. `None` if it gives no decision.
 async fn request_admission(core: &Core, arbiter: SocketAddr, digest: Digest) -> Option<bool> {
     let suspect = core.quarantine.snapshot(digest);
     let body = Bytes::from(postcard::to_stdvec(&suspect).unwrap_or_default());
     let request = http::request(Method::POST, arbiter, PATH, body);
     let deadline = Instant::now() + CALL_TIMEOUT;
-    let asked = async {
-        let answer = core.quarantine.http.send(request, deadline).await?;
-        let status = answer.status();
-        let body = http::read(answer, MAX_MESSAGE_BYTES, deadline).await?;
+    let call = async {
+        let response = core.quarantine.http.send(request, deadline).await?;
+        let status = response.status();
+        let body = http::read(response, MAX_MESSAGE_BYTES, deadline).await?;
         Ok::<_, http::Failure>((status, body))
     };
-    match asked.await {
+    match call.await {
         Ok((status, body)) => {
             if let Ok(known) = postcard::from_bytes::<Suspect>(&body) {
                 receive(core, &[known]);
@@ -90,7 +90,7 @@
             match status {
                 StatusCode::OK => Some(true),
                 StatusCode::CONFLICT => Some(false),
-                // A gateway of an earlier release does not decide.
+                // Gateways of earlier releases do not implement the endpoint.
                 _ => None,
             }
         }
@@ -102,8 +102,8 @@
     }
 }
 
-/// Answers another gateway that asks: 200 if its copy may run, 409 if not, each with what is
-/// known of the request.
+/// Handles a call by another gateway: responds with 200 if its copy may run and with 409 if not,
+/// and in either case with the record of the request.
 pub(crate) async fn handle_admit(
     core: &Arc<Core>,
     request: Request<Incoming>,
@@ -121,7 +121,7 @@
     let digest = suspect.digest;
     let before = core.quarantine.verdict(digest);
     receive(core, &[suspect]);
-    let may = admit_locally(core, digest);
+    let is_allowed = admit_locally(core, digest);
     let after = core.quarantine.verdict(digest);
     let is_new = matches!(after, Verdict::Convicted { .. }) && before.crashes() < after.crashes();
     if is_new {
@@ -130,7 +130,7 @@
     let known = core.quarantine.snapshot(digest);
     let known = postcard::to_stdvec(&known).unwrap_or_default();
     let mut response = Response::new(Full::new(Bytes::from(known)));
-    if !may {
+    if !is_allowed {
         *response.status_mut() = StatusCode::CONFLICT;
     }
     response
--- a/crates/gateway/src/quarantine/conviction.rs
+++ b/crates/gateway/src/quarantine/conviction.rs
@@ -1,5 +1,5 @@
-//! Convictions in the key-value service, so that gateways that start later know them, and so
-//! that an operator can lift them. One write each; a lease takes them away.
+//! Convictions in the key-value service, where restarted gateways find them and operators can
+//! lift them. Each is written once, with a lease.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,36 +14,40 @@
 
 use crate::core::Core;
 
-/// Prefix of the keys; a request's digest in hexadecimal digits follows.
+/// Prefix of the keys, followed by the digest of the request in hexadecimal.
 const KEY_PREFIX: &str = "mulberryyoke/quarantine/";
 
-/// Time for which a conviction is kept there, in milliseconds: as long as its evidence counts.
+/// Lease of a conviction, in milliseconds. Equal to the lifetime of its evidence.
 const LEASE_MS: u64 = 600_000;
 
-/// Pause after a failed write.
+/// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time over which what a copy lacks is written again, in milliseconds.
+/// Maximum random delay before rewriting a conviction that a restored backup lacks, in
+/// milliseconds.
 const REWRITE_JITTER_MS: u64 = 1_500;
 
-/// Times that a write is tried, so that an outage of a minute is waited for.
+/// Maximum attempts of a write, which span an outage of a minute.
 const MAX_ATTEMPTS: u32 = 60;
 
-/// Writes that wait at once; a flood of bad requests is known by messages alone beyond it.
+/// Maximum concurrent writes. Convictions beyond it spread only by messages between gateways.
 const MAX_PENDING_WRITES: usize = 16;
 
-/// The request that a key names; `None` for other keys.
+/// Digest of the request in a key; `None` for other keys.
 pub(crate) fn digest_of(key: &str) -> Option<Digest> {
     Digest::parse(key.strip_prefix(KEY_PREFIX)?)
 }
 
-/// Reads what is known of a request: the lives that ended under it; none if it was cleared.
+/// Parses a conviction: the instances that crashed while running the request, or none if it was
+/// cleared.
 pub(crate) fn parse(digest: Digest, value: &[u8]) -> Option<Suspect> {
     let text = std::str::from_utf8(value).ok()?;
-    let lives = text.split_whitespace().map(|life| life.parse().ok());
-    let crashes = lives.map(|life| {
+    let instances = text
+        .split_whitespace()
+        .map(|instance| instance.parse().ok());
+    let crashes = instances.map(|instance| {
         Some(Crash {
-            server: ServerId(life?),
+            server: ServerId(instance?),
             age_ms: 0,
         })
     });
@@ -54,7 +58,7 @@
     })
 }
 
-/// Writes what is known of a request there, in a task of its own.
+/// Writes the record of a request to the key-value service in the background.
 pub(super) fn write(core: &Arc<Core>, digest: Digest) {
     let writes = &core.quarantine.pending_writes;
     if writes.fetch_add(1, Ordering::Relaxed) >= MAX_PENDING_WRITES {
@@ -76,18 +80,18 @@
     });
 }
 
-/// Writes what is known of a request there once more, as a copy lacks it from which the service
-/// came back: gateways that start later would let it end as many servers again. The gateway
-/// that decides about it does.
+/// Rewrites a conviction that was lost when the key-value service was restored from a backup.
+/// Without it, restarted gateways would let the request crash more servers. Done by the arbiter of
+/// the request only.
 pub(crate) fn rewrite(core: &Arc<Core>, digest: Digest) {
     if core.exchange.arbiter(digest).is_some() {
         return;
     }
     let core = Arc::clone(core);
     tokio::spawn(async move {
-        // All gateways register again at that time.
-        let pause_ms = rand::rng().random_range(0..REWRITE_JITTER_MS);
-        sleep(Duration::from_millis(pause_ms)).await;
+        // Spreads the load, as all gateways register again at the same time.
+        let delay_ms = rand::rng().random_range(0..REWRITE_JITTER_MS);
+        sleep(Duration::from_millis(delay_ms)).await;
         write(&core, digest);
     });
 }
@@ -113,7 +117,7 @@
         .await
 }
 
-/// The lives that ended under a request since a run of it last ended well; empty once it is
+/// Instances that crashed while running the request since its last successful run; empty if it was
 /// cleared.
 fn encode(core: &Core, digest: Digest) -> String {
     if core.quarantine.verdict(digest) == Verdict::Clear {
@@ -125,6 +129,6 @@
         .crashes
         .iter()
         .filter(|crash| crash.age_ms < success_age_ms);
-    let lives: Vec<String> = crashes.map(|crash| crash.server.0.to_string()).collect();
-    lives.join(" ")
+    let instances: Vec<String> = crashes.map(|crash| crash.server.0.to_string()).collect();
+    instances.join(" ")
 }
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -1,4 +1,4 @@
-//! Learning whether a server has ended where a request broke off.
+//! Detection of crashed servers after failed requests.
 
 use std::io;
 use std::sync::Arc;
@@ -13,50 +13,48 @@
 use crate::clock;
 use crate::core::Core;
 
-/// Longest time that a broken request waits to know what became of its server: servers are
-/// milliseconds away, and one that is gone refuses at once. A machine that does not answer says
-/// nothing yet; that its registration lapses will.
+/// Timeout of a probe. A crashed server refuses connections within milliseconds. If the machine
+/// does not respond, its registration lapses later.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a server that took a connection counts as alive for others that broke off
-/// there, in milliseconds.
+/// Time for which a successful probe is reused for other failed requests, in milliseconds.
 const ALIVE_TTL_MS: u64 = 100;
 
-/// Notes that a request broke off at a server, and learns whether the server has ended: a new
-/// connection is refused then. A server that leaves as planned ends with what it runs, which is
-/// no evidence.
+/// Records that a request failed at a server, and probes whether the server crashed. Failures at a
+/// server that is leaving are ignored, as it may exit with requests in flight.
 pub(crate) async fn record_failure(core: &Arc<Core>, call: &Call, running: &InFlight) {
     let backend = &running.backend;
     if backend.is_closed() {
         return;
     }
     let digest = call.digest();
-    let mut seen = backend.liveness.lock().await;
-    let has_ended =
-        seen.has_crashed_since(running.sent_at) || probe(core, backend, &mut seen).await;
-    let life = seen.instance_id(backend.server.id, !has_ended);
-    drop(seen);
+    let mut liveness = backend.liveness.lock().await;
+    let has_crashed =
+        liveness.has_crashed_since(running.sent_at) || probe(core, backend, &mut liveness).await;
+    let instance = liveness.instance_id(backend.server.id, !has_crashed);
+    drop(liveness);
     core.quarantine
-        .update(|records| records.record_failure(life, digest, clock::now_ms()));
-    if has_ended {
-        record_crash(core, life, &backend.server.name);
+        .update(|records| records.record_failure(instance, digest, clock::now_ms()));
+    if has_crashed {
+        record_crash(core, instance, &backend.server.name);
     }
 }
 
-/// Notes that a server's registration has ended, or that another life has taken its place.
+/// Records that the registration of a server lapsed or was replaced by that of another instance.
 pub(crate) async fn record_lapse(core: Arc<Core>, backend: Arc<Backend>) {
-    let life = backend
+    let instance = backend
         .liveness
         .lock()
         .await
         .instance_id(backend.server.id, true);
-    record_crash(&core, life, &backend.server.name);
+    record_crash(&core, instance, &backend.server.name);
 }
 
-/// Whether a server's life has ended. It is asked once for all that broke off there at a time.
-async fn probe(core: &Core, backend: &Backend, seen: &mut Liveness) -> bool {
+/// Whether the server refuses connections, and thus has crashed. Concurrent failures share one
+/// probe.
+async fn probe(core: &Core, backend: &Backend, liveness: &mut Liveness) -> bool {
     let now = Instant::now();
-    let is_alive = seen
+    let is_alive = liveness
         .last_alive
         .is_some_and(|at| clock::between_ms(at, now) < ALIVE_TTL_MS);
     if is_alive {
@@ -64,16 +62,16 @@
     }
     match timeout(PROBE_TIMEOUT, backend.conns.open()).await {
         Ok(Ok(conn)) => {
-            seen.last_alive = Some(Instant::now());
+            liveness.last_alive = Some(Instant::now());
             backend.conns.give(conn, None);
             false
         }
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-            seen.record_crash(Instant::now());
+            liveness.record_crash(Instant::now());
             log!(core.logger, Event::ServerEnded, "server" => &backend.server.name);
             true
         }
-        // It says nothing of the server's life.
+        // Other errors do not show whether the server crashed.
         Ok(Err(_)) | Err(_) => false,
     }
 }
