--- a/crates/gateway/src/backend/instance.rs
+++ b/crates/gateway/src/backend/instance.rs
@@ -52,7 +52,7 @@
         now_ms < self.avoided_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Age of the announcement, if it is to be relayed to other gateways.
+    /// Age of the announcement for relaying it, or `None` once it is too old.
     pub(crate) fn announcement_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.announcement.lock().age_ms(now_ms)
     }
--- a/crates/gateway/tests/gateway/backend.rs
+++ b/crates/gateway/tests/gateway/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers that answer as a test says.
+//! Backend servers with scripted behavior.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,77 +10,77 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// What a server does with a request.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Behavior {
-    /// Answers with a seal and the body `done`.
+    /// Responds with a seal and the body `done`.
     Answer,
-    /// Answers with status 500 and a seal.
+    /// Responds with status 500 and a seal.
     Fail,
-    /// Says that it has not run it.
+    /// Responds that the request did not run.
     Reject,
-    /// Says that another server was meant.
+    /// Responds that the request is for another server.
     WrongServer,
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Answers in the name of another request.
+    /// Responds with the ID of another request.
     WrongRequestId,
-    /// Answers without a seal.
+    /// Responds without a seal.
     Unsealed,
-    /// Answers with less than the length that it tells.
+    /// Closes the connection before the declared length of the body.
     Truncate,
-    /// Answers with a coding of the body.
+    /// Responds with a content encoding.
     Encode,
-    /// Says nothing.
+    /// Sends no response.
     Hang,
-    /// Answers events 1 to 4 with a pause between, and the end.
+    /// Streams events 1 to 4 with pauses, and ends the stream.
     Stream,
     /// As `Stream`, with [`LONG_STREAM_EVENTS`] events.
-    #[allow(dead_code, reason = "only the example of the cost asks for it")]
+    #[allow(dead_code, reason = "only used by the cost example")]
     LongStream,
-    /// Answers events 1 and 2, half of 3, and closes the connection.
+    /// Streams events 1, 2 and half of 3, and closes the connection.
     CutStream,
-    /// Answers events 1 and 2 and breaks off, all in one packet.
+    /// As `CutStream`, all in one packet.
     CutAtOnce,
-    /// Answers events 1 and 2, and then says nothing.
+    /// Streams events 1 and 2, and then hangs.
     HangStream,
     /// As `Stream`, with a long pause after event 2.
     SlowStream,
-    /// Answers with a seal and [`LARGE_BODY_BYTES`] bytes.
+    /// Responds with a seal and [`LARGE_BODY_BYTES`] bytes.
     Large,
 }
 
-/// Events of a long stream.
+/// Number of events of a long stream.
 pub(crate) const LONG_STREAM_EVENTS: u64 = 40;
 
-/// Length of a large answer, in bytes.
+/// Length of a large response, in bytes.
 pub(crate) const LARGE_BODY_BYTES: usize = 1_000_000;
 
-/// A running server.
+/// A running server that applies a [`Behavior`] to each request.
 #[derive(Debug)]
 pub(crate) struct Backend {
     pub(crate) address: SocketAddr,
     pub(crate) state: Arc<State>,
 }
 
-/// What a server has seen.
+/// Behavior of a server, and the requests that it received.
 #[derive(Debug)]
 pub(crate) struct State {
     behavior: Mutex<Behavior>,
-    /// What it answers when asked for the prompt parts that it keeps.
+    /// Body of the list of cached prompt parts.
     cached_parts: Mutex<String>,
-    /// Further header lines of each answer.
+    /// Additional header lines of each response.
     fields: Mutex<String>,
     heads: Mutex<Vec<String>>,
     disconnects: AtomicU32,
-    /// Times that it was asked for the prompt parts that it keeps.
+    /// Number of requests for the list of cached prompt parts.
     cached_parts_requests: AtomicU32,
 }
 
 impl State {
-    pub(crate) fn new(way: Behavior) -> Self {
+    pub(crate) fn new(behavior: Behavior) -> Self {
         Self {
-            behavior: Mutex::new(way),
+            behavior: Mutex::new(behavior),
             cached_parts: Mutex::default(),
             fields: Mutex::default(),
             heads: Mutex::default(),
@@ -89,41 +89,40 @@
         }
     }
 
-    /// Heads of the requests that came.
+    /// Heads of the requests received.
     pub(crate) fn heads(&self) -> Vec<String> {
         self.heads.lock().clone()
     }
 
-    /// Sets what it does with requests, and further header lines of its answers, each with its
-    /// end.
-    #[allow(dead_code, reason = "not every test asks")]
-    pub(crate) fn set_behavior(&self, way: Behavior, fields: &str) {
-        *self.behavior.lock() = way;
+    /// Sets the behavior and additional header lines, each terminated by CRLF.
+    #[allow(dead_code, reason = "not used by every test binary")]
+    pub(crate) fn set_behavior(&self, behavior: Behavior, fields: &str) {
+        *self.behavior.lock() = behavior;
         fields.clone_into(&mut self.fields.lock());
     }
 
-    /// Sets what it answers when asked for the prompt parts that it keeps.
+    /// Sets the body of the list of cached prompt parts.
     pub(crate) fn set_cached_parts(&self, list: &str) {
         list.clone_into(&mut self.cached_parts.lock());
     }
 
-    /// Times that it was asked for the prompt parts that it keeps.
-    #[allow(dead_code, reason = "not every test asks")]
+    /// Number of requests for the list of cached prompt parts.
+    #[allow(dead_code, reason = "not used by every test binary")]
     pub(crate) fn cached_parts_requests(&self) -> u32 {
         self.cached_parts_requests.load(Ordering::Relaxed)
     }
 
-    /// Requests whose connection was closed before the answer's end.
+    /// Number of requests whose connection was closed before the end of the response.
     pub(crate) fn disconnects(&self) -> u32 {
         self.disconnects.load(Ordering::Relaxed)
     }
 }
 
 impl Backend {
-    pub(crate) async fn spawn(way: Behavior) -> Self {
+    pub(crate) async fn spawn(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let state = Arc::new(State::new(way));
+        let state = Arc::new(State::new(behavior));
         let shared = Arc::clone(&state);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -142,7 +141,7 @@
     }
 }
 
-/// Reads a request's head and body; the tests' bodies come with a length.
+/// Reads the head and body of a request with a content length.
 pub(crate) async fn read_request(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let mut text = Vec::new();
     let mut byte = [0];
@@ -159,7 +158,7 @@
     Some((head, body))
 }
 
-/// The value of a header of a head in lower case.
+/// Value of a header in a lowercase head.
 pub(crate) fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|line| line.split_once(": "));
     lines
@@ -167,28 +166,30 @@
         .map(|(_, value)| value)
 }
 
-/// Answers; `false` when the connection is to be closed.
+/// Responds to a request; `false` if the connection is to be closed.
 pub(crate) async fn respond(stream: &mut TcpStream, state: &State, head: &str) -> bool {
     if head.starts_with("get /kept ") {
         state.cached_parts_requests.fetch_add(1, Ordering::Relaxed);
-        let kept = state.cached_parts.lock().clone();
-        let text = whole(200, "x-any: 1", kept.len()).replace("done", &kept);
+        let list = state.cached_parts.lock().clone();
+        let text = full_response(200, "x-any: 1", list.len()).replace("done", &list);
         return stream.write_all(text.as_bytes()).await.is_ok();
     }
     state.heads.lock().push(head.to_owned());
-    let way = *state.behavior.lock();
+    let behavior = *state.behavior.lock();
     let id = field(head, "x-id").unwrap_or("");
-    let more = state.fields.lock().clone();
-    let sealed = format!("{more}x-id: {id}\r\nx-seal: s");
-    let text = match way {
-        Behavior::Answer => whole(200, &sealed, 4),
-        Behavior::Fail => whole(500, &sealed, 4),
-        Behavior::Reject => whole(503, &format!("{more}x-not-run: 1"), 4),
-        Behavior::WrongServer => whole(421, &format!("{more}x-any: 1"), 4),
-        Behavior::WrongRequestId => whole(200, &format!("{more}x-id: another\r\nx-seal: s"), 4),
-        Behavior::Unsealed => whole(200, &format!("{more}x-id: {id}"), 4),
-        Behavior::Encode => whole(200, &format!("{sealed}\r\ncontent-encoding: gzip"), 4),
-        Behavior::Truncate => whole(200, &sealed, 40),
+    let extra_fields = state.fields.lock().clone();
+    let sealed = format!("{extra_fields}x-id: {id}\r\nx-seal: s");
+    let text = match behavior {
+        Behavior::Answer => full_response(200, &sealed, 4),
+        Behavior::Fail => full_response(500, &sealed, 4),
+        Behavior::Reject => full_response(503, &format!("{extra_fields}x-not-run: 1"), 4),
+        Behavior::WrongServer => full_response(421, &format!("{extra_fields}x-any: 1"), 4),
+        Behavior::WrongRequestId => {
+            full_response(200, &format!("{extra_fields}x-id: another\r\nx-seal: s"), 4)
+        }
+        Behavior::Unsealed => full_response(200, &format!("{extra_fields}x-id: {id}"), 4),
+        Behavior::Encode => full_response(200, &format!("{sealed}\r\ncontent-encoding: gzip"), 4),
+        Behavior::Truncate => full_response(200, &sealed, 40),
         Behavior::Close => return false,
         Behavior::Hang => {
             hang(stream, state).await;
@@ -209,9 +210,8 @@
             let _ = stream.write_all(text.as_bytes()).await;
             return false;
         }
-        Behavior::Large => {
-            whole(200, &sealed, LARGE_BODY_BYTES).replace("done", &"x".repeat(LARGE_BODY_BYTES))
-        }
+        Behavior::Large => full_response(200, &sealed, LARGE_BODY_BYTES)
+            .replace("done", &"x".repeat(LARGE_BODY_BYTES)),
         Behavior::SlowStream => {
             events(stream, &sealed, head, 2).await;
             sleep(Duration::from_millis(600)).await;
@@ -225,21 +225,22 @@
         }
     };
     let is_sent = stream.write_all(text.as_bytes()).await.is_ok();
-    is_sent && way != Behavior::Truncate
+    is_sent && behavior != Behavior::Truncate
 }
 
-fn whole(status: u16, fields: &str, length: usize) -> String {
+fn full_response(status: u16, fields: &str, length: usize) -> String {
     format!("HTTP/1.1 {status} Any\r\n{fields}\r\ncontent-length: {length}\r\n\r\ndone")
 }
 
 async fn hang(stream: &mut TcpStream, state: &State) {
     let mut byte = [0];
-    // What the router sends meanwhile is of no concern, only that it leaves.
+    // Waits for the router to close the connection, whatever it sends before.
     while matches!(stream.read(&mut byte).await, Ok(read) if read > 0) {}
     state.disconnects.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Sends the events up to `last`; the end only after the fourth, or the last of a long stream.
+/// Sends the events up to `last`. The stream ends only after the fourth event, or the last of a
+/// long stream.
 async fn events(stream: &mut TcpStream, sealed: &str, head: &str, last: u64) -> bool {
     let after = field(head, "x-after").and_then(|event| event.parse().ok());
     let begin = format!(
--- a/crates/gateway/tests/gateway/convictions.rs
+++ b/crates/gateway/tests/gateway/convictions.rs
@@ -1,4 +1,4 @@
-//! What is known of requests that end servers outlives gateways, outages and restores.
+//! Convictions survive restarts of gateways, and outages and restores of the key-value service.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::crashing_server::{CRASH_BODY, RestartName, crash_count};
 use crate::fleet::Node;
 
-/// Prefix of the keys under which convictions lie.
+/// Prefix of the keys of convictions.
 const CONVICTIONS: &str = "mulberryyoke/quarantine/";
 
 #[gtest]
 #[tokio::test]
-async fn gateways_that_all_start_anew_know_it_and_an_operator_may_lift_it() {
+async fn convictions_survive_a_restart_of_all_gateways_and_can_be_lifted() {
     let mut fleet = Fleet::spawn(RestartName::New, 2, Behavior::Stream).await;
     for round in 0..3 {
         fleet.ask(round, "/resumable/", CRASH_BODY).await;
@@ -42,7 +42,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn without_the_key_value_service_gateways_tell_each_other() {
+async fn convictions_spread_without_the_key_value_service() {
     let fleet = Fleet::spawn(RestartName::New, 3, Behavior::Stream).await;
     for node in &fleet.nodes {
         node.kv.set_failing(true);
@@ -54,13 +54,13 @@
     expect_that!(crash_count(&fleet.servers), le(MAX_CRASHES));
 }
 
-/// Time within which what a copy lacks is written again: a call that waits learns of the copy
-/// within 0.9 s, and writes are spread over 1.5 s.
-const WRITTEN: Duration = Duration::from_millis(3_500);
+/// Time for lost convictions to be rewritten: gateways notice the restore within 0.9 s and delay
+/// the writes by up to 1.5 s.
+const REWRITE_TIME: Duration = Duration::from_millis(3_500);
 
 #[gtest]
 #[tokio::test]
-async fn a_conviction_that_a_copy_lacks_is_written_again() {
+async fn a_conviction_missing_after_a_restore_is_rewritten() {
     let mut fleet = Fleet::spawn(RestartName::Same, 3, Behavior::Stream).await;
     fleet.service.back_up();
     for round in 0..3 {
@@ -70,14 +70,14 @@
     let before = fleet.service.keys(CONVICTIONS);
     expect_that!(before, len(eq(1)));
     fleet.service.restore();
-    sleep(WRITTEN).await;
+    sleep(REWRITE_TIME).await;
     expect_that!(fleet.service.keys(CONVICTIONS), eq(&before));
-    let ended_before = crash_count(&fleet.servers);
+    let crashes_before = crash_count(&fleet.servers);
     fleet.nodes.clear();
     fleet.nodes.push(Node::spawn(&fleet.service, "g7").await);
     fleet.nodes[0].wait_ready().await;
     sleep(RETRY_PAUSE).await;
     let refused = fleet.ask(0, "/resumable/", CRASH_BODY).await;
     expect_that!(refused.body, contains_substring("quarantined"));
-    expect_that!(crash_count(&fleet.servers), eq(ended_before));
+    expect_that!(crash_count(&fleet.servers), eq(crashes_before));
 }
--- a/crates/gateway/tests/gateway/crash_fleet.rs
+++ b/crates/gateway/tests/gateway/crash_fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways before servers that a bad request ends.
+//! A fleet of gateways and crashing servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::feed::Service;
 use crate::fleet::Node;
 
-/// Servers of a fleet: more than one request may end.
+/// Number of servers, more than a request may crash.
 const SERVERS: usize = 8;
 
-/// Pause between two repeats of a caller; what one gateway saw is known to all by then.
+/// Delay between retries of a caller, in which the gateways exchange their records.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Most servers that a request may end which comes one at a time.
+/// Maximum crashes by a request that is retried sequentially.
 pub(crate) const MAX_CRASHES: u32 = 3;
 
 pub(crate) const PROMPT: &str = "x-tokens: 100\r\n";
 
-/// Gateways before servers that a bad request ends.
+/// A fleet of gateways and crashing servers.
 pub(crate) struct Fleet {
     pub(crate) service: Arc<Service>,
     pub(crate) servers: Vec<CrashingServer>,
@@ -31,13 +31,13 @@
 }
 
 impl Fleet {
-    pub(crate) async fn spawn(name: RestartName, nodes: usize, way: Behavior) -> Self {
+    pub(crate) async fn spawn(name: RestartName, nodes: usize, behavior: Behavior) -> Self {
         let service = Service::new();
         service.set("config", Some("5 secret"));
-        let luck = CrashCounts::default();
+        let crash_counts = CrashCounts::default();
         let servers = (0..SERVERS).map(|index| {
-            let (service, luck) = (&service, &luck);
-            CrashingServer::spawn(service, index, name, way, luck)
+            let (service, crash_counts) = (&service, &crash_counts);
+            CrashingServer::spawn(service, index, name, behavior, crash_counts)
         });
         let servers = join_all(servers).await;
         let nodes = (0..nodes).map(async |index| {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends a request to a gateway.
+    /// Sends a request to the gateway with this index, modulo the number of gateways.
     pub(crate) async fn ask(&self, node: usize, path: &str, body: &str) -> Reply {
         let request = caller::with_body(path, PROMPT, body);
         caller::send(self.nodes[node % self.nodes.len()].callers, &request).await
--- a/crates/gateway/tests/gateway/crashes.rs
+++ b/crates/gateway/tests/gateway/crashes.rs
@@ -1,17 +1,7 @@
-//! Requests that end the servers which run them.
+//! Requests that crash the servers on which they run.
 //!
-//! One customer's request ended each model server that began to run it, within a tenth of a
-//! second, and its caller sent it again and again. Each call tried it on a second server as
-//! soon as the first broke off, and forgot with its end what had happened, so that the next
-//! call, at the same gateway or another, tried it on two more: 21 servers of a pool of twelve
-//! ended under one request, again and again with the streams of everybody else there. What
-//! settled it were two lines of one request and the refusals after them, on all gateways:
-//!
-//! ```text
-//! "event":2007,"what":"stream broke off","error":"resuming","server":"i-3fdeca0c65"   95 ms after 1001, attempt 0
-//! "event":2007,"what":"stream broke off","error":"","server":"i-0665151f79"          125 ms after 1001, attempt 1
-//! "event":2007,"what":"could not connect","error":"Connection refused","server":"i-3fdeca0c65"
-//! ```
+//! Retries by the caller and the gateways must not crash one server after another, and requests
+//! that ran beside such a request must not be blamed for it.
 
 use std::time::Duration;
 
@@ -27,13 +17,14 @@
 };
 use crate::protocol::PANIC_HEADER;
 
-/// Time after its start in which a gateway knows too little of the fleet for cold servers.
-const KNOWN: Duration = Duration::from_millis(3_200);
+/// Time after its start for a gateway to learn the fleet membership, without which it sends
+/// nothing to cold servers.
+const MEMBERSHIP_DELAY: Duration = Duration::from_millis(3_200);
 
-/// Most where copies of it arrive at several gateways at once.
+/// Maximum crashes if copies arrive at several gateways at once.
 const MAX_RACING_CRASHES: u32 = 4;
 
-/// The path of a kind of request, and how its servers answer others.
+/// Path of each kind of request, and the behavior of the servers for other requests.
 const KINDS: [(&str, Behavior); 3] = [
     ("/resumable/", Behavior::Stream),
     ("/idempotent/", Behavior::Answer),
@@ -42,7 +33,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_comes_again_ends_three_servers_at_most() {
+async fn a_retried_request_crashes_at_most_three_servers() {
     let kinds = KINDS
         .map(|(path, way)| [RestartName::New, RestartName::Same].map(|name| (path, way, name)));
     let cases = kinds.as_flattened().iter().map(async |&(path, way, name)| {
@@ -66,7 +57,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn copies_that_race_at_several_gateways_end_four_servers_at_most() {
+async fn concurrent_copies_at_several_gateways_crash_at_most_four_servers() {
     let cases = [2, 3].map(async |nodes| {
         let fleet = Fleet::spawn(RestartName::New, nodes, Behavior::Stream).await;
         for _ in 0..4 {
@@ -84,7 +75,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn one_copy_runs_under_suspicion_and_all_again_once_it_has_ended_well() {
+async fn one_copy_of_a_suspect_runs_at_a_time_until_one_succeeds() {
     let fleet = Fleet::spawn(RestartName::New, 3, Behavior::SlowStream).await;
     let body = crash_times_body(1, "a");
     let first = fleet.ask(0, "/resumable/", &body);
@@ -111,34 +102,34 @@
 
 #[gtest]
 #[tokio::test]
-async fn requests_that_two_servers_ended_under_run_at_servers_of_their_own() {
+async fn suspects_after_two_crashes_run_on_separate_servers() {
     let fleet = Fleet::spawn(RestartName::New, 1, Behavior::SlowStream).await;
     let bodies = ["a", "b"].map(|name| crash_times_body(2, name));
     for body in &bodies {
         fleet.ask(0, "/resumable/", body).await;
     }
     sleep(3 * RETRY_PAUSE).await;
-    // What they share is kept by one server, which either would be sent to.
+    // Without isolation, both would be sent to the server that has cached their shared part.
     let fields = format!("{PROMPT}x-shared: 7\r\n");
-    let asked = bodies.each_ref().map(async |body| {
+    let calls = bodies.each_ref().map(async |body| {
         let request = caller::with_body("/resumable/", &fields, body);
         caller::send(fleet.nodes[0].callers, &request).await
     });
-    for reply in join_all(asked).await {
+    for reply in join_all(calls).await {
         expect_that!(reply.is_whole, eq(true));
     }
-    let shares = |head: &String| head.contains("x-shared");
+    let has_shared_part = |head: &String| head.contains("x-shared");
     let servers = fleet.servers.iter();
-    let ran = servers.filter(|server| server.state.heads().iter().any(shares));
+    let ran = servers.filter(|server| server.state.heads().iter().any(has_shared_part));
     expect_that!(ran.count(), eq(2));
 }
 
 #[gtest]
 #[tokio::test]
-async fn streams_beside_it_go_on_and_are_not_held_to_have_done_it() {
+async fn concurrent_streams_continue_and_are_not_convicted() {
     let fleet = Fleet::spawn(RestartName::New, 2, Behavior::SlowStream).await;
     for round in 0..4 {
-        let beside = (0..24).map(async |index| {
+        let others = (0..24).map(async |index| {
             let body = format!("{round}-{index}");
             (body.clone(), fleet.ask(index, "/resumable/", &body).await)
         });
@@ -146,9 +137,9 @@
             sleep(Duration::from_millis(200)).await;
             fleet.ask(round, "/resumable/", CRASH_BODY).await
         };
-        let (beside, _) = tokio::join!(join_all(beside), bad);
+        let (others, _) = tokio::join!(join_all(others), bad);
         sleep(RETRY_PAUSE).await;
-        for (body, first) in beside.into_iter().filter(|(_, first)| !first.is_whole) {
+        for (body, first) in others.into_iter().filter(|(_, first)| !first.is_whole) {
             let again = fleet.ask(round + 1, "/resumable/", &body).await;
             expect_that!(again.status, eq(200), "{body} after {}", first.status);
         }
@@ -158,7 +149,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_kill_of_many_servers_at_once_convicts_nobody() {
+async fn killing_many_servers_at_once_convicts_no_request() {
     let fleet = Fleet::spawn(RestartName::Same, 2, Behavior::SlowStream).await;
     for _ in 0..3 {
         let running = (0..24).map(async |index: usize| {
@@ -180,7 +171,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_lives_on_is_no_evidence() {
+async fn failures_without_a_crash_are_no_evidence() {
     let fleet = Fleet::spawn(RestartName::New, 2, Behavior::Close).await;
     for round in 0..12 {
         fleet.ask(round, "/once/", "good").await;
@@ -194,11 +185,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_ends_in_an_evacuated_zone_is_evidence_as_well() {
+async fn a_crash_in_an_evacuated_zone_is_evidence_as_well() {
     let fleet = Fleet::spawn(RestartName::New, 1, Behavior::Hang).await;
     let request = caller::with_body("/once/", PROMPT, "any");
-    // Servers of a zone that was evacuated are cold, and it has to know the fleet for those.
-    sleep(KNOWN).await;
+    // Servers are cold after an evacuation of their zone.
+    sleep(MEMBERSHIP_DELAY).await;
     for _ in 0..MAX_CRASHES {
         let before: Vec<usize> = fleet
             .servers
@@ -222,7 +213,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_request_at_which_the_gateway_itself_fails_ends_its_own_connection_alone() {
+async fn a_panic_in_the_gateway_closes_only_the_connection_of_the_request() {
     let fleet = Fleet::spawn(RestartName::New, 1, Behavior::SlowStream).await;
     let running = fleet.ask(0, "/resumable/", "good");
     let failing = async {
@@ -233,7 +224,7 @@
     let (running, failing) = tokio::join!(running, failing);
     expect_that!(failing.status, eq(0));
     expect_that!(running.is_whole, eq(true));
-    // Writing a panic down can take so long that callers are kept away for seconds.
+    // Reporting the panic can delay the gateway for seconds.
     fleet.nodes[0].wait_ready().await;
     expect_that!(fleet.ask(0, "/resumable/", "good").await.status, eq(200));
 }
--- a/crates/gateway/tests/gateway/crashing_server.rs
+++ b/crates/gateway/tests/gateway/crashing_server.rs
@@ -1,4 +1,4 @@
-//! Servers that end when they run a marked request, and come back in a new life.
+//! Servers that crash when they run a marked request, and restart as a new instance.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,118 +15,118 @@
 use crate::backend::{Behavior, State, read_request, respond};
 use crate::feed::Service;
 
-/// Body of a request that ends each server which begins to run it.
+/// Body of a request that crashes every server on which it runs.
 pub(crate) const CRASH_BODY: &str = "bad";
 
-/// Body of a request of some name that ends as many servers as `times` says, the first that
-/// begin to run it, and no others.
+/// Body of a request that crashes the first `times` servers on which it runs. `name` makes it
+/// unique.
 pub(crate) fn crash_times_body(times: u32, name: &str) -> String {
-    format!("{UNLUCKY}{times} {name}")
+    format!("{CRASH_TIMES_PREFIX}{times} {name}")
 }
 
-const UNLUCKY: &str = "unlucky ";
+const CRASH_TIMES_PREFIX: &str = "unlucky ";
 
-/// Time from a server's end until its registration lapses.
-const LAPSE: Duration = Duration::from_millis(700);
+/// Time from a crash until the registration lapses.
+const LAPSE_DELAY: Duration = Duration::from_millis(700);
 
-/// Time from then until it is back.
-const BACK: Duration = Duration::from_millis(300);
+/// Time from then until the restart.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Time for which a marked request runs before its server ends.
-const RUNS: Duration = Duration::from_millis(40);
+/// Time for which a marked request runs before the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 
-/// Under which name a server comes back.
+/// Whether a server restarts under a new name or the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RestartName {
     New,
     Same,
 }
 
-/// A server that lives, ends and comes back.
+/// A server that crashes and restarts.
 #[derive(Debug)]
 pub(crate) struct CrashingServer {
     pub(crate) state: Arc<State>,
-    ended: Arc<AtomicU32>,
-    killed: Arc<std::sync::Mutex<CancellationToken>>,
+    crashes: Arc<AtomicU32>,
+    crash_token: Arc<std::sync::Mutex<CancellationToken>>,
 }
 
-/// Servers of a fleet that unlucky requests have ended, by their bodies.
+/// Number of runs of requests that crash a limited number of servers, by request body.
 pub(crate) type CrashCounts = Arc<std::sync::Mutex<HashMap<Vec<u8>, u32>>>;
 
-/// Whether a request ends the server that runs it.
-fn ends_server(body: &[u8], luck: &CrashCounts) -> bool {
+/// Counts a run of a request, and decides whether it crashes the server.
+fn crashes_server(body: &[u8], crash_counts: &CrashCounts) -> bool {
     let text = std::str::from_utf8(body).unwrap_or("");
     let Some((times, _)) = text
-        .strip_prefix(UNLUCKY)
+        .strip_prefix(CRASH_TIMES_PREFIX)
         .and_then(|rest| rest.split_once(' '))
     else {
         return text == CRASH_BODY;
     };
-    let mut luck = luck.lock().expect("no panic");
-    let ended = luck.entry(body.to_vec()).or_default();
-    *ended += 1;
-    times.parse().is_ok_and(|times| *ended <= times)
+    let mut crash_counts = crash_counts.lock().expect("no panic");
+    let runs = crash_counts.entry(body.to_vec()).or_default();
+    *runs += 1;
+    times.parse().is_ok_and(|times| *runs <= times)
 }
 
 impl CrashingServer {
-    /// Starts the server of an index, registered in both pools, of a fleet with this luck.
+    /// Starts a server and registers it in both pools. `crash_counts` is shared by the fleet.
     pub(crate) async fn spawn(
         service: &Arc<Service>,
         index: usize,
         name: RestartName,
         way: Behavior,
-        luck: &CrashCounts,
+        crash_counts: &CrashCounts,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = Self {
             state: Arc::new(State::new(way)),
-            ended: Arc::default(),
-            killed: Arc::default(),
+            crashes: Arc::default(),
+            crash_token: Arc::default(),
         };
-        let life = Instance {
+        let instance = Instance {
             service: Arc::clone(service),
             address: listener.local_addr().expect("an address"),
             index,
             name,
             number: 1,
-            luck: Arc::clone(luck),
+            crash_counts: Arc::clone(crash_counts),
         };
-        life.register();
-        let (state, ended) = (Arc::clone(&server.state), Arc::clone(&server.ended));
+        instance.register();
+        let (state, crashes) = (Arc::clone(&server.state), Arc::clone(&server.crashes));
         tokio::spawn(run(
-            life,
+            instance,
             listener,
             state,
-            ended,
-            Arc::clone(&server.killed),
+            crashes,
+            Arc::clone(&server.crash_token),
         ));
         server
     }
 
-    /// Lives of it that have ended.
+    /// Number of crashes.
     pub(crate) fn crash_count(&self) -> u32 {
-        self.ended.load(Ordering::Relaxed)
+        self.crashes.load(Ordering::Relaxed)
     }
 
-    /// Ends it, whatever it runs.
+    /// Crashes the server.
     pub(crate) fn kill(&self) {
-        self.killed.lock().expect("no panic").cancel();
+        self.crash_token.lock().expect("no panic").cancel();
     }
 }
 
-/// Lives of all these servers that have ended.
+/// Number of crashes of all servers.
 pub(crate) fn crash_count(servers: &[CrashingServer]) -> u32 {
     servers.iter().map(CrashingServer::crash_count).sum()
 }
 
-/// One life of a server.
+/// One instance of a server.
 struct Instance {
     service: Arc<Service>,
     address: SocketAddr,
     index: usize,
     name: RestartName,
     number: u32,
-    luck: CrashCounts,
+    crash_counts: CrashCounts,
 }
 
 impl Instance {
@@ -142,11 +142,11 @@
 
     fn register(&self) {
         for (pool, key) in self.keys() {
-            let born = match self.name {
+            let started = match self.name {
                 RestartName::New => String::new(),
                 RestartName::Same => self.number.to_string(),
             };
-            let value = format!("{pool} {} ready {born}", self.address);
+            let value = format!("{pool} {} ready {started}", self.address);
             self.service.set(&key, Some(&value));
         }
     }
@@ -159,61 +159,66 @@
 }
 
 async fn run(
-    mut life: Instance,
+    mut instance: Instance,
     mut listener: TcpListener,
     state: Arc<State>,
-    ended: Arc<AtomicU32>,
-    killed: Arc<std::sync::Mutex<CancellationToken>>,
+    crashes: Arc<AtomicU32>,
+    crash_token: Arc<std::sync::Mutex<CancellationToken>>,
 ) {
     loop {
-        let end = CancellationToken::new();
-        *killed.lock().expect("no panic") = end.clone();
-        serve(listener, &state, &life.luck, &end).await;
-        ended.fetch_add(1, Ordering::Relaxed);
-        sleep(LAPSE).await;
-        life.lapse();
-        sleep(BACK).await;
-        life.number += 1;
-        listener = TcpListener::bind(life.address).await.expect("its port");
-        life.register();
+        let crash = CancellationToken::new();
+        *crash_token.lock().expect("no panic") = crash.clone();
+        serve(listener, &state, &instance.crash_counts, &crash).await;
+        crashes.fetch_add(1, Ordering::Relaxed);
+        sleep(LAPSE_DELAY).await;
+        instance.lapse();
+        sleep(RESTART_DELAY).await;
+        instance.number += 1;
+        listener = TcpListener::bind(instance.address).await.expect("its port");
+        instance.register();
     }
 }
 
-/// Serves until the life's end, at which all connections are closed and none is taken.
+/// Serves until the crash, which closes all connections and the listener.
 async fn serve(
     listener: TcpListener,
     state: &Arc<State>,
-    luck: &CrashCounts,
-    end: &CancellationToken,
+    crash_counts: &CrashCounts,
+    crash: &CancellationToken,
 ) {
     let mut conns = JoinSet::new();
     loop {
         tokio::select! {
-            () = end.cancelled() => return,
+            () = crash.cancelled() => return,
             Ok((stream, _)) = listener.accept() => {
-                conns.spawn(answer(stream, Arc::clone(state), Arc::clone(luck), end.clone()));
+                conns.spawn(handle(
+                    stream,
+                    Arc::clone(state),
+                    Arc::clone(crash_counts),
+                    crash.clone(),
+                ));
             }
         }
     }
 }
 
-async fn answer(
+async fn handle(
     mut stream: TcpStream,
     state: Arc<State>,
-    luck: CrashCounts,
-    end: CancellationToken,
+    crash_counts: CrashCounts,
+    crash: CancellationToken,
 ) {
     while let Some((head, body)) = read_request(&mut stream).await {
-        if ends_server(&body, &luck) {
+        if crashes_server(&body, &crash_counts) {
             let is_stream =
                 head.starts_with("post /stream/") || head.starts_with("post /resumable/");
             if is_stream {
                 let begin = "HTTP/1.1 200 OK\r\nx-id: q1\r\nx-seal: s\r\ntransfer-encoding: chunked\r\n\r\n";
-                // The router may have left.
+                // The router may have closed the connection.
                 let _ = stream.write_all(begin.as_bytes()).await;
             }
-            sleep(RUNS).await;
-            end.cancel();
+            sleep(CRASH_DELAY).await;
+            crash.cancel();
             return;
         }
         if !respond(&mut stream, &state, &head).await {
--- a/crates/gateway/tests/gateway/leaving.rs
+++ b/crates/gateway/tests/gateway/leaving.rs
@@ -1,4 +1,4 @@
-//! What one gateway learnt of a server that leaves spares the others asking it.
+//! Gateways relay the announcements of leaving servers to each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 
 const LEAVING: &str = "x-leaving: 1\r\n";
 
-/// Time within which all gateways of a zone know what one of them was told.
-const KNOWN: Duration = Duration::from_millis(500);
+/// Time for an announcement to reach all gateways of a zone.
+const RELAY_TIME: Duration = Duration::from_millis(500);
 
-/// Two gateways before servers of both pools.
-async fn two(servers: &[&Backend]) -> (Arc<Service>, [Node; 2]) {
+/// Starts two gateways with servers in both pools.
+async fn start_two_gateways(servers: &[&Backend]) -> (Arc<Service>, [Node; 2]) {
     let service = Service::new();
     service.set("config", Some("5 secret"));
     for (index, server) in servers.iter().enumerate() {
@@ -29,79 +29,83 @@
     for node in &nodes {
         node.wait_ready().await;
     }
-    sleep(KNOWN).await;
+    sleep(RELAY_TIME).await;
     (service, nodes)
 }
 
-fn came(server: &Backend) -> usize {
+fn request_count(server: &Backend) -> usize {
     server.state.heads().len()
 }
 
-/// Has a server tell a node that it leaves.
-async fn tell(server: &Backend, node: &Node) {
+/// Makes a server announce to a gateway that it is leaving.
+async fn announce_leaving(server: &Backend, node: &Node) {
     server.state.set_behavior(Behavior::Answer, LEAVING);
-    let before = came(server);
-    let until = Instant::now() + KNOWN;
-    while came(server) == before {
-        assert!(Instant::now() < until, "the server is used");
+    let before = request_count(server);
+    let deadline = Instant::now() + RELAY_TIME;
+    while request_count(server) == before {
+        assert!(Instant::now() < deadline, "the server gets a request");
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
 }
 
-/// Whether a node sends a server requests; each is answered by one or another.
-async fn uses(node: &Node, server: &Backend) -> bool {
-    let before = came(server);
+/// Whether a gateway sends requests to a server. All requests must succeed.
+async fn sends_to(node: &Node, server: &Backend) -> bool {
+    let before = request_count(server);
     for _ in 0..6 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
-    came(server) > before
+    request_count(server) > before
 }
 
 #[gtest]
 #[tokio::test]
-async fn peers_spare_a_server_that_told_one_of_them_that_it_leaves_in_an_outage_as_well() {
+async fn a_server_leaving_during_an_outage_gets_no_requests_from_peers() {
     let (leaving, stays) = (
         Backend::spawn(Behavior::Answer).await,
         Backend::spawn(Behavior::Answer).await,
     );
-    let (service, [first, second]) = two(&[&leaving, &stays]).await;
-    expect_that!(uses(&second, &leaving).await, eq(true));
+    let (service, [first, second]) = start_two_gateways(&[&leaving, &stays]).await;
+    expect_that!(sends_to(&second, &leaving).await, eq(true));
     for node in [&first, &second] {
         node.kv.set_hanging(true);
     }
-    tell(&leaving, &first).await;
-    sleep(KNOWN).await;
-    expect_that!(uses(&second, &leaving).await, eq(false));
+    announce_leaving(&leaving, &first).await;
+    sleep(RELAY_TIME).await;
+    expect_that!(sends_to(&second, &leaving).await, eq(false));
     for node in [&first, &second] {
         node.kv.set_hanging(false);
     }
-    // Calls that hang are given up by then.
+    // Longer than the timeout of the hanging calls.
     sleep(Duration::from_secs(1)).await;
     let third = Node::spawn(&service, "g2").await;
     third.wait_ready().await;
-    sleep(KNOWN).await;
-    expect_that!(uses(&third, &leaving).await, eq(false), "it started later");
+    sleep(RELAY_TIME).await;
+    expect_that!(
+        sends_to(&third, &leaving).await,
+        eq(false),
+        "gateway started later"
+    );
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_word_at_second_hand_empties_no_pool_and_is_of_one_life() {
+async fn a_relayed_announcement_empties_no_pool_and_applies_to_one_instance() {
     let (one, other) = (
         Backend::spawn(Behavior::Answer).await,
         Backend::spawn(Behavior::Answer).await,
     );
-    let (service, [first, second]) = two(&[&one, &other]).await;
-    tell(&one, &first).await;
-    tell(&other, &first).await;
+    let (service, [first, second]) = start_two_gateways(&[&one, &other]).await;
+    announce_leaving(&one, &first).await;
+    announce_leaving(&other, &first).await;
     expect_that!(first.ask("/once/", "").await.status, eq(503));
     for server in [&one, &other] {
         server.state.set_behavior(Behavior::Answer, "");
     }
-    sleep(KNOWN).await;
+    sleep(RELAY_TIME).await;
     expect_that!(second.ask("/once/", "").await.status, eq(200));
     let value = format!("plain {} ready 7", other.address);
     service.set("servers/plain-1", Some(&value));
-    sleep(KNOWN).await;
-    expect_that!(uses(&second, &one).await, eq(false));
-    expect_that!(uses(&first, &other).await, eq(true), "a new life");
+    sleep(RELAY_TIME).await;
+    expect_that!(sends_to(&second, &one).await, eq(false));
+    expect_that!(sends_to(&first, &other).await, eq(true), "a new instance");
 }
--- a/crates/gateway/tests/gateway/notices.rs
+++ b/crates/gateway/tests/gateway/notices.rs
@@ -1,17 +1,8 @@
-//! Servers say of themselves that they leave, and that they want rest.
+//! Servers announce that they are leaving, or push back, in the headers of their responses.
 //!
-//! A model server that began to leave while the key-value service was away said so in each of its
-//! answers, and got requests from the gateways that had passed these answers on until 12 s later.
-//! Only its registration closed a server, and that came 13.1 s after the server had begun to
-//! leave: eight requests were routed to it at a `view_age_ms` of 48 to 345, so the configuration
-//! was fresh and the registration still said that it was ready.
-//!
-//! Four others turned every request away and asked for three seconds of rest, and one gateway
-//! sent one of them four requests in that time. The time was not read: being turned away was a
-//! failure like any other, whose penalty halves each 0.7 s, and a server that turns everything away
-//! is idle, so that it was the best choice again. Of 40 lines `turned away` 18 were of repeats that
-//! went from one resting server to the next within 10 ms (`unread` 0) while eight others took
-//! requests.
+//! A leaving server must get no new requests even if its registration is delayed by an outage of
+//! the key-value service. A server that pushes back must get none for the requested time, although
+//! it is idle and thus looks like the best choice.
 
 use std::time::Duration;
 
@@ -23,96 +14,112 @@
 use crate::feed::Service;
 use crate::fleet::{Node, ready};
 
-/// Time within which a change is in force.
-const SOON: Duration = Duration::from_millis(600);
+/// Time for a change to take effect.
+const PROPAGATION: Duration = Duration::from_millis(600);
 
-/// Time within which an answer begins that waits for nothing.
-const AT_ONCE: Duration = Duration::from_millis(100);
+/// Time within which an immediate response starts.
+const IMMEDIATE: Duration = Duration::from_millis(100);
 
-const LEAVING: &str = "x-leaving: 1\r\n";
+const LEAVING_HEADER: &str = "x-leaving: 1\r\n";
 
-/// Time for which servers ask for rest, and the header that says so.
-const REST: Duration = Duration::from_secs(2);
-const RESTING: &str = "x-rest-ms: 2000\r\n";
+/// Duration of a pushback, and the header that requests it.
+const PUSHBACK: Duration = Duration::from_secs(2);
+const PUSHBACK_HEADER: &str = "x-rest-ms: 2000\r\n";
 
-/// Time after a server asked for rest in which requests that were on their way may reach it.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+/// Time after a pushback in which requests already sent may arrive.
+const IN_FLIGHT: Duration = Duration::from_millis(500);
 
-/// Requests that may reach a server from then until the end of its rest.
-const MOST_IN_REST: usize = 2;
+/// Maximum requests to a server from then until the end of the pushback.
+const MAX_DURING_PUSHBACK: usize = 2;
 
-fn came(backend: &Backend) -> usize {
+fn request_count(backend: &Backend) -> usize {
     backend.state.heads().len()
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_server_whose_answer_says_that_it_leaves_gets_nothing_new_in_an_outage() {
+async fn a_server_that_announces_leaving_in_a_response_gets_no_requests_in_an_outage() {
     let (leaving, stays) = (
         Backend::spawn(Behavior::Answer).await,
         Backend::spawn(Behavior::Answer).await,
     );
     let (_service, node) = ready(&[&leaving, &stays]).await;
     node.kv.set_hanging(true);
-    leaving.state.set_behavior(Behavior::Answer, LEAVING);
-    while came(&leaving) == 0 {
+    leaving.state.set_behavior(Behavior::Answer, LEAVING_HEADER);
+    while request_count(&leaving) == 0 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
     for _ in 0..10 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
-    expect_that!(came(&leaving), eq(1));
+    expect_that!(request_count(&leaving), eq(1));
 }
 
-/// Registers the first server of the plain pool as a life that began then.
-fn register_life(service: &Service, backend: &Backend, born: u64) {
-    let value = format!("plain {} ready {born}", backend.address);
+/// Registers the first server of the plain pool as an instance with this start time.
+fn register_instance(service: &Service, backend: &Backend, started: u64) {
+    let value = format!("plain {} ready {started}", backend.address);
     service.set("servers/plain-0", Some(&value));
 }
 
-/// Whether a server is sent requests; each of some that are asked is answered by one or another.
-async fn is_used(node: &Node, backend: &Backend) -> bool {
-    let before = came(backend);
+/// Whether a server gets requests. All requests must succeed.
+async fn gets_requests(node: &Node, backend: &Backend) -> bool {
+    let before = request_count(backend);
     for _ in 0..6 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
-    came(backend) > before
+    request_count(backend) > before
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_leaves_stays_closed_whatever_is_written_of_its_life_and_the_next_is_open() {
+async fn a_leaving_server_stays_closed_until_a_new_instance_registers() {
     let (leaving, stays) = (
         Backend::spawn(Behavior::Answer).await,
         Backend::spawn(Behavior::Answer).await,
     );
     let (service, node) = ready(&[&leaving, &stays]).await;
-    register_life(&service, &leaving, 5);
-    sleep(SOON).await;
-    leaving.state.set_behavior(Behavior::Answer, LEAVING);
-    expect_that!(is_used(&node, &leaving).await, eq(true));
+    register_instance(&service, &leaving, 5);
+    sleep(PROPAGATION).await;
+    leaving.state.set_behavior(Behavior::Answer, LEAVING_HEADER);
+    expect_that!(gets_requests(&node, &leaving).await, eq(true));
     leaving.state.set_behavior(Behavior::Answer, "");
-    expect_that!(is_used(&node, &leaving).await, eq(false));
+    expect_that!(gets_requests(&node, &leaving).await, eq(false));
     service.back_up();
-    register_life(&service, &leaving, 5);
-    sleep(SOON).await;
-    expect_that!(is_used(&node, &leaving).await, eq(false), "written again");
+    register_instance(&service, &leaving, 5);
+    sleep(PROPAGATION).await;
+    expect_that!(
+        gets_requests(&node, &leaving).await,
+        eq(false),
+        "registered again"
+    );
     service.set("servers/plain-0", None);
-    sleep(SOON).await;
-    register_life(&service, &leaving, 5);
-    sleep(SOON).await;
-    expect_that!(is_used(&node, &leaving).await, eq(false), "lapsed and back");
+    sleep(PROPAGATION).await;
+    register_instance(&service, &leaving, 5);
+    sleep(PROPAGATION).await;
+    expect_that!(
+        gets_requests(&node, &leaving).await,
+        eq(false),
+        "lapsed and back"
+    );
     service.restore();
-    sleep(SOON).await;
-    expect_that!(is_used(&node, &leaving).await, eq(false), "from a copy");
-    register_life(&service, &leaving, 6);
-    sleep(SOON).await;
-    expect_that!(is_used(&node, &leaving).await, eq(true), "a new life");
+    sleep(PROPAGATION).await;
+    expect_that!(
+        gets_requests(&node, &leaving).await,
+        eq(false),
+        "restored from a backup"
+    );
+    register_instance(&service, &leaving, 6);
+    sleep(PROPAGATION).await;
+    expect_that!(
+        gets_requests(&node, &leaving).await,
+        eq(true),
+        "a new instance"
+    );
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_failure_and_the_head_of_a_stream_say_that_a_server_leaves_as_well() {
+async fn failures_and_stream_heads_announce_leaving_as_well() {
     let table = [
         (Behavior::Fail, "/once/", 500),
         (Behavior::Reject, "/once/", 200),
@@ -123,34 +130,34 @@
         let [leaving, stays] = [(); 2].map(|()| Backend::spawn(Behavior::Stream));
         let (leaving, stays) = (leaving.await, stays.await);
         let (_service, node) = ready(&[&leaving, &stays]).await;
-        leaving.state.set_behavior(way, LEAVING);
-        // Streams that run on are not waited for.
-        let mut begun = Vec::new();
-        while came(&leaving) == 0 {
+        leaving.state.set_behavior(way, LEAVING_HEADER);
+        // Streams that hang are kept open.
+        let mut callers = Vec::new();
+        while request_count(&leaving) == 0 {
             let request = caller::request(path, "x-tokens: 10\r\n");
-            begun.push(caller::open(node.callers, &request).await);
-            sleep(AT_ONCE).await;
+            callers.push(caller::open(node.callers, &request).await);
+            sleep(IMMEDIATE).await;
         }
-        let last = begun.pop().expect("a request");
+        let last = callers.pop().expect("a request");
         let mut head = [0; 64];
-        let read = last.peek(&mut head).await.expect("an answer begins");
+        let read = last.peek(&mut head).await.expect("a response starts");
         expect_that!(caller::read(&head[..read]).status, eq(status), "{way:?}");
-        let before = came(&leaving);
+        let before = request_count(&leaving);
         for _ in 0..4 {
             expect_that!(node.ask(path, "x-tokens: 10\r\n").await.status, eq(200));
         }
-        expect_that!(came(&leaving), eq(before), "{way:?}");
+        expect_that!(request_count(&leaving), eq(before), "{way:?}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_that_may_be_another_servers_closes_nobody() {
+async fn an_unverified_response_closes_no_server() {
     for way in [Behavior::WrongRequestId, Behavior::Unsealed] {
         let (first, second) = (Backend::spawn(way).await, Backend::spawn(way).await);
         let (_service, node) = ready(&[&first, &second]).await;
         for server in [&first, &second] {
-            server.state.set_behavior(way, LEAVING);
+            server.state.set_behavior(way, LEAVING_HEADER);
         }
         for _ in 0..4 {
             expect_that!(node.ask("/once/", "").await.status, eq(502), "{way:?}");
@@ -158,21 +165,21 @@
         for server in [&first, &second] {
             server.state.set_behavior(Behavior::Answer, "");
         }
-        sleep(SOON).await;
+        sleep(PROPAGATION).await;
         expect_that!(node.ask("/once/", "").await.status, eq(200), "{way:?}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn where_all_servers_leave_a_request_is_refused_at_once() {
+async fn requests_are_rejected_immediately_if_all_servers_are_leaving() {
     let (first, second) = (
         Backend::spawn(Behavior::Answer).await,
         Backend::spawn(Behavior::Answer).await,
     );
     let (_service, node) = ready(&[&first, &second]).await;
     for server in [&first, &second] {
-        server.state.set_behavior(Behavior::Answer, LEAVING);
+        server.state.set_behavior(Behavior::Answer, LEAVING_HEADER);
     }
     let statuses = [node.ask("/once/", "").await, node.ask("/once/", "").await];
     expect_that!(statuses.map(|reply| reply.status), eq([200, 200]));
@@ -180,43 +187,45 @@
     let reply = node.ask("/once/", "").await;
     expect_that!(reply.status, eq(503));
     expect_that!(reply.head, contains_substring("retry-after"));
-    expect_that!(begun.elapsed(), lt(AT_ONCE));
-    expect_that!((came(&first), came(&second)), eq((1, 1)));
+    expect_that!(begun.elapsed(), lt(IMMEDIATE));
+    expect_that!((request_count(&first), request_count(&second)), eq((1, 1)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_asks_for_rest_gets_at_most_two_requests_until_it_is_over() {
+async fn a_server_that_pushes_back_gets_at_most_two_requests_until_the_end() {
     let servers = [(); 3].map(|()| Backend::spawn(Behavior::Reject));
     let [a, b, c] = servers;
     let (a, b, c) = (a.await, b.await, c.await);
     let (_service, node) = ready(&[&a, &b, &c]).await;
     for server in [&a, &b, &c] {
-        server.state.set_behavior(Behavior::Reject, RESTING);
+        server.state.set_behavior(Behavior::Reject, PUSHBACK_HEADER);
     }
     let begun = Instant::now();
-    while [&a, &b, &c].into_iter().any(|server| came(server) == 0) {
+    while [&a, &b, &c]
+        .into_iter()
+        .any(|server| request_count(server) == 0)
+    {
         expect_that!(node.ask("/once/", "").await.status, eq(503));
     }
-    let asked = Instant::now();
-    sleep(ON_THE_WAY).await;
-    let before = [&a, &b, &c].map(came);
-    // The first of them asked some time before the last did.
-    let end = begun + REST;
+    let all_pushed_back = Instant::now();
+    sleep(IN_FLIGHT).await;
+    let before = [&a, &b, &c].map(request_count);
+    // Counts from the first pushback, the earliest one to end.
+    let end = begun + PUSHBACK;
     while Instant::now() < end {
         expect_that!(node.ask("/once/", "").await.status, eq(503));
         sleep(Duration::from_millis(50)).await;
     }
-    expect_that!(asked.duration_since(begun), lt(ON_THE_WAY));
+    expect_that!(all_pushed_back.duration_since(begun), lt(IN_FLIGHT));
     for (server, before) in [&a, &b, &c].into_iter().zip(before) {
-        expect_that!(came(server) - before, le(MOST_IN_REST));
+        expect_that!(request_count(server) - before, le(MAX_DURING_PUSHBACK));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn where_all_servers_rest_a_request_is_refused_at_once_with_the_time_until_the_first_does_not()
- {
+async fn requests_are_rejected_with_the_earliest_retry_time_if_all_servers_push_back() {
     let (first, second) = (
         Backend::spawn(Behavior::Reject).await,
         Backend::spawn(Behavior::Reject).await,
@@ -225,24 +234,24 @@
     first
         .state
         .set_behavior(Behavior::Reject, "x-rest-ms: 9000\r\n");
-    second.state.set_behavior(Behavior::Reject, RESTING);
-    // The first to be refused has met both of them.
+    second.state.set_behavior(Behavior::Reject, PUSHBACK_HEADER);
+    // The first request is sent to both servers.
     for _ in 0..3 {
         let begun = Instant::now();
         let reply = node.ask("/once/", "").await;
-        expect_that!(begun.elapsed(), lt(AT_ONCE));
+        expect_that!(begun.elapsed(), lt(IMMEDIATE));
         expect_that!(reply.status, eq(503));
         expect_that!(reply.body, contains_substring("resting"));
-        let after = field(&reply.head, "retry-after").expect("a time to come back");
+        let after = field(&reply.head, "retry-after").expect("a retry time");
         let after: f64 = after.parse().expect("seconds");
         expect_that!(after, all!(gt(1.8), le(4.5)));
     }
-    expect_that!((came(&first), came(&second)), eq((1, 1)));
+    expect_that!((request_count(&first), request_count(&second)), eq((1, 1)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn after_a_rest_requests_are_tried_one_at_a_time_until_one_is_answered() {
+async fn after_a_pushback_requests_are_sent_one_at_a_time_until_one_succeeds() {
     let server = Backend::spawn(Behavior::Reject).await;
     let (_service, node) = ready(&[&server]).await;
     server
@@ -256,11 +265,11 @@
         let request = caller::request("/once/", "");
         waiting.push(caller::open(node.callers, &request).await);
     }
-    sleep(AT_ONCE).await;
+    sleep(IMMEDIATE).await;
     expect_that!(
-        came(&server),
+        request_count(&server),
         eq(2),
-        "the one that asked for rest for it, and one more"
+        "the rejected request and one probe"
     );
     server.state.set_behavior(Behavior::Answer, "");
     sleep(Duration::from_millis(500)).await;
@@ -271,30 +280,38 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_rest_belongs_to_one_life() {
-    let (resting, free) = (
+async fn a_pushback_applies_to_one_instance() {
+    let (pushing_back, free) = (
         Backend::spawn(Behavior::Reject).await,
         Backend::spawn(Behavior::Answer).await,
     );
-    let (service, node) = ready(&[&resting, &free]).await;
-    register_life(&service, &resting, 5);
-    sleep(SOON).await;
-    resting
+    let (service, node) = ready(&[&pushing_back, &free]).await;
+    register_instance(&service, &pushing_back, 5);
+    sleep(PROPAGATION).await;
+    pushing_back
         .state
         .set_behavior(Behavior::Reject, "x-rest-ms: 60000\r\n");
-    while came(&resting) == 0 {
+    while request_count(&pushing_back) == 0 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
     }
-    resting.state.set_behavior(Behavior::Answer, "");
-    // What is held against it for its failure has faded.
+    pushing_back.state.set_behavior(Behavior::Answer, "");
+    // The penalty of the failure has decayed.
     sleep(Duration::from_secs(4)).await;
-    expect_that!(is_used(&node, &resting).await, eq(false));
+    expect_that!(gets_requests(&node, &pushing_back).await, eq(false));
     service.set("servers/plain-0", None);
-    sleep(SOON).await;
-    register_life(&service, &resting, 5);
-    sleep(SOON).await;
-    expect_that!(is_used(&node, &resting).await, eq(false), "lapsed and back");
-    register_life(&service, &resting, 6);
-    sleep(SOON).await;
-    expect_that!(is_used(&node, &resting).await, eq(true), "a new life");
+    sleep(PROPAGATION).await;
+    register_instance(&service, &pushing_back, 5);
+    sleep(PROPAGATION).await;
+    expect_that!(
+        gets_requests(&node, &pushing_back).await,
+        eq(false),
+        "lapsed and back"
+    );
+    register_instance(&service, &pushing_back, 6);
+    sleep(PROPAGATION).await;
+    expect_that!(
+        gets_requests(&node, &pushing_back).await,
+        eq(true),
+        "a new instance"
+    );
 }
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -1,4 +1,4 @@
-//! Headers and values of the tests.
+//! Headers and stored values of the tests.
 
 use hyper::HeaderMap;
 use hyper::header::{AUTHORIZATION, HeaderValue};
@@ -13,39 +13,39 @@
 };
 use mulberryyoke_model::{CustomerId, PoolId, ServerId};
 
-/// Time after which a caller is answered on every route, in milliseconds.
+/// Timeout of every route, in milliseconds.
 pub(crate) const TIMEOUT_MS: u64 = 1_500;
 
-/// Objective of every route, in milliseconds.
+/// Latency objective of every route, in milliseconds.
 pub(crate) const OBJECTIVE_MS: u64 = 200;
 
-/// Tokens of a prompt that no server could read in time behind another.
+/// Length of a prompt that misses the objective if queued behind another, in tokens.
 pub(crate) const LONG_PROMPT: u32 = 60_000;
 
-/// Time for which servers are cold after their start, in milliseconds.
+/// Cold period of servers after their start, in milliseconds.
 pub(crate) const COLD_MS: u64 = 1_500;
 
-/// Requests a second that a cold server is made for, of all gateways together.
+/// Requests per second that a cold server accepts, over all gateways.
 pub(crate) const COLD_PER_S: f64 = 4.0;
 
-/// Header of a request at which reading the head panics.
+/// Header that makes parsing of the request head panic.
 pub(crate) const PANIC_HEADER: &str = "x-panics: 1\r\n";
 
-/// Tokens of a prompt's shared part.
-const SHARED: u32 = 4_000;
+/// Length of the shared part of a prompt, in tokens.
+const SHARED_TOKENS: u32 = 4_000;
 
-/// Values are words: `VERSION [tokens=PER_S] KEY...` for a configuration, `POOL ADDRESS STATE [BORN [COLD_MS
-/// [ZONE]]]` for a server, which is cold for so long.
+/// Protocol with space-separated values: `VERSION [tokens=PER_S] KEY...` for a configuration and
+/// `POOL ADDRESS STATE [STARTED [COLD_MS [ZONE]]]` for a server.
 #[derive(Debug)]
 pub(crate) struct TestProtocol {
-    /// The gateway's name, which servers are told.
+    /// Name of the gateway, sent to servers.
     pub(crate) gateway: String,
 }
 
 impl Protocol for TestProtocol {
     fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, ParseError> {
         let text = |name| head.headers.get(name).and_then(|value| value.to_str().ok());
-        assert!(text("x-panics").is_none(), "a head that nobody thought of");
+        assert!(text("x-panics").is_none(), "injected panic");
         let id = text("x-id").ok_or_else(|| ParseError {
             subject: "x-id".to_owned(),
             reason: "missing".to_owned(),
@@ -58,7 +58,7 @@
             timeout_ms: text("x-patience-ms").and_then(|ms| ms.parse().ok()),
             key: key.map(str::to_owned),
             prompt: tokens.map(|tokens| {
-                let shared = shared.map(|part: u64| (part, SHARED));
+                let shared = shared.map(|part: u64| (part, SHARED_TOKENS));
                 Prompt::from_parts("m", shared.into_iter().chain([(1, tokens)]), 10)
             }),
             resume_after: text("x-after").and_then(|event| event.parse().ok()),
@@ -85,8 +85,8 @@
 
     fn parse_response(&self, head: &response::Parts, id: &str) -> ResponseHead {
         let headers = &head.headers;
-        let named = headers.get("x-id").map(HeaderValue::as_bytes);
-        let proof = if named.is_some_and(|named| named != id.as_bytes()) {
+        let received_id = headers.get("x-id").map(HeaderValue::as_bytes);
+        let proof = if received_id.is_some_and(|received_id| received_id != id.as_bytes()) {
             Verification::Mismatched
         } else if head.status.as_u16() == 421 {
             Verification::WrongServer
@@ -97,7 +97,7 @@
         } else {
             Verification::Unverified
         };
-        let rest_ms = headers.get("x-rest-ms").and_then(|ms| ms.to_str().ok());
+        let pushback_ms = headers.get("x-rest-ms").and_then(|ms| ms.to_str().ok());
         ResponseHead {
             verification: proof,
             closes_connection: false,
@@ -105,7 +105,7 @@
             cold_left_ms: None,
             notice: Notice {
                 is_leaving: headers.contains_key("x-leaving"),
-                pushback_ms: rest_ms.and_then(|ms| ms.parse().ok()),
+                pushback_ms: pushback_ms.and_then(|ms| ms.parse().ok()),
             },
         }
     }
@@ -126,7 +126,7 @@
         let text = String::from_utf8_lossy(value);
         let mut words = text.split_whitespace();
         let version = words.next().and_then(|word| word.parse().ok());
-        let version = version.ok_or_else(|| unreadable("configuration"))?;
+        let version = version.ok_or_else(|| parse_error("configuration"))?;
         let (numbers, keys): (Vec<&str>, Vec<&str>) = words.partition(|word| word.contains('='));
         let tokens_per_s = numbers.iter().find_map(|word| word.strip_prefix("tokens="));
         let customer = Customer {
@@ -167,7 +167,7 @@
     fn parse_cached_parts(&self, value: &[u8]) -> Result<Vec<PartId>, ParseError> {
         let text = String::from_utf8_lossy(value);
         let parts = text.split_whitespace().map(|word| {
-            let part = word.parse().map_err(|_| unreadable("list"))?;
+            let part = word.parse().map_err(|_| parse_error("list"))?;
             Ok(PartId::new("m", part))
         });
         parts.collect()
@@ -177,27 +177,27 @@
         let text = String::from_utf8_lossy(value);
         let words: Vec<&str> = text.split_whitespace().collect();
         let [pool, address, state, ..] = words[..] else {
-            return Err(unreadable(name));
+            return Err(parse_error(name));
         };
-        let born = words.get(3).copied();
+        let started = words.get(3).copied();
         let cold = words.get(4).copied().unwrap_or("0");
         let zone = words.get(5).copied().unwrap_or("a");
-        let started_ms = born.map(|born| born.parse().map_err(|_| unreadable(name)));
+        let started_ms = started.map(|started| started.parse().map_err(|_| parse_error(name)));
         Ok(Server {
-            id: ServerId::of(&format!("{name} {}", born.unwrap_or_default())),
+            id: ServerId::of(&format!("{name} {}", started.unwrap_or_default())),
             name: name.to_owned(),
             pool: PoolId::of(pool),
-            address: address.parse().map_err(|_| unreadable(name))?,
+            address: address.parse().map_err(|_| parse_error(name))?,
             zone: zone.to_owned(),
             slots: 8,
             started_ms: started_ms.transpose()?,
-            cold_left_ms: cold.parse().map_err(|_| unreadable(name))?,
+            cold_left_ms: cold.parse().map_err(|_| parse_error(name))?,
             is_leaving: state == "leaving",
         })
     }
 }
 
-fn unreadable(what: &str) -> ParseError {
+fn parse_error(what: &str) -> ParseError {
     ParseError {
         subject: what.to_owned(),
         reason: "words are missing".to_owned(),
