--- a/crates/gateway/src/quarantine/admit.rs
+++ b/crates/gateway/src/quarantine/admit.rs
@@ -84,8 +84,8 @@
     };
     match call.await {
         Ok((status, body)) => {
-            if let Ok(known) = postcard::from_bytes::<Suspect>(&body) {
-                receive(core, &[known]);
+            if let Ok(snapshot) = postcard::from_bytes::<Suspect>(&body) {
+                receive(core, &[snapshot]);
             }
             match status {
                 StatusCode::OK => Some(true),
@@ -127,9 +127,9 @@
     if is_new {
         conviction::write(core, digest);
     }
-    let known = core.quarantine.snapshot(digest);
-    let known = postcard::to_stdvec(&known).unwrap_or_default();
-    let mut response = Response::new(Full::new(Bytes::from(known)));
+    let snapshot = core.quarantine.snapshot(digest);
+    let snapshot = postcard::to_stdvec(&snapshot).unwrap_or_default();
+    let mut response = Response::new(Full::new(Bytes::from(snapshot)));
     if !is_allowed {
         *response.status_mut() = StatusCode::CONFLICT;
     }
--- a/crates/gateway/src/quarantine/conviction.rs
+++ b/crates/gateway/src/quarantine/conviction.rs
@@ -64,7 +64,7 @@
     if writes.fetch_add(1, Ordering::Relaxed) >= MAX_PENDING_WRITES {
         writes.fetch_sub(1, Ordering::Relaxed);
         log!(core.logger, Event::ConvictionUnwritten,
-            "digest" => digest.to_string(), "error" => "too many wait");
+            "digest" => digest.to_string(), "error" => "too many pending writes");
         return;
     }
     let core = Arc::clone(core);
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -22,15 +22,15 @@
 
 /// Records that a request failed at a server, and probes whether the server crashed. Failures at a
 /// server that is leaving are ignored, as it may exit with requests in flight.
-pub(crate) async fn record_failure(core: &Arc<Core>, call: &Call, running: &InFlight) {
-    let backend = &running.backend;
+pub(crate) async fn record_failure(core: &Arc<Core>, call: &Call, in_flight: &InFlight) {
+    let backend = &in_flight.backend;
     if backend.is_closed() {
         return;
     }
     let digest = call.digest();
     let mut liveness = backend.liveness.lock().await;
     let has_crashed =
-        liveness.has_crashed_since(running.sent_at) || probe(core, backend, &mut liveness).await;
+        liveness.has_crashed_since(in_flight.sent_at) || probe(core, backend, &mut liveness).await;
     let instance = liveness.instance_id(backend.server.id, !has_crashed);
     drop(liveness);
     core.quarantine
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -44,7 +44,7 @@
     register(&service, &backend, 5, COLD_MS);
     sleep(PROPAGATION).await;
     let before = backend.state.heads().len();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..8 {
         for path in ["/once/", "/stream/"] {
             // Rejections are immediate.
@@ -52,7 +52,7 @@
             let _ = other.ask(path, "x-tokens: 10\r\n").await;
         }
     }
-    expect_that!(begun.elapsed(), lt(Duration::from_millis(800)));
+    expect_that!(started_at.elapsed(), lt(Duration::from_millis(800)));
     // The server is in both pools, which have separate limits.
     expect_that!(
         requests_since(&backend, before),
--- a/crates/gateway/tests/gateway/notices.rs
+++ b/crates/gateway/tests/gateway/notices.rs
@@ -1,8 +1,8 @@
 //! Servers announce that they are leaving, or push back, in the headers of their responses.
 //!
 //! A leaving server must get no new requests even if its registration is delayed by an outage of
-//! the key-value service. A server that pushes back must get none for the requested time, although
-//! it is idle and thus looks like the best choice.
+//! the key-value service. A server that pushes back must be avoided for the requested time,
+//! although it is idle and thus looks like the best choice.
 
 use std::time::Duration;
 
@@ -126,11 +126,11 @@
         (Behavior::Truncate, "/once/", 502),
         (Behavior::HangStream, "/resumable/", 200),
     ];
-    for (way, path, status) in table {
+    for (behavior, path, status) in table {
         let [leaving, stays] = [(); 2].map(|()| Backend::spawn(Behavior::Stream));
         let (leaving, stays) = (leaving.await, stays.await);
         let (_service, node) = ready(&[&leaving, &stays]).await;
-        leaving.state.set_behavior(way, LEAVING_HEADER);
+        leaving.state.set_behavior(behavior, LEAVING_HEADER);
         // Streams that hang are kept open.
         let mut callers = Vec::new();
         while request_count(&leaving) == 0 {
@@ -141,32 +141,39 @@
         let last = callers.pop().expect("a request");
         let mut head = [0; 64];
         let read = last.peek(&mut head).await.expect("a response starts");
-        expect_that!(caller::read(&head[..read]).status, eq(status), "{way:?}");
+        expect_that!(
+            caller::read(&head[..read]).status,
+            eq(status),
+            "{behavior:?}"
+        );
         let before = request_count(&leaving);
         for _ in 0..4 {
             expect_that!(node.ask(path, "x-tokens: 10\r\n").await.status, eq(200));
         }
-        expect_that!(request_count(&leaving), eq(before), "{way:?}");
+        expect_that!(request_count(&leaving), eq(before), "{behavior:?}");
     }
 }
 
 #[gtest]
 #[tokio::test]
 async fn an_unverified_response_closes_no_server() {
-    for way in [Behavior::WrongRequestId, Behavior::Unsealed] {
-        let (first, second) = (Backend::spawn(way).await, Backend::spawn(way).await);
+    for behavior in [Behavior::WrongRequestId, Behavior::Unsealed] {
+        let (first, second) = (
+            Backend::spawn(behavior).await,
+            Backend::spawn(behavior).await,
+        );
         let (_service, node) = ready(&[&first, &second]).await;
         for server in [&first, &second] {
-            server.state.set_behavior(way, LEAVING_HEADER);
+            server.state.set_behavior(behavior, LEAVING_HEADER);
         }
         for _ in 0..4 {
-            expect_that!(node.ask("/once/", "").await.status, eq(502), "{way:?}");
+            expect_that!(node.ask("/once/", "").await.status, eq(502), "{behavior:?}");
         }
         for server in [&first, &second] {
             server.state.set_behavior(Behavior::Answer, "");
         }
         sleep(PROPAGATION).await;
-        expect_that!(node.ask("/once/", "").await.status, eq(200), "{way:?}");
+        expect_that!(node.ask("/once/", "").await.status, eq(200), "{behavior:?}");
     }
 }
 
@@ -183,11 +190,11 @@
     }
     let statuses = [node.ask("/once/", "").await, node.ask("/once/", "").await];
     expect_that!(statuses.map(|reply| reply.status), eq([200, 200]));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let reply = node.ask("/once/", "").await;
     expect_that!(reply.status, eq(503));
     expect_that!(reply.head, contains_substring("retry-after"));
-    expect_that!(begun.elapsed(), lt(IMMEDIATE));
+    expect_that!(started_at.elapsed(), lt(IMMEDIATE));
     expect_that!((request_count(&first), request_count(&second)), eq((1, 1)));
 }
 
@@ -201,7 +208,7 @@
     for server in [&a, &b, &c] {
         server.state.set_behavior(Behavior::Reject, PUSHBACK_HEADER);
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while [&a, &b, &c]
         .into_iter()
         .any(|server| request_count(server) == 0)
@@ -212,12 +219,12 @@
     sleep(IN_FLIGHT).await;
     let before = [&a, &b, &c].map(request_count);
     // Counts from the first pushback, the earliest one to end.
-    let end = begun + PUSHBACK;
+    let end = started_at + PUSHBACK;
     while Instant::now() < end {
         expect_that!(node.ask("/once/", "").await.status, eq(503));
         sleep(Duration::from_millis(50)).await;
     }
-    expect_that!(all_pushed_back.duration_since(begun), lt(IN_FLIGHT));
+    expect_that!(all_pushed_back.duration_since(started_at), lt(IN_FLIGHT));
     for (server, before) in [&a, &b, &c].into_iter().zip(before) {
         expect_that!(request_count(server) - before, le(MAX_DURING_PUSHBACK));
     }
@@ -237,9 +244,9 @@
     second.state.set_behavior(Behavior::Reject, PUSHBACK_HEADER);
     // The first request is sent to both servers.
     for _ in 0..3 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let reply = node.ask("/once/", "").await;
-        expect_that!(begun.elapsed(), lt(IMMEDIATE));
+        expect_that!(started_at.elapsed(), lt(IMMEDIATE));
         expect_that!(reply.status, eq(503));
         expect_that!(reply.body, contains_substring("resting"));
         let after = field(&reply.head, "retry-after").expect("a retry time");
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -86,7 +86,7 @@
     fn parse_response(&self, head: &response::Parts, id: &str) -> ResponseHead {
         let headers = &head.headers;
         let received_id = headers.get("x-id").map(HeaderValue::as_bytes);
-        let proof = if received_id.is_some_and(|received_id| received_id != id.as_bytes()) {
+        let verification = if received_id.is_some_and(|received_id| received_id != id.as_bytes()) {
             Verification::Mismatched
         } else if head.status.as_u16() == 421 {
             Verification::WrongServer
@@ -99,7 +99,7 @@
         };
         let pushback_ms = headers.get("x-rest-ms").and_then(|ms| ms.to_str().ok());
         ResponseHead {
-            verification: proof,
+            verification,
             closes_connection: false,
             keep_alive_ms: None,
             cold_left_ms: None,
