--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::plan::{Customer, Route};
+use crate::config::{Customer, Route};
 
 /// A request that was read completely, routed and authorized.
 #[derive(Debug)]
