--- a/crates/gateway/src/registry.rs
+++ b/crates/gateway/src/registry.rs
@@ -1,4 +1,4 @@
-//! The servers that are registered.
+//! Registered servers.
 
 mod instances;
 mod model_stats;
@@ -21,69 +21,68 @@
 use crate::plan::Plan;
 use crate::server::Server;
 
-/// Servers of a pool that a node uses, about: of more it uses a part, so that what it does for a
-/// prompt, and the connections that it has, do not grow with them. Sixteen are looked at closely
-/// for each prompt.
-const USED: usize = 256;
+/// Approximate maximum number of servers of a pool that a gateway uses. It uses a subset of larger
+/// pools, to bound its connections and the work per prompt.
+const SUBSET_SIZE: usize = 256;
 
-/// The servers by identity, and those of each pool that this node uses.
+/// Snapshot of the servers by identity, and of the subset of each pool that this gateway uses.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct Snapshot {
     ids: HashMap<ServerId, Arc<Backend>>,
     pools: HashMap<PoolId, Vec<Arc<Backend>>>,
 }
 
-/// The servers that are registered, readable without a lock. One task alone changes it.
+/// Registered servers, readable without a lock. Only one task changes it.
 #[derive(Debug)]
 pub(crate) struct Registry {
-    /// This node's rank, by which it uses other servers than other nodes.
-    node: u64,
-    table: ArcSwap<Table>,
-    /// The servers by name, as the one task that changes them knows them.
+    /// Hash of this gateway's name, by which gateways select different subsets.
+    name_hash: u64,
+    snapshot: ArcSwap<Snapshot>,
+    /// The servers by name, including unpublished changes.
     names: Mutex<HashMap<String, Arc<Backend>>>,
-    /// Whether the table is to be made when all changes are known that came together.
-    is_held: AtomicBool,
-    /// Whether the table lacks changes.
+    /// Whether a batch of changes is in progress, which is published as a whole.
+    is_batching: AtomicBool,
+    /// Whether the snapshot lacks changes.
     is_stale: AtomicBool,
-    /// How fast servers read prompts and end requests, by pool.
-    paces: Mutex<HashMap<PoolId, Arc<Mutex<PoolStats>>>>,
-    /// Availability zones to whose servers nothing is to be sent.
+    /// Speed statistics of the servers, by pool.
+    pool_stats: Mutex<HashMap<PoolId, Arc<Mutex<PoolStats>>>>,
+    /// Evacuated availability zones.
     evacuated: Mutex<HashSet<String>>,
-    /// What lives of servers said of themselves.
+    /// Instances of servers that sent announcements or pushback.
     pub(crate) instances: Instances,
 }
 
 impl Registry {
-    /// That of a node before it knows a server.
+    /// An empty registry of the gateway with this name.
     pub(crate) fn new(name: &str) -> Self {
         Self {
-            node: name_hash(name),
-            table: ArcSwap::default(),
+            name_hash: name_hash(name),
+            snapshot: ArcSwap::default(),
             names: Mutex::default(),
-            is_held: AtomicBool::new(false),
+            is_batching: AtomicBool::new(false),
             is_stale: AtomicBool::new(false),
-            paces: Mutex::default(),
+            pool_stats: Mutex::default(),
             evacuated: Mutex::default(),
             instances: Instances::default(),
         }
     }
 
-    /// Makes several changes at once: the table is made when they are done.
+    /// Makes several changes and publishes them together.
     pub(crate) fn batch<T>(&self, changes: impl FnOnce() -> T) -> T {
-        self.is_held.store(true, Ordering::Relaxed);
-        let done = changes();
-        self.is_held.store(false, Ordering::Relaxed);
+        self.is_batching.store(true, Ordering::Relaxed);
+        let result = changes();
+        self.is_batching.store(false, Ordering::Relaxed);
         self.publish();
-        done
+        result
     }
 
-    /// Reads the servers of a pool that this node uses.
+    /// Calls a function with this gateway's subset of a pool.
     pub(crate) fn with_pool<T>(&self, pool: PoolId, read: impl FnOnce(&[Arc<Backend>]) -> T) -> T {
-        let table = self.table.load();
-        read(table.pools.get(&pool).map_or(&[], Vec::as_slice))
+        let snapshot = self.snapshot.load();
+        read(snapshot.pools.get(&pool).map_or(&[], Vec::as_slice))
     }
 
-    /// Whether this node uses a server.
+    /// Whether a server is in this gateway's subset of its pool.
     pub(crate) fn is_in_subset(&self, backend: &Backend) -> bool {
         let id = backend.server.id;
         self.with_pool(backend.server.pool, |servers| {
@@ -91,96 +90,96 @@
         })
     }
 
-    /// The server of a name.
+    /// The server with a name.
     pub(crate) fn get(&self, name: &str) -> Option<Arc<Backend>> {
         self.names.lock().get(name).cloned()
     }
 
-    /// The server of an identity.
+    /// The server with an identity.
     pub(crate) fn get_by_id(&self, id: ServerId) -> Option<Arc<Backend>> {
-        self.table.load().ids.get(&id).cloned()
+        self.snapshot.load().ids.get(&id).cloned()
     }
 
-    /// The servers that this node uses.
+    /// This gateway's subset of all pools.
     pub(crate) fn subset(&self) -> Vec<Arc<Backend>> {
-        let table = self.table.load();
-        table.pools.values().flatten().cloned().collect()
+        let snapshot = self.snapshot.load();
+        snapshot.pools.values().flatten().cloned().collect()
     }
 
-    /// The servers of each pool, those that this node uses.
+    /// The identities in this gateway's subset of each pool.
     pub(crate) fn pool_subsets(&self) -> Vec<Vec<ServerId>> {
-        let table = self.table.load();
-        let pools = table.pools.values();
+        let snapshot = self.snapshot.load();
+        let pools = snapshot.pools.values();
         let ids = pools.map(|servers| servers.iter().map(|backend| backend.server.id).collect());
         ids.collect()
     }
 
-    /// The model servers as a whole. Cold ones, those that rest and those of evacuated zones have
-    /// little to do and cannot take more.
+    /// Statistics of all model servers. The wait leaves out servers that accept little or nothing:
+    /// cold ones, those with active pushback and those of evacuated zones.
     pub(crate) fn model_stats(&self) -> ModelStats {
-        let table = self.table.load();
+        let snapshot = self.snapshot.load();
         let now = clock::now_ms();
-        let (mut all, mut taking, mut waits_ms) = (0_u32, 0_u32, 0.0);
-        let models = table.ids.values();
-        for backend in models.filter(|backend| backend.is_model && !backend.is_closed()) {
+        let (mut all, mut accepting, mut waits_ms) = (0_u32, 0_u32, 0.0);
+        let servers = snapshot.ids.values();
+        for backend in servers.filter(|backend| backend.is_model && !backend.is_closed()) {
             all += 1;
-            let is_held = backend.cold.is_cold(now) || backend.instance.is_pushing_back(now);
-            if backend.is_open() && !is_held {
-                taking += 1;
+            let is_limited = backend.cold.is_cold(now) || backend.instance.is_pushing_back(now);
+            if backend.is_open() && !is_limited {
+                accepting += 1;
                 waits_ms += backend.engine().wait_ms();
             }
         }
-        // One at least, so that there is something to share out.
-        let some = f64::from(taking.max(1));
+        // At least one, so that the shared capacity is never zero.
+        let accepting = f64::from(accepting.max(1));
         ModelStats {
-            wait_ms: waits_ms / some,
-            accepting_ratio: some / f64::from(all.max(1)),
+            wait_ms: waits_ms / accepting,
+            accepting_ratio: accepting / f64::from(all.max(1)),
         }
     }
 
-    /// Notes a registration; `true` if it changed what may be sent where.
+    /// Adds or updates a server; `true` if that changed where requests may be sent.
     pub(crate) fn register(&self, server: Server, plan: Option<&Plan>) -> bool {
-        if let Some(held) = self.get(&server.name) {
-            if is_earlier(&server, &held.server) {
+        if let Some(current) = self.get(&server.name) {
+            if is_earlier(&server, &current.server) {
                 return false;
             }
-            let closes = server.is_leaving && !held.is_closed();
-            let is_same = is_same(&held.server, &server);
+            let closes = server.is_leaving && !current.is_closed();
+            let is_same = is_same(&current.server, &server);
             if closes || !is_same {
-                held.close();
+                current.close();
             }
             if is_same {
                 return closes;
             }
-            held.instance.touch(clock::now_ms());
+            current.instance.touch(clock::now_ms());
         }
         let model = plan.and_then(|plan| plan.pool(server.pool)?.model);
         let name = server.name.clone();
-        let pace = Arc::clone(self.paces.lock().entry(server.pool).or_default());
+        let pool_stats = Arc::clone(self.pool_stats.lock().entry(server.pool).or_default());
         let is_evacuated = self.evacuated.lock().contains(&server.zone);
-        let life = self.instances.get_or_new(server.id);
-        let backend = Arc::new(Backend::new(server, model, pace, life));
+        let instance = self.instances.get_or_new(server.id);
+        let backend = Arc::new(Backend::new(server, model, pool_stats, instance));
         backend.set_evacuated(is_evacuated);
-        self.change(|servers| {
+        self.update(|servers| {
             servers.insert(name, backend);
         });
         true
     }
 
-    /// Notes that a server is gone; `true` if it was there.
+    /// Removes a server; `true` if it was registered.
     pub(crate) fn remove(&self, name: &str) -> bool {
-        let Some(held) = self.get(name) else {
+        let Some(current) = self.get(name) else {
             return false;
         };
-        held.close();
-        held.instance.touch(clock::now_ms());
-        self.change(|servers| {
+        current.close();
+        current.instance.touch(clock::now_ms());
+        self.update(|servers| {
             servers.remove(name);
         });
         true
     }
 
-    /// Lets nothing be sent to the servers of a zone, or again; those that are registered now.
+    /// Stops or resumes the use of a zone's servers, and returns those that are registered.
     pub(crate) fn set_evacuated(&self, zone: &str, is_evacuated: bool) -> Vec<Arc<Backend>> {
         let mut evacuated = self.evacuated.lock();
         if is_evacuated {
@@ -199,42 +198,44 @@
         servers
     }
 
-    fn change(&self, change: impl FnOnce(&mut HashMap<String, Arc<Backend>>)) {
-        change(&mut self.names.lock());
+    fn update(&self, update: impl FnOnce(&mut HashMap<String, Arc<Backend>>)) {
+        update(&mut self.names.lock());
         self.is_stale.store(true, Ordering::Relaxed);
-        if !self.is_held.load(Ordering::Relaxed) {
+        if !self.is_batching.load(Ordering::Relaxed) {
             self.publish();
         }
     }
 
-    /// Makes the table that requests read, if something changed.
+    /// Replaces the snapshot if something changed.
     fn publish(&self) {
         if !self.is_stale.swap(false, Ordering::Relaxed) {
             return;
         }
-        let mut table = Table::default();
+        let mut snapshot = Snapshot::default();
         for backend in self.names.lock().values() {
-            let of_pool = table.pools.entry(backend.server.pool).or_default();
-            of_pool.push(Arc::clone(backend));
-            table.ids.insert(backend.server.id, Arc::clone(backend));
+            let subset = snapshot.pools.entry(backend.server.pool).or_default();
+            subset.push(Arc::clone(backend));
+            snapshot.ids.insert(backend.server.id, Arc::clone(backend));
         }
-        for of_pool in table.pools.values_mut() {
-            let count = of_pool.len();
-            of_pool.retain(|backend| is_sampled(self.node, backend.server.id, count, USED));
-            of_pool.sort_by(|a, b| a.server.name.cmp(&b.server.name));
+        for subset in snapshot.pools.values_mut() {
+            let count = subset.len();
+            subset.retain(|backend| {
+                is_sampled(self.name_hash, backend.server.id, count, SUBSET_SIZE)
+            });
+            subset.sort_by(|a, b| a.server.name.cmp(&b.server.name));
         }
-        self.table.store(Arc::new(table));
+        self.snapshot.store(Arc::new(snapshot));
     }
 }
 
-/// Whether a registration is of an earlier life than another.
-fn is_earlier(new: &Server, held: &Server) -> bool {
-    let lives = new.started_ms.zip(held.started_ms);
-    lives.is_some_and(|(new, held)| new < held)
+/// Whether a registration is of an earlier instance than the current one.
+fn is_earlier(new: &Server, current: &Server) -> bool {
+    let starts = new.started_ms.zip(current.started_ms);
+    starts.is_some_and(|(new, current)| new < current)
 }
 
-/// Whether two registrations are of one life of a server that has not come back from leaving.
-fn is_same(held: &Server, new: &Server) -> bool {
-    (held.id, held.pool, held.address) == (new.id, new.pool, new.address)
-        && (!held.is_leaving || new.is_leaving)
+/// Whether two registrations are of one instance that has not resumed after leaving.
+fn is_same(current: &Server, new: &Server) -> bool {
+    (current.id, current.pool, current.address) == (new.id, new.pool, new.address)
+        && (!current.is_leaving || new.is_leaving)
 }
--- a/crates/gateway/src/registry/model_stats.rs
+++ b/crates/gateway/src/registry/model_stats.rs
@@ -1,11 +1,10 @@
-//! The model servers as a whole.
+//! Statistics of the model servers.
 
-/// The model servers as a whole.
+/// Statistics of the model servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ModelStats {
-    /// Time until those that take prompts would begin to read one sent now, on average, in
-    /// milliseconds; 0 without any.
+    /// Mean queueing time of a prompt at the accepting servers, in milliseconds; 0 without any.
     pub(crate) wait_ms: f64,
-    /// The part of them that takes prompts; 1 without any.
+    /// Fraction of the servers that accept prompts; 1 without any.
     pub(crate) accepting_ratio: f64,
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,29 +1,29 @@
-//! Servers as they register.
+//! Registered backend servers.
 
 use std::net::SocketAddr;
 
 use mulberryyoke_model::{PoolId, ServerId};
 
-/// A backend server as it registered.
+/// Registration of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
-    /// The identity of this life of it, a hash of the name and of when it started.
+    /// Identity of this instance, a hash of its name and start time.
     pub id: ServerId,
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// The pool that it serves.
+    /// Pool to which it belongs.
     pub pool: PoolId,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone in which it runs.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// When it started, in milliseconds since 1970, if it tells: a later life of the same name
-    /// keeps and runs nothing of the one before.
+    /// Start time in milliseconds since the Unix epoch, if reported. A later instance of the same
+    /// name has neither the cache nor the requests of the earlier one.
     pub started_ms: Option<u64>,
-    /// How much longer it is cold, in milliseconds from its registration; 0 if it is not.
+    /// Remaining time for which it is cold, in milliseconds from its registration; 0 if warm.
     pub cold_left_ms: u64,
-    /// Whether it leaves and must get nothing new.
+    /// Whether it is leaving and must get no new requests.
     pub is_leaving: bool,
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this node, and how old it may be.
+//! The configuration in force on this gateway, and its age.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,94 +8,101 @@
 use crate::clock;
 use crate::plan::Plan;
 
-/// Age up to which what is known here is taken to be what others know, in milliseconds: a call
-/// that waits has ended by then, also one at a peer whose own call has just ended.
-const IN_TOUCH_MS: u64 = 2_000;
+/// Age up to which the state here counts as fresh, in milliseconds: longer than a waiting call to
+/// a peer whose own call has just ended.
+const FRESH_MS: u64 = 2_000;
 
-/// The configuration in force on this node. Its version never falls within the
-/// life of a process.
+/// The configuration in force on this gateway. Its version never decreases within a process.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     plan: ArcSwapOption<Plan>,
-    /// Latest version by which another gateway answers callers of this one.
-    seen: AtomicU64,
+    /// Latest version with which another gateway served connections handed off from this one.
+    peer_version: AtomicU64,
     confirmed_ms: AtomicU64,
-    reached_ms: AtomicU64,
+    kv_contact_ms: AtomicU64,
 }
 
 impl View {
-    /// The configuration; `None` before the first.
+    /// The configuration; `None` before the first one is applied.
     pub(crate) fn plan(&self) -> Option<Arc<Plan>> {
         self.plan.load_full()
     }
 
-    /// Puts a configuration in force; `false` if it is not newer than the one in force.
+    /// Applies a configuration; `false` if it is not newer than the one in force.
     pub(crate) fn apply(&self, plan: Plan) -> bool {
-        let held = self.plan.load().as_ref().map(|held| held.version());
-        if held.is_some_and(|held| held >= plan.version()) {
+        let current = self.plan.load().as_ref().map(|current| current.version());
+        if current.is_some_and(|current| current >= plan.version()) {
             return false;
         }
         self.plan.store(Some(Arc::new(plan)));
         true
     }
 
-    /// The latest version by which callers of this node were answered, here or by another
+    /// The latest version with which callers of this gateway were served, here or by another
     /// gateway; 0 before the first.
     pub(crate) fn latest_version(&self) -> u64 {
-        let held = self.plan.load().as_ref().map_or(0, |held| held.version());
-        held.max(self.seen.load(Ordering::Relaxed))
+        let current = self
+            .plan
+            .load()
+            .as_ref()
+            .map_or(0, |current| current.version());
+        current.max(self.peer_version.load(Ordering::Relaxed))
     }
 
-    /// Notes that another gateway answers callers of this one by a version.
+    /// Records the version with which another gateway serves callers of this one.
     pub(crate) fn record_peer_version(&self, version: u64) {
-        self.seen.fetch_max(version, Ordering::Relaxed);
+        self.peer_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Whether callers of this node were answered by a later version than the one in force here:
-    /// what that changed must not be as it was before.
+    /// Whether callers of this gateway were served with a later version than the one in force
+    /// here, whose changes must not be reverted.
     pub(crate) fn is_superseded(&self) -> bool {
-        let held = self.plan.load().as_ref().map_or(0, |held| held.version());
-        held < self.seen.load(Ordering::Relaxed)
+        let current = self
+            .plan
+            .load()
+            .as_ref()
+            .map_or(0, |current| current.version());
+        current < self.peer_version.load(Ordering::Relaxed)
     }
 
-    /// Notes that no newer configuration had been accepted at an instant, in
-    /// milliseconds of this process's clock.
+    /// Records that the configuration was up to date at an instant, in milliseconds of this
+    /// process's clock.
     pub(crate) fn confirm(&self, at_ms: u64) {
         self.confirmed_ms.fetch_max(at_ms, Ordering::Relaxed);
     }
 
-    /// When it was last known that no newer configuration had been accepted, in
-    /// milliseconds after an instant of this process's clock; negative if before.
-    pub(crate) fn confirmed_since_ms(&self, than_ms: u64) -> i64 {
+    /// When the configuration was last known to be up to date, in milliseconds after an instant of
+    /// this process's clock; negative if before.
+    pub(crate) fn confirmed_since_ms(&self, since_ms: u64) -> i64 {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
-        i64::try_from(confirmed_ms).unwrap_or(i64::MAX) - i64::try_from(than_ms).unwrap_or(i64::MAX)
+        i64::try_from(confirmed_ms).unwrap_or(i64::MAX)
+            - i64::try_from(since_ms).unwrap_or(i64::MAX)
     }
 
-    /// Whether it was last known to be in force before a suspension of the machine: whatever
-    /// was learnt before may have changed meanwhile.
+    /// Whether the configuration was last confirmed before a suspension of the machine, in which
+    /// it may have changed.
     pub(crate) fn predates_suspension(&self) -> bool {
         let woke_ms = clock::last_resume_ms();
         woke_ms > 0 && self.confirmed_ms.load(Ordering::Relaxed) < woke_ms
     }
 
-    /// Notes that this node itself reached the key-value service with a call that
-    /// began at an instant, in milliseconds of this process's clock.
+    /// Records a successful call to the key-value service that started at an instant, in
+    /// milliseconds of this process's clock.
     pub(crate) fn record_kv_contact(&self, at_ms: u64) {
-        self.reached_ms.fetch_max(at_ms, Ordering::Relaxed);
+        self.kv_contact_ms.fetch_max(at_ms, Ordering::Relaxed);
     }
 
-    /// Time since this node itself reached the key-value service, in milliseconds.
+    /// Time since the last successful call to the key-value service, in milliseconds.
     pub(crate) fn kv_contact_age_ms(&self) -> u64 {
-        clock::now_ms().saturating_sub(self.reached_ms.load(Ordering::Relaxed))
+        clock::now_ms().saturating_sub(self.kv_contact_ms.load(Ordering::Relaxed))
     }
 
-    /// Whether what is known here of servers and gateways is about what others know.
+    /// Whether the servers and gateways known here are up to date.
     pub(crate) fn is_fresh(&self) -> bool {
-        self.age_ms() <= IN_TOUCH_MS && !self.predates_suspension()
+        self.age_ms() <= FRESH_MS && !self.predates_suspension()
     }
 
-    /// Time since it was last known that no newer configuration had been
-    /// accepted, in milliseconds.
+    /// Time since the configuration was last known to be up to date, in milliseconds.
     pub(crate) fn age_ms(&self) -> u64 {
         clock::now_ms().saturating_sub(self.confirmed_ms.load(Ordering::Relaxed))
     }
