--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,8 +1,8 @@
-//! Following the key-value service: configuration, servers and gateways.
+//! Lists the key-value service's keys, then follows their changes and applies them.
 
-mod contents;
+mod applier;
+mod cold_shares;
 mod servers;
-mod shares;
 mod source;
 mod zones;
 
@@ -15,23 +15,23 @@
 use mulberryyoke_wire::relay::Relayed;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use self::contents::Contents;
+use self::applier::Applier;
 use self::source::{Source, Sources};
 use crate::clock;
 use crate::core::Core;
 
-/// Least time between two calls for changes, in milliseconds: each call is paid for,
-/// and a burst of changes is learnt by a few calls.
-const PACE_MS: u64 = 200;
+/// Minimum interval between two calls for changes, in milliseconds: calls are billed, and one
+/// call returns a whole burst of changes.
+const MIN_POLL_INTERVAL_MS: u64 = 200;
 
-/// Pauses after failed calls, in milliseconds.
-const PAUSE_MS: (u64, u64) = (50, 400);
+/// Minimum and maximum delay before retrying a failed call, in milliseconds.
+const RETRY_DELAY_MS: (u64, u64) = (50, 400);
 
-/// Follows the service until the gateway ends.
+/// Follows the key-value service until the gateway stops.
 pub(crate) async fn run(core: Arc<Core>) {
     let end = core.shutdown.terminate.clone();
     let mut follower = Follower {
-        contents: Contents::new(&core),
+        applier: Applier::new(&core),
         sources: Sources::new(Arc::clone(&core.feed)),
         core,
         is_down: false,
@@ -45,104 +45,106 @@
 struct Follower {
     core: Arc<Core>,
     sources: Sources,
-    contents: Contents,
+    applier: Applier,
+    /// Whether the last call failed.
     is_down: bool,
 }
 
 impl Follower {
     async fn run(&mut self) {
-        let mut backoff = Backoff::new(PAUSE_MS.0, PAUSE_MS.1);
+        let mut backoff = Backoff::new(RETRY_DELAY_MS.0, RETRY_DELAY_MS.1);
         loop {
-            let begun_ms = clock::now_ms();
-            let source = self.sources.choose(&self.core);
-            let listed = self.sources.list(source).await;
-            match listed.and_then(|listing| self.no_older(source, listing)) {
+            let started_ms = clock::now_ms();
+            let source = self.sources.select(&self.core);
+            let listing = self.sources.list(source).await;
+            match listing.and_then(|listing| self.reject_stale(source, listing)) {
                 Ok(listing) => {
                     backoff.reset();
                     let position = position(&listing);
-                    self.up(source);
+                    self.record_success(source);
                     let writes = listing.writes.iter().cloned();
                     self.core.mirror.reset(writes, position);
-                    let contents = &mut self.contents;
+                    let applier = &mut self.applier;
                     self.core
                         .registry
-                        .batch(|| contents.take_listing(listing.writes, position));
-                    contents.settle();
-                    self.confirm(source, begun_ms, listing.known_ms);
+                        .batch(|| applier.apply_listing(listing.writes, position));
+                    applier.update_cold_shares();
+                    self.confirm(source, started_ms, listing.known_ms);
                     self.watch(position, &mut backoff).await;
                 }
-                Err(error) => self.pause(source, &error, &mut backoff).await,
+                Err(error) => self.back_off(source, &error, &mut backoff).await,
             }
         }
     }
 
-    /// Follows changes until the history needed is gone, or the service came back from a copy.
+    /// Applies changes until a new listing is needed: the history was compacted, or the service
+    /// was restored from a backup.
     async fn watch(&mut self, mut known: Position, backoff: &mut Backoff) {
         loop {
-            let (begun, begun_ms) = (Instant::now(), clock::now_ms());
-            let source = self.sources.choose(&self.core);
+            let (started, started_ms) = (Instant::now(), clock::now_ms());
+            let source = self.sources.select(&self.core);
             let changes = self.sources.changes(source, known).await;
-            match changes.and_then(|changes| self.no_older(source, changes)) {
-                // Its revisions say nothing beside those of the era before.
+            match changes.and_then(|changes| self.reject_stale(source, changes)) {
+                // Revisions of different eras are not comparable.
                 Ok(changes) if changes.era > known.era => return,
                 Ok(changes) => {
                     backoff.reset();
-                    self.up(source);
+                    self.record_success(source);
                     known = known.max(position(&changes));
-                    self.core.mirror.extend(&changes.writes, known);
+                    self.core.mirror.apply(&changes.writes, known);
                     let known_ms = changes.known_ms;
-                    let contents = &mut self.contents;
+                    let applier = &mut self.applier;
                     self.core
                         .registry
-                        .batch(|| contents.take_changes(changes.writes, known));
-                    self.confirm(source, begun_ms, known_ms);
+                        .batch(|| applier.apply_changes(changes.writes, known));
+                    self.confirm(source, started_ms, known_ms);
                 }
                 Err(Error::Compacted(_)) => return,
-                Err(error) => self.pause(source, &error, backoff).await,
+                Err(error) => self.back_off(source, &error, backoff).await,
             }
-            self.contents.expire();
-            sleep_until(clock::after(begun, PACE_MS)).await;
+            self.applier.expire();
+            sleep_until(clock::after(started, MIN_POLL_INTERVAL_MS)).await;
         }
     }
 
-    /// What a source told, unless that is older than what is known here: a peer may lag. Within
-    /// its era the service itself is never behind.
-    fn no_older(&self, source: Source, relayed: Relayed) -> Result<Relayed, Error> {
-        let (told, known) = (position(&relayed), self.contents.position());
-        let is_behind = match source {
-            Source::Store => told.era < known.era,
-            Source::Peer(_) => told < known,
+    /// Rejects a response that is older than the state applied here: a peer may lag. The service
+    /// itself is never behind within an era.
+    fn reject_stale(&self, source: Source, relayed: Relayed) -> Result<Relayed, Error> {
+        let (received, known) = (position(&relayed), self.applier.position());
+        let is_stale = match source {
+            Source::Store => received.era < known.era,
+            Source::Peer(_) => received < known,
         };
-        if is_behind {
-            let why = format!("it tells {told}, before {known}");
+        if is_stale {
+            let why = format!("response at {received} is older than the known {known}");
             return Err(Error::Unknown(Cause::Unreadable(why)));
         }
         Ok(relayed)
     }
 
-    /// Notes that all writes are known up to `known_ms` milliseconds after a call
-    /// came to its source, which is no earlier than it began.
-    fn confirm(&self, source: Source, begun_ms: u64, known_ms: i64) {
+    /// Records that all writes are known up to `known_ms` milliseconds after the source received
+    /// a call. That was no earlier than `started_ms`, when the call was made.
+    fn confirm(&self, source: Source, started_ms: u64, known_ms: i64) {
         self.core
             .view
-            .confirm(begun_ms.saturating_add_signed(known_ms));
+            .confirm(started_ms.saturating_add_signed(known_ms));
         if source == Source::Store {
-            self.core.view.record_kv_contact(begun_ms);
+            self.core.view.record_kv_contact(started_ms);
         }
     }
 
-    async fn pause(&mut self, source: Source, error: &Error, backoff: &mut Backoff) {
+    async fn back_off(&mut self, source: Source, error: &Error, backoff: &mut Backoff) {
         let now = Instant::now();
-        self.sources.fail(source, error);
+        self.sources.record_failure(source, error);
         if source == Source::Store {
-            self.contents.fail(now);
+            self.applier.record_failure(now);
         }
         if !self.is_down {
             self.is_down = true;
             log!(self.core.logger, Event::KvDown,
-                "source" => source.word(), "error" => error.to_string());
+                "source" => source.name(), "error" => error.to_string());
         }
-        self.contents.expire();
+        self.applier.expire();
         let std_now = now.into_std();
         let until = backoff.next(std_now, &mut rand::rng());
         sleep(
@@ -153,12 +155,12 @@
         .await;
     }
 
-    fn up(&mut self, source: Source) {
-        self.sources.succeed(source);
+    fn record_success(&mut self, source: Source) {
+        self.sources.record_success(source);
         if self.is_down {
             self.is_down = false;
-            self.contents.recover(Instant::now());
-            log!(self.core.logger, Event::KvUp, "source" => source.word());
+            self.applier.record_recovery(Instant::now());
+            log!(self.core.logger, Event::KvUp, "source" => source.name());
         }
     }
 }
--- a/crates/gateway/src/follow/contents.rs
+++ b/crates/gateway/src/follow/applier.rs
@@ -1,5 +1,5 @@
-//! What the key-value service holds, put in force here: configuration, servers, gateways,
-//! evacuated availability zones and convictions.
+//! Applies keys of the key-value service: configuration, servers, gateways, evacuated
+//! availability zones and convictions.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use mulberryyoke_wire::relay::Write;
 use tokio::time::Instant;
 
+use super::cold_shares::ColdShares;
 use super::servers::Servers;
-use super::shares::Shares;
 use super::zones::Zones;
 use crate::clock;
 use crate::core::Core;
@@ -19,26 +19,25 @@
 use crate::protocol::ParseError;
 use crate::quarantine;
 
-/// Time for which a key is still taken to be there that a copy lacks from which the service came
-/// back, in milliseconds: gateways register again within two seconds, and operators write again
-/// what they had written.
-const RESTORE_MS: u64 = 10_000;
+/// Time for which a key stays in force that a restored backup lacks, in milliseconds: gateways
+/// register again within two seconds, and operators repeat their lost writes.
+const RESTORE_GRACE_MS: u64 = 10_000;
 
-/// What is known of the service's contents beside what is in force.
-pub(super) struct Contents {
+/// Applies listings and changes of the key-value service to this gateway's state.
+pub(super) struct Applier {
     core: Arc<Core>,
-    /// How far the service's writes are known; `None` before the first contents.
+    /// Position up to which writes are applied; `None` before the first listing.
     position: Option<Position>,
-    /// Keys that exist, but for those of servers.
+    /// Existing keys, except those of servers.
     keys: HashSet<String>,
-    /// When keys are taken to be gone that the service lacks since it came back from a copy.
+    /// Keys that a restored backup lacks, and when they expire.
     missing: HashMap<String, Instant>,
     servers: Servers,
     zones: Zones,
-    shares: Shares,
+    cold_shares: ColdShares,
 }
 
-impl Contents {
+impl Applier {
     pub(super) fn new(core: &Arc<Core>) -> Self {
         Self {
             core: Arc::clone(core),
@@ -47,27 +46,27 @@
             missing: HashMap::new(),
             servers: Servers::new(core),
             zones: Zones::new(core),
-            shares: Shares::new(core),
+            cold_shares: ColdShares::new(core),
         }
     }
 
-    /// How far the service's writes are known; the very beginning before the first contents.
+    /// Position up to which writes are applied; the default position before the first listing.
     pub(super) fn position(&self) -> Position {
         self.position.unwrap_or_default()
     }
 
-    /// Notes that a call to the service failed.
-    pub(super) const fn fail(&mut self, now: Instant) {
-        self.servers.fail(now);
+    /// Records that a call to the service failed.
+    pub(super) const fn record_failure(&mut self, now: Instant) {
+        self.servers.record_failure(now);
     }
 
-    /// Notes that a source answers again.
-    pub(super) fn recover(&mut self, now: Instant) {
-        self.servers.recover(now);
+    /// Records that a source responds again.
+    pub(super) fn record_recovery(&mut self, now: Instant) {
+        self.servers.record_recovery(now);
     }
 
-    /// Takes in every key.
-    pub(super) fn take_listing(&mut self, writes: Vec<Write>, position: Position) {
+    /// Applies a listing of every key.
+    pub(super) fn apply_listing(&mut self, writes: Vec<Write>, position: Position) {
         let before = self.position.replace(position);
         let is_restored = before.is_some_and(|before| position.era > before.era);
         if is_restored {
@@ -76,92 +75,97 @@
             metrics::counter!("kv_restored_total").increment(1);
         }
         let prefix = self.core.protocol.servers_prefix();
-        let mut gone: HashSet<String> = self.servers.names().cloned().collect();
-        let mut absent: HashSet<String> = self.keys.clone();
+        let mut absent_servers: HashSet<String> = self.servers.names().cloned().collect();
+        let mut absent_keys: HashSet<String> = self.keys.clone();
         for write in writes {
             if let Some(name) = write.key.strip_prefix(prefix) {
-                gone.remove(name);
+                absent_servers.remove(name);
                 let value = write.value.unwrap_or_default();
                 if is_restored {
-                    self.servers.restore(name, &value, write.revision);
+                    self.servers.apply_restored(name, &value, write.revision);
                 } else {
-                    self.servers.write(name, &value, write.revision);
+                    self.servers.apply(name, &value, write.revision);
                 }
             } else {
-                absent.remove(&write.key);
-                self.put(write);
+                absent_keys.remove(&write.key);
+                self.apply_put(write);
             }
         }
-        self.lose(&gone, &absent, is_restored);
-        self.shares.members.start(clock::now_ms());
+        self.remove_absent(&absent_servers, &absent_keys, is_restored);
+        self.cold_shares.members.start(clock::now_ms());
     }
 
-    /// Notes that servers and keys are no longer there: for good, or, if a copy lacks them from
-    /// which the service came back, until they had time to be written again.
-    fn lose(&mut self, servers: &HashSet<String>, keys: &HashSet<String>, is_restored: bool) {
-        let until = clock::after(Instant::now(), RESTORE_MS);
+    /// Removes servers and keys that a listing lacks: at once, or, after a restore from a backup,
+    /// unless they are written again in time.
+    fn remove_absent(
+        &mut self,
+        servers: &HashSet<String>,
+        keys: &HashSet<String>,
+        is_restored: bool,
+    ) {
+        let expires_at = clock::after(Instant::now(), RESTORE_GRACE_MS);
         for name in servers {
             if is_restored {
-                self.servers.miss(name);
+                self.servers.mark_missing(name);
             } else {
                 self.servers.remove(name);
             }
         }
         for key in keys {
             if is_restored {
-                self.missing.insert(key.clone(), until);
+                self.missing.insert(key.clone(), expires_at);
                 if let Some(digest) = quarantine::digest_of(key) {
                     quarantine::rewrite(&self.core, digest);
                 }
             } else if !self.missing.contains_key(key) {
-                self.forget(key);
+                self.apply_delete(key);
             }
         }
     }
 
-    /// Takes in writes in the order of their revisions.
-    pub(super) fn take_changes(&mut self, writes: Vec<Write>, position: Position) {
+    /// Applies writes in the order of their revisions.
+    pub(super) fn apply_changes(&mut self, writes: Vec<Write>, position: Position) {
         self.position = Some(position);
         let prefix = self.core.protocol.servers_prefix();
         for write in writes {
             let name = write.key.strip_prefix(prefix);
             match (&write.value, name) {
-                (Some(value), Some(name)) => self.servers.write(name, value, write.revision),
+                (Some(value), Some(name)) => self.servers.apply(name, value, write.revision),
                 (None, Some(name)) => self.servers.remove(name),
-                (Some(_), None) => self.put(write),
-                (None, None) => self.forget(&write.key),
+                (Some(_), None) => self.apply_put(write),
+                (None, None) => self.apply_delete(&write.key),
             }
         }
     }
 
-    /// Finds what this gateway may send to cold servers once all changes are in force.
-    pub(super) fn settle(&mut self) {
-        self.shares.settle();
+    /// Updates this gateway's shares of cold servers after all changes are applied.
+    pub(super) fn update_cold_shares(&mut self) {
+        self.cold_shares.update();
     }
 
-    /// Takes to be gone what is missing for long.
+    /// Removes servers and keys whose grace period is over.
     pub(super) fn expire(&mut self) {
         self.servers.expire();
         let now = Instant::now();
-        let due = self.missing.iter().filter(|(_, until)| **until <= now);
-        let due: Vec<String> = due.map(|(key, _)| key.clone()).collect();
-        for key in due {
-            self.forget(&key);
+        let expired = self.missing.iter().filter(|(_, at)| **at <= now);
+        let expired: Vec<String> = expired.map(|(key, _)| key.clone()).collect();
+        for key in expired {
+            self.apply_delete(&key);
         }
-        self.shares.settle();
+        self.cold_shares.update();
     }
 
-    fn put(&mut self, write: Write) {
+    fn apply_put(&mut self, write: Write) {
         let value = write.value.as_deref().unwrap_or_default();
         let (key, revision) = (write.key.as_str(), write.revision);
         self.missing.remove(key);
         let protocol = Arc::clone(&self.core.protocol);
         if key == protocol.config_key() {
-            self.configure(value, revision);
+            self.apply_config(value, revision);
         } else if let Some(zone) = key.strip_prefix(protocol.evacuations_prefix()) {
             self.zones.evacuate(zone);
         } else if let Some(digest) = quarantine::digest_of(key) {
-            self.convict(digest, value, revision);
+            self.apply_conviction(digest, value, revision);
         } else if let Some(name) = key.strip_prefix(exchange::PEERS_PREFIX) {
             self.set_peer(name, Peer::parse(value));
         } else if let Some(name) = key.strip_prefix(exchange::HANDOFFS_PREFIX) {
@@ -172,14 +176,14 @@
         self.keys.insert(write.key);
     }
 
-    fn forget(&mut self, key: &str) {
+    fn apply_delete(&mut self, key: &str) {
         self.keys.remove(key);
         let was_missing = self.missing.remove(key).is_some();
         let prefix = self.core.protocol.evacuations_prefix();
         if let Some(zone) = key.strip_prefix(prefix) {
-            self.zones.admit(zone);
+            self.zones.restore(zone);
         } else if let Some(digest) = quarantine::digest_of(key) {
-            // What is held against a request fades by itself; that it was lost clears nothing.
+            // A conviction expires by itself; its loss in a restore does not clear it.
             if !was_missing {
                 quarantine::release(&self.core, digest);
             }
@@ -190,18 +194,18 @@
         }
     }
 
-    /// Takes in what gateways found out of a request. One that an operator or a run that ended
-    /// well has cleared names no lives.
-    fn convict(&self, digest: Digest, value: &[u8], revision: Revision) {
+    /// Merges the crashes that gateways recorded for a request. A value without any means that an
+    /// operator or a successful run cleared it.
+    fn apply_conviction(&self, digest: Digest, value: &[u8], revision: Revision) {
         match quarantine::parse(digest, value) {
             Some(suspect) if suspect.crashes.is_empty() => quarantine::release(&self.core, digest),
             Some(suspect) => quarantine::receive(&self.core, &[suspect]),
             None => {
                 let error = ParseError {
-                    subject: "lives that ended under a request".to_owned(),
-                    reason: "they are no numbers".to_owned(),
+                    subject: "crashes under a request".to_owned(),
+                    reason: "server ids are not numbers".to_owned(),
                 };
-                self.unreadable(&digest.to_string(), revision, &error);
+                self.log_unreadable(&digest.to_string(), revision, &error);
             }
         }
     }
@@ -211,27 +215,27 @@
             return;
         }
         match peer {
-            Some(_) => self.shares.members.join(name),
-            None => self.shares.members.leave(name, clock::now_ms()),
+            Some(_) => self.cold_shares.members.join(name),
+            None => self.cold_shares.members.leave(name, clock::now_ms()),
         }
         self.core.exchange.set_peer(name, peer);
     }
 
-    fn configure(&mut self, value: &[u8], revision: Revision) {
+    fn apply_config(&mut self, value: &[u8], revision: Revision) {
         match self.core.protocol.parse_config(value) {
             Ok(plan) => {
                 let version = plan.version();
                 if self.core.view.apply(plan) {
-                    self.shares.members.invalidate();
+                    self.cold_shares.members.invalidate();
                     log!(self.core.logger, Event::ConfigApplied,
                         "revision" => revision, "version" => version, "view_age_ms" => self.core.view.age_ms());
                 }
             }
-            Err(error) => self.unreadable(self.core.protocol.config_key(), revision, &error),
+            Err(error) => self.log_unreadable(self.core.protocol.config_key(), revision, &error),
         }
     }
 
-    fn unreadable(&self, key: &str, revision: Revision, error: &ParseError) {
+    fn log_unreadable(&self, key: &str, revision: Revision, error: &ParseError) {
         log!(self.core.logger, Event::ConfigUnreadable,
             "key" => key, "revision" => revision, "error" => error.to_string());
     }
--- a/crates/gateway/src/follow/shares.rs
+++ b/crates/gateway/src/follow/cold_shares.rs
@@ -1,4 +1,5 @@
-//! What this gateway may send to cold servers, kept as gateways come and go.
+//! This gateway's shares of the request rate that cold servers accept, updated as gateways join
+//! and leave.
 
 use std::sync::Arc;
 
@@ -9,13 +10,13 @@
 use crate::clock;
 use crate::core::Core;
 
-/// What this gateway may send to cold servers.
-pub(super) struct Shares {
+/// Divides the request rate of cold servers among the gateways.
+pub(super) struct ColdShares {
     core: Arc<Core>,
     pub(super) members: Members,
 }
 
-impl Shares {
+impl ColdShares {
     pub(super) fn new(core: &Arc<Core>) -> Self {
         Self {
             core: Arc::clone(core),
@@ -23,13 +24,13 @@
         }
     }
 
-    /// Finds the shares of the servers that are cold and of which they are not yet found.
-    pub(super) fn settle(&mut self) {
+    /// Recomputes the shares of cold servers after the set of gateways has changed.
+    pub(super) fn update(&mut self) {
         let now = clock::now_ms();
         self.members.expire(now);
         let view = self.members.view(now);
-        let used = self.core.registry.subset();
-        let cold = used
+        let servers = self.core.registry.subset();
+        let cold = servers
             .iter()
             .filter(|backend| backend.cold.is_cold(now) && backend.cold.is_share_stale(view));
         let cold: Vec<&Arc<Backend>> = cold.collect();
@@ -39,7 +40,7 @@
         let own = name_hash(&self.core.settings.load().name);
         let ranks = self.members.ranks(now);
         for backend in cold {
-            let requests = self.requests(backend);
+            let requests = self.requests_per_s(backend);
             let share = match &ranks {
                 Some(ranks) => share(backend.server.id, requests, own, ranks.iter().copied()),
                 None => 0,
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Requests a second that a server bears from all gateways together while it is cold.
-    fn requests(&self, backend: &Backend) -> u32 {
+    /// Requests per second that a cold server accepts from all gateways together.
+    fn requests_per_s(&self, backend: &Backend) -> u32 {
         let plan = self.core.view.plan();
         let pool = plan
             .as_ref()
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -1,4 +1,4 @@
-//! Servers as they are registered in the key-value service.
+//! Applies registrations of servers in the key-value service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,92 +14,90 @@
 use crate::server::Server;
 use crate::{cache_report, quarantine};
 
-/// Time for which a server stays in use that lapsed while the service failed, in
-/// milliseconds: those that are alive register again within it.
-const LAPSE_MS: u64 = 1_500;
+/// Time for which a server stays in use whose registration lapsed in an outage of the service, in
+/// milliseconds: servers that are alive register again within it.
+const LAPSE_GRACE_MS: u64 = 1_500;
 
-/// As [`LAPSE_MS`], for servers that a copy lacks from which the service came back: they
-/// register again with their next heartbeat, and it takes as long for the registrations to
-/// be in force.
-const RESTORE_MS: u64 = 2_500;
+/// As [`LAPSE_GRACE_MS`], for servers that a restored backup lacks: they register again with
+/// their next heartbeat, and it takes as long until the registrations are applied.
+const RESTORE_GRACE_MS: u64 = 2_500;
 
-/// Time after the service is back in which registrations that lapsed while it
-/// failed are seen to be gone, in milliseconds. Later ones end for another reason.
-const FAULT_MS: u64 = 500;
+/// Time after the service failed or recovered in which an ended registration counts as lapsed in
+/// the outage, in milliseconds. Later ones end for another reason.
+const OUTAGE_MS: u64 = 500;
 
-/// Time after its last failed call in which the service is taken to have failed until now, in
-/// milliseconds: while it fails it is asked at least this often, a call that hangs included.
-/// Later, a source that answers again is a peer, and registrations that end do so for good.
-const RECENT_MS: u64 = 2_000;
+/// Longest interval between two calls to the failing service, in milliseconds, a call that hangs
+/// included. If its last failure is older, the source that responds again is a peer, and
+/// registrations that end count as ended.
+const MAX_FAILURE_AGE_MS: u64 = 2_000;
 
-/// Time for which servers are remembered that are gone, in milliseconds: a copy from which the
-/// service comes back is some seconds old and may still have them.
-const GONE_MS: u64 = 60_000;
+/// Time for which removed servers are remembered, in milliseconds: a restored backup is some
+/// seconds old and may still contain them.
+const REMOVED_RETENTION_MS: u64 = 60_000;
 
-/// Servers as they are registered.
+/// Tracks the registrations of servers and updates the registry.
 pub(super) struct Servers {
     core: Arc<Core>,
-    /// Revision of the last write seen of each.
-    known: HashMap<String, Revision>,
-    /// When servers that lapsed are taken to be gone.
+    /// Revision of the latest applied write, by name.
+    revisions: HashMap<String, Revision>,
+    /// When servers without a registration are removed, by name.
     lapsing: HashMap<String, Instant>,
-    /// When servers ended that are gone.
-    gone: HashMap<String, Instant>,
+    /// When servers were removed, by name.
+    removed: HashMap<String, Instant>,
     /// When a call to the service last failed.
-    failed: Option<Instant>,
-    /// When it was last back.
-    recovered: Option<Instant>,
+    last_failure: Option<Instant>,
+    /// When the service last recovered.
+    last_recovery: Option<Instant>,
 }
 
 impl Servers {
     pub(super) fn new(core: &Arc<Core>) -> Self {
         Self {
             core: Arc::clone(core),
-            known: HashMap::new(),
+            revisions: HashMap::new(),
             lapsing: HashMap::new(),
-            gone: HashMap::new(),
-            failed: None,
-            recovered: None,
+            removed: HashMap::new(),
+            last_failure: None,
+            last_recovery: None,
         }
     }
 
-    /// Notes that a call to the service failed.
-    pub(super) const fn fail(&mut self, now: Instant) {
-        self.failed = Some(now);
+    /// Records that a call to the service failed.
+    pub(super) const fn record_failure(&mut self, now: Instant) {
+        self.last_failure = Some(now);
     }
 
-    /// Notes that a source answers again: the service, if that was failing.
-    pub(super) fn recover(&mut self, now: Instant) {
-        let failed = self.failed;
-        if failed.is_some_and(|at| clock::between_ms(at, now) < RECENT_MS) {
-            self.recovered = Some(now);
+    /// Records that a source responds again: the service, if it failed recently.
+    pub(super) fn record_recovery(&mut self, now: Instant) {
+        let failure = self.last_failure;
+        if failure.is_some_and(|at| clock::between_ms(at, now) < MAX_FAILURE_AGE_MS) {
+            self.last_recovery = Some(now);
         }
     }
 
-    /// The names that are registered.
+    /// Names of the registered servers.
     pub(super) fn names(&self) -> impl Iterator<Item = &String> {
-        self.known.keys()
+        self.revisions.keys()
     }
 
-    /// Takes in a registration.
-    pub(super) fn write(&mut self, name: &str, value: &[u8], revision: Revision) {
-        let known = self.known.get(name).copied().unwrap_or(0);
+    /// Applies a registration unless it is already known.
+    pub(super) fn apply(&mut self, name: &str, value: &[u8], revision: Revision) {
+        let known = self.revisions.get(name).copied().unwrap_or(0);
         if revision > known {
-            self.known.insert(name.to_owned(), revision);
+            self.revisions.insert(name.to_owned(), revision);
             self.register(name, value, revision);
         }
     }
 
-    /// Takes in a registration as a copy has it from which the service came back: it may be
-    /// older than what is known here, and brings no server back that leaves or is gone. What
-    /// the server itself writes again is newer.
-    pub(super) fn restore(&mut self, name: &str, value: &[u8], revision: Revision) {
-        self.known.insert(name.to_owned(), revision);
-        let held = self.core.registry.get(name);
-        let is_closed = held.is_some_and(|held| held.is_closed());
+    /// Applies a registration from a restored backup. It may be outdated, so it does not bring
+    /// back a server that is leaving or removed; the server's own next write does.
+    pub(super) fn apply_restored(&mut self, name: &str, value: &[u8], revision: Revision) {
+        self.revisions.insert(name.to_owned(), revision);
+        let current = self.core.registry.get(name);
+        let is_closed = current.is_some_and(|current| current.is_closed());
         let is_ready = matches!(self.core.protocol.parse_server(name, value),
             Ok(Server { is_leaving, .. }) if !is_leaving);
-        if is_ready && (is_closed || self.gone.contains_key(name)) {
+        if is_ready && (is_closed || self.removed.contains_key(name)) {
             log!(self.core.logger, Event::ServerHeldOver, "server" => name, "revision" => revision);
             return;
         }
@@ -108,13 +106,13 @@
 
     fn register(&mut self, name: &str, value: &[u8], revision: Revision) {
         self.lapsing.remove(name);
-        self.gone.remove(name);
+        self.removed.remove(name);
         let server = match self.core.protocol.parse_server(name, value) {
             Ok(server) => server,
             Err(error) => {
-                self.unreadable(name, revision, &error);
-                // Whoever wrote it: it names no server to use, an earlier one included.
-                return self.drop_server(name, "registration unreadable");
+                self.log_unreadable(name, revision, &error);
+                // An unreadable registration ends the use of the server that it replaced.
+                return self.remove_server(name, "registration unreadable");
             }
         };
         let is_leaving = server.is_leaving;
@@ -129,7 +127,7 @@
             backend.cold.extend(clock::now_ms() + left_ms);
         }
         if is_new {
-            self.replaced(name, before);
+            self.end_replaced(name, before);
             log!(self.core.logger, Event::ServerSeen,
                 "server" => name, "leaving" => is_leaving, "revision" => revision);
             if let Some(backend) = backend.filter(|_| !is_leaving) {
@@ -138,66 +136,71 @@
         }
     }
 
-    /// Notes that another life of a server has taken the place of one.
-    fn replaced(&self, name: &str, before: Option<Arc<Backend>>) {
-        let now = self.core.registry.get(name).map(|now| now.server.id);
+    /// Records the end of an instance that another one replaced.
+    fn end_replaced(&self, name: &str, before: Option<Arc<Backend>>) {
+        let current = self
+            .core
+            .registry
+            .get(name)
+            .map(|current| current.server.id);
         let is_other =
-            |before: &Arc<Backend>| now != Some(before.server.id) && !before.server.is_leaving;
-        self.lapse(before.filter(is_other));
+            |before: &Arc<Backend>| current != Some(before.server.id) && !before.server.is_leaving;
+        self.record_end(before.filter(is_other));
     }
 
-    /// Notes that a life of a server is over that was in use.
-    fn lapse(&self, backend: Option<Arc<Backend>>) {
+    /// Records that an instance that was in use has ended.
+    fn record_end(&self, backend: Option<Arc<Backend>>) {
         if let Some(backend) = backend {
             tokio::spawn(quarantine::record_lapse(Arc::clone(&self.core), backend));
         }
     }
 
-    /// Notes that a copy lacks a server from which the service came back.
-    pub(super) fn miss(&mut self, name: &str) {
-        self.known.remove(name);
-        let until = clock::after(Instant::now(), RESTORE_MS);
-        self.lapsing.entry(name.to_owned()).or_insert(until);
+    /// Schedules the removal of a server that a restored backup lacks.
+    pub(super) fn mark_missing(&mut self, name: &str) {
+        self.revisions.remove(name);
+        let removed_at = clock::after(Instant::now(), RESTORE_GRACE_MS);
+        self.lapsing.entry(name.to_owned()).or_insert(removed_at);
     }
 
-    /// Notes that a registration has ended.
+    /// Removes a server whose registration ended; after a grace period if the service failed
+    /// recently.
     pub(super) fn remove(&mut self, name: &str) {
-        self.known.remove(name);
+        self.revisions.remove(name);
         let now = Instant::now();
-        let faults = [self.failed, self.recovered];
-        let mut faults = faults.into_iter().flatten();
-        let has_failed = faults.any(|at| clock::between_ms(at, now) < FAULT_MS);
+        let outages = [self.last_failure, self.last_recovery];
+        let mut outages = outages.into_iter().flatten();
+        let has_failed = outages.any(|at| clock::between_ms(at, now) < OUTAGE_MS);
         if has_failed {
-            let until = clock::after(now, LAPSE_MS);
-            self.lapsing.entry(name.to_owned()).or_insert(until);
+            let removed_at = clock::after(now, LAPSE_GRACE_MS);
+            self.lapsing.entry(name.to_owned()).or_insert(removed_at);
             return;
         }
         let backend = self.core.registry.get(name);
-        self.lapse(backend.filter(|backend| !backend.is_closed()));
-        self.drop_server(name, "registration ended");
+        self.record_end(backend.filter(|backend| !backend.is_closed()));
+        self.remove_server(name, "registration ended");
     }
 
-    /// Takes servers to be gone that lapsed and have not come back.
+    /// Removes servers that have not registered again within the grace period.
     pub(super) fn expire(&mut self) {
         let now = Instant::now();
-        let due = self.lapsing.iter().filter(|(_, until)| **until <= now);
-        let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
-        for name in due {
+        let expired = self.lapsing.iter().filter(|(_, at)| **at <= now);
+        let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
+        for name in expired {
             self.lapsing.remove(&name);
-            self.drop_server(&name, "registration lapsed");
+            self.remove_server(&name, "registration lapsed");
         }
-        self.gone
-            .retain(|_, at| clock::between_ms(*at, now) < GONE_MS);
+        self.removed
+            .retain(|_, at| clock::between_ms(*at, now) < REMOVED_RETENTION_MS);
     }
 
-    fn drop_server(&mut self, name: &str, why: &str) {
+    fn remove_server(&mut self, name: &str, why: &str) {
         if self.core.registry.remove(name) {
-            self.gone.insert(name.to_owned(), Instant::now());
+            self.removed.insert(name.to_owned(), Instant::now());
             log!(self.core.logger, Event::ServerGone, "server" => name, "why" => why);
         }
     }
 
-    fn unreadable(&self, name: &str, revision: Revision, error: &ParseError) {
+    fn log_unreadable(&self, name: &str, revision: Revision, error: &ParseError) {
         log!(self.core.logger, Event::ConfigUnreadable,
             "key" => name, "revision" => revision, "error" => error.to_string());
     }
--- a/crates/gateway/src/follow/source.rs
+++ b/crates/gateway/src/follow/source.rs
@@ -1,4 +1,4 @@
-//! Where a node learns the key-value service's contents: there, or from a peer.
+//! Sources of the key-value service's contents: the service itself or a peer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,47 +15,42 @@
 use crate::clock;
 use crate::core::Core;
 
-/// Longest time that a call of the key-value service for changes waits, in
-/// milliseconds: the age of the configuration is known at least this often. Each
-/// call is paid for. After a failure it does not wait, so that a call that hangs is
-/// given up, and the service's return seen, the sooner.
+/// Longest time that a call to the key-value service waits for changes, in milliseconds: the age
+/// of the configuration is updated at least this often. Calls are billed. After a failure they do
+/// not wait, to detect hanging calls and recovery sooner.
 const STORE_WAIT_MS: u64 = 700;
 
-/// Longest time that a peer's call waits, in milliseconds: with two silent peers and
-/// then the service itself, a change is still in force within three seconds.
+/// Longest time that a call to a peer waits for changes, in milliseconds: a change is applied
+/// within three seconds even if two peers and then the service are tried.
 const PEER_WAIT_MS: u64 = 600;
 
-/// Longest time to connect to a peer, in milliseconds.
-const CONNECT_MS: u64 = 300;
+/// Timeout of connecting to a peer, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// Longest time of a call to a peer beyond the time that it waits, in milliseconds.
-const CALL_MS: u64 = 300;
+/// Timeout of a call to a peer beyond the time that it waits for changes, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 300;
 
-/// Largest answer of a peer, in bytes: a configuration of a megabyte and the servers.
-const ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size of a peer's response, in bytes: a configuration of a megabyte and the servers.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Time for which a peer that failed is not asked again, in milliseconds, while
-/// there is another source.
-const AVOID_PEER_MS: u64 = 3_000;
+/// Time for which a failed peer is not called again while there is another source, in
+/// milliseconds.
+const PEER_BACKOFF_MS: u64 = 3_000;
 
-/// As [`AVOID_PEER_MS`], for the service itself, as peers may be out of touch as well, and,
-/// while the service fails, for a peer that answered that it is: once it is back in touch, those
-/// that ask it know within a second. With three seconds nodes knew 1.8 s after the first of them
-/// had reached the service. Where the service answers, it is asked rather than such a peer.
-const AVOID_SHORT_MS: u64 = 500;
+/// As [`PEER_BACKOFF_MS`], for the service itself, and, while the service fails, for a peer that
+/// responded with stale data: changes then spread within a second of the service's recovery.
+const SHORT_BACKOFF_MS: u64 = 500;
 
-/// Longest time that a call waits at a peer while the service itself fails, in
-/// milliseconds: the peer may be waiting in vain as well.
+/// As [`PEER_WAIT_MS`], while any source fails: the peer's own source may be failing as well.
 const FAILOVER_WAIT_MS: u64 = 200;
 
-/// Age of what a peer knows from which it is asked no more, in milliseconds: the
-/// peer itself is out of touch.
+/// Age from which a peer's data is rejected as stale, in milliseconds.
 const STALE_MS: u64 = 2_600;
 
-/// Every key: one call tells configuration, servers and gateways alike.
-const EVERY_KEY: &str = "";
+/// Prefix of every key: one call returns configuration, servers and gateways.
+const ALL_KEYS: &str = "";
 
-/// One that can be asked.
+/// A source of the contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     Store,
@@ -63,8 +58,8 @@
 }
 
 impl Source {
-    /// Its name in logs.
-    pub(super) fn word(self) -> String {
+    /// Name in logs.
+    pub(super) fn name(self) -> String {
         match self {
             Self::Store => "key-value service".to_owned(),
             Self::Peer(address) => address.to_string(),
@@ -72,12 +67,13 @@
     }
 }
 
-/// Those that can be asked, and until when those that failed are not.
+/// Selects and calls sources, and backs off from failed ones.
 pub(super) struct Sources {
     feed: Arc<dyn Feed>,
     http: Http,
-    avoided: Vec<(Source, Instant)>,
-    /// Whether the last call to the service itself failed.
+    /// Failed sources, and until when they are not called.
+    backoffs: Vec<(Source, Instant)>,
+    /// Whether the last call to the service failed.
     is_store_down: bool,
 }
 
@@ -85,17 +81,17 @@
     pub(super) fn new(feed: Arc<dyn Feed>) -> Self {
         Self {
             feed,
-            http: Http::open(CONNECT_MS),
-            avoided: Vec::new(),
+            http: Http::open(CONNECT_TIMEOUT_MS),
+            backoffs: Vec::new(),
             is_store_down: false,
         }
     }
 
-    /// The source to ask now: for the first gateways in the order of the fleet the
-    /// service itself, for the others one of these; after a failure another.
-    pub(super) fn choose(&mut self, core: &Core) -> Source {
+    /// Selects the source of the next call: the service itself for the few gateways that watch
+    /// it, one of these for the others, and another one after a failure.
+    pub(super) fn select(&mut self, core: &Core) -> Source {
         let now = Instant::now();
-        self.avoided.retain(|(_, until)| *until > now);
+        self.backoffs.retain(|(_, until)| *until > now);
         let (is_watcher, peers) = core.exchange.watchers();
         let peers = peers.into_iter().map(Source::Peer);
         let mut order: Vec<Source> = peers.collect();
@@ -104,34 +100,38 @@
         } else {
             order.push(Source::Store);
         }
-        let is_open = |source: &Source| !self.avoided.iter().any(|(avoided, _)| avoided == source);
-        order.into_iter().find(is_open).unwrap_or(Source::Store)
+        let is_available =
+            |source: &Source| !self.backoffs.iter().any(|(failed, _)| failed == source);
+        order
+            .into_iter()
+            .find(is_available)
+            .unwrap_or(Source::Store)
     }
 
-    /// Notes that a source failed.
-    pub(super) fn fail(&mut self, source: Source, error: &Error) {
+    /// Records that a call to a source failed.
+    pub(super) fn record_failure(&mut self, source: Source, error: &Error) {
         self.is_store_down |= source == Source::Store;
-        let is_out_of_touch = matches!(error, Error::Unknown(Cause::Unreadable(_)));
-        let is_short = source == Source::Store || (self.is_store_down && is_out_of_touch);
-        let avoid_ms = if is_short {
-            AVOID_SHORT_MS
+        let is_stale = matches!(error, Error::Unknown(Cause::Unreadable(_)));
+        let is_short = source == Source::Store || (self.is_store_down && is_stale);
+        let backoff_ms = if is_short {
+            SHORT_BACKOFF_MS
         } else {
-            AVOID_PEER_MS
+            PEER_BACKOFF_MS
         };
-        let until = clock::after(Instant::now(), avoid_ms);
-        self.avoided.push((source, until));
+        let until = clock::after(Instant::now(), backoff_ms);
+        self.backoffs.push((source, until));
     }
 
-    /// Notes that a source answered.
-    pub(super) fn succeed(&mut self, source: Source) {
+    /// Records that a call to a source succeeded.
+    pub(super) fn record_success(&mut self, source: Source) {
         self.is_store_down &= source != Source::Store;
     }
 
-    /// Reads every key.
+    /// Lists every key.
     pub(super) async fn list(&self, source: Source) -> Result<Relayed, Error> {
         match source {
             Source::Store => {
-                let listing = self.feed.list(EVERY_KEY).await?;
+                let listing = self.feed.list(ALL_KEYS).await?;
                 let writes = listing.entries.into_iter().map(|pair| Write {
                     key: pair.key,
                     value: Some(pair.value),
@@ -144,19 +144,16 @@
                     era: listing.position.era,
                 })
             }
-            Source::Peer(address) => self.ask(address, LIST, 0).await,
+            Source::Peer(address) => self.fetch(address, LIST, 0).await,
         }
     }
 
-    /// Reads the writes after a position, or learns that the era is another one.
+    /// Reads the writes after a position. If the era changed, only the result's position counts.
     pub(super) async fn changes(&self, source: Source, after: Position) -> Result<Relayed, Error> {
         match source {
             Source::Store => {
                 let wait_ms = if self.is_store_down { 0 } else { STORE_WAIT_MS };
-                let changes = self
-                    .feed
-                    .changes(EVERY_KEY, after.revision, wait_ms)
-                    .await?;
+                let changes = self.feed.changes(ALL_KEYS, after.revision, wait_ms).await?;
                 let Position { era, revision } = changes.position;
                 if changes.events.is_empty() && changes.position > after {
                     return Err(Error::Compacted(revision));
@@ -174,37 +171,39 @@
                 })
             }
             Source::Peer(address) => {
-                let wait_ms = if self.avoided.is_empty() {
+                let wait_ms = if self.backoffs.is_empty() {
                     PEER_WAIT_MS
                 } else {
                     FAILOVER_WAIT_MS
                 };
                 let Position { era, revision } = after;
                 let path = format!("{CHANGES}?era={era}&after={revision}&wait_ms={wait_ms}");
-                self.ask(address, &path, wait_ms).await
+                self.fetch(address, &path, wait_ms).await
             }
         }
     }
 
-    async fn ask(&self, peer: SocketAddr, path: &str, wait_ms: u64) -> Result<Relayed, Error> {
-        let begun_ms = clock::now_ms();
-        let deadline = std::time::Instant::now() + Duration::from_millis(wait_ms + CALL_MS);
+    async fn fetch(&self, peer: SocketAddr, path: &str, wait_ms: u64) -> Result<Relayed, Error> {
+        let started_ms = clock::now_ms();
+        let deadline = std::time::Instant::now() + Duration::from_millis(wait_ms + CALL_TIMEOUT_MS);
         let request = http::request(Method::GET, peer, path, Bytes::new());
-        let sent = self.http.send(request, deadline).await;
-        let answer = sent.map_err(|failure| Error::Unknown(failure.cause))?;
-        if answer.status() == StatusCode::GONE {
+        let response = self.http.send(request, deadline).await;
+        let response = response.map_err(|failure| Error::Unknown(failure.cause))?;
+        if response.status() == StatusCode::GONE {
             return Err(Error::Compacted(0));
         }
-        let body = http::read(answer, ANSWER_BYTES, deadline).await;
+        let body = http::read(response, MAX_RESPONSE_BYTES, deadline).await;
         let body = body.map_err(|failure| Error::Unknown(failure.cause))?;
         let relayed = Relayed::decode(&body);
         let now_ms = clock::now_ms();
         let relayed = relayed.filter(|relayed| {
-            let known_ms = begun_ms.saturating_add_signed(relayed.known_ms);
+            let known_ms = started_ms.saturating_add_signed(relayed.known_ms);
             now_ms.saturating_sub(known_ms) < STALE_MS
         });
         relayed.ok_or_else(|| {
-            Error::Unknown(Cause::Unreadable("peer is out of touch itself".to_owned()))
+            Error::Unknown(Cause::Unreadable(
+                "peer's data is stale or malformed".to_owned(),
+            ))
         })
     }
 }
--- a/crates/gateway/src/follow/zones.rs
+++ b/crates/gateway/src/follow/zones.rs
@@ -1,4 +1,4 @@
-//! Availability zones to whose servers nothing is to be sent.
+//! Evacuated availability zones, whose servers get no requests.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 use crate::clock;
 use crate::core::Core;
 
-/// Time beyond that of a start for which servers of a zone are taken to be cold once they may be
-/// used again, in milliseconds: that they are warm they tell with their next heartbeat.
-const MARGIN_MS: u64 = 500;
+/// Time beyond a cold start for which servers of a zone count as cold after an evacuation, in
+/// milliseconds: their next heartbeat reports whether they are warm.
+const COLD_MARGIN_MS: u64 = 500;
 
-/// Availability zones to whose servers nothing is to be sent.
+/// The evacuated availability zones.
 pub(super) struct Zones {
     core: Arc<Core>,
     names: HashSet<String>,
@@ -26,17 +26,18 @@
         }
     }
 
-    /// Lets no more be sent to the servers of a zone.
+    /// Stops sending requests to the servers of a zone.
     pub(super) fn evacuate(&mut self, zone: &str) {
         if !self.names.insert(zone.to_owned()) {
             return;
         }
         let servers = self.core.registry.set_evacuated(zone, true);
-        self.tell(zone, servers.len(), true);
+        self.report(zone, servers.len(), true);
     }
 
-    /// Lets the servers of a zone be used again, as cold ones: they may have become so meanwhile.
-    pub(super) fn admit(&mut self, zone: &str) {
+    /// Uses the servers of a zone again. They count as cold, since they may have become so
+    /// without requests.
+    pub(super) fn restore(&mut self, zone: &str) {
         if !self.names.remove(zone) {
             return;
         }
@@ -49,14 +50,17 @@
             if let Some(cold) = pool.and_then(|pool| pool.cold) {
                 backend
                     .cold
-                    .extend(clock::now_ms() + cold.duration_ms + MARGIN_MS);
+                    .extend(clock::now_ms() + cold.duration_ms + COLD_MARGIN_MS);
             }
         }
-        self.tell(zone, servers.len(), false);
+        self.report(zone, servers.len(), false);
     }
 
-    fn tell(&self, zone: &str, servers: usize, is_evacuated: bool) {
-        #[expect(clippy::cast_precision_loss, reason = "a gauge is a floating number")]
+    fn report(&self, zone: &str, servers: usize, is_evacuated: bool) {
+        #[expect(
+            clippy::cast_precision_loss,
+            reason = "gauges are floating-point numbers"
+        )]
         metrics::gauge!("zones_evacuated").set(self.names.len() as f64);
         log!(self.core.logger, Event::Evacuated,
             "zone" => zone, "evacuated" => is_evacuated, "servers" => servers);
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -1,5 +1,4 @@
-//! The key-value service's contents as this node last saw them, for peers that
-//! do not ask the service themselves.
+//! Copy of the key-value service's contents, served to peers that do not call the service.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,11 +9,10 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Writes that are kept for peers that are behind; one that is further behind
-/// reads every key.
-const KEPT_WRITES: usize = 512;
+/// Number of writes kept for peers to catch up; a peer that is further behind lists every key.
+const MAX_WRITES: usize = 512;
 
-/// The service's contents as this node last saw them.
+/// Copy of the key-value service's contents.
 #[derive(Debug)]
 pub(crate) struct Mirror {
     inner: Mutex<Inner>,
@@ -23,13 +21,13 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// The latest write of each key that exists.
+    /// The latest write of each existing key.
     keys: BTreeMap<String, Write>,
     /// The latest writes, oldest first.
     writes: VecDeque<Write>,
-    /// Revision after which all writes are in `writes`.
-    floor: Revision,
-    /// How far writes are known; revision 0 before the first were seen.
+    /// Revision up to which writes are no longer kept.
+    compacted: Revision,
+    /// Position up to which writes are known; revision 0 before the first listing.
     position: Position,
 }
 
@@ -41,19 +39,19 @@
         }
     }
 
-    /// Takes in every key, as of a position.
+    /// Replaces the contents by a listing as of a position.
     pub(crate) fn reset(&self, writes: impl Iterator<Item = Write>, position: Position) {
         let mut inner = self.inner.lock();
         inner.keys = writes.map(|write| (write.key.clone(), write)).collect();
         inner.writes.clear();
-        inner.floor = position.revision;
+        inner.compacted = position.revision;
         inner.position = position;
         drop(inner);
         self.position.send_replace(position);
     }
 
-    /// Takes in writes, and the position up to which there are no others.
-    pub(crate) fn extend(&self, writes: &[Write], position: Position) {
+    /// Applies all writes up to a position.
+    pub(crate) fn apply(&self, writes: &[Write], position: Position) {
         let mut inner = self.inner.lock();
         for write in writes {
             if write.value.is_some() {
@@ -62,9 +60,9 @@
                 inner.keys.remove(&write.key);
             }
             inner.writes.push_back(write.clone());
-            if inner.writes.len() > KEPT_WRITES {
+            if inner.writes.len() > MAX_WRITES {
                 let dropped = inner.writes.pop_front();
-                inner.floor = dropped.map_or(inner.floor, |write| write.revision);
+                inner.compacted = dropped.map_or(inner.compacted, |write| write.revision);
             }
         }
         inner.position = inner.position.max(position);
@@ -73,7 +71,7 @@
         self.position.send_replace(position);
     }
 
-    /// Every key; `None` before the first were seen.
+    /// Lists every key; `None` before the first listing.
     pub(crate) fn list(&self, known_ms: i64) -> Option<Relayed> {
         let inner = self.inner.lock();
         let Position { era, revision } = inner.position;
@@ -87,20 +85,19 @@
 
     /// Waits until there are writes after a position, at most for `wait`.
     pub(crate) async fn wait(&self, after: Position, wait: Duration) {
-        let mut seen = self.position.subscribe();
-        // That the time is over is no failure: the answer then has no writes.
-        let _ = timeout(wait, seen.wait_for(|position| *position > after)).await;
+        let mut positions = self.position.subscribe();
+        // After the timeout the response has no writes.
+        let _ = timeout(wait, positions.wait_for(|position| *position > after)).await;
     }
 
-    /// The writes after a position; `None` when they are no longer all kept, or are of another
-    /// era.
+    /// The writes after a position; `None` if some are no longer kept, or if the era differs.
     pub(crate) fn changes(&self, after: Position, known_ms: i64) -> Option<Relayed> {
         let inner = self.inner.lock();
         let Position { era, revision } = inner.position;
-        let is_held = revision > 0 && after.era == era && after.revision >= inner.floor;
+        let is_available = revision > 0 && after.era == era && after.revision >= inner.compacted;
         let newer = inner.writes.iter();
         let newer = newer.filter(|write| write.revision > after.revision);
-        is_held.then(|| Relayed {
+        is_available.then(|| Relayed {
             known_ms,
             revision: revision.max(after.revision),
             writes: newer.cloned().collect(),
