--- a/crates/gateway/tests/gateway/configuration.rs
+++ b/crates/gateway/tests/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! What the key-value service says is in force in time and never goes back.
+//! Changes in the key-value service are applied in time and never reverted.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 
 const KEY: &str = "Authorization: Bearer secret\r\n";
 
-/// Time within which a change is in force, in milliseconds.
-const SOON: Duration = Duration::from_millis(600);
+/// Time within which a change is applied.
+const PROPAGATION: Duration = Duration::from_millis(600);
 
 #[gtest]
 #[tokio::test]
@@ -32,26 +32,26 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_key_that_is_taken_away_stops_working_and_an_older_version_does_not_bring_it_back() {
+async fn a_revoked_key_stops_working_and_an_older_version_does_not_restore_it() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
     service.set("config", Some("7 other"));
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
     service.set("config", Some("6 secret"));
     service.compact();
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
 }
 
 #[gtest]
 #[tokio::test]
-async fn keys_stop_working_on_a_node_that_is_cut_off() {
-    for is_silent in [false, true] {
+async fn keys_stop_working_on_a_disconnected_gateway() {
+    for is_hanging in [false, true] {
         let backend = Backend::spawn(Behavior::Answer).await;
         let (_service, node) = ready(&[&backend]).await;
-        if is_silent {
+        if is_hanging {
             node.kv.set_hanging(true);
         } else {
             node.kv.set_failing(true);
@@ -61,7 +61,7 @@
         expect_that!(
             node.ask("/keyed/", "").await.status,
             eq(503),
-            "no denial either"
+            "a missing key is not denied either"
         );
         expect_that!(
             node.ask("/once/", "").await.status,
@@ -78,7 +78,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn what_was_written_while_the_history_was_lost_is_learnt() {
+async fn compacted_changes_are_found_by_a_new_listing() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     node.kv.set_failing(true);
@@ -94,19 +94,19 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_leaving_or_ended_server_gets_nothing_new() {
+async fn a_leaving_or_removed_server_gets_no_new_requests() {
     for state in ["leaving", "gone"] {
-        let (leaving, stays) = (
+        let (leaving, other) = (
             Backend::spawn(Behavior::Answer).await,
             Backend::spawn(Behavior::Answer).await,
         );
-        let (service, node) = ready(&[&leaving, &stays]).await;
+        let (service, node) = ready(&[&leaving, &other]).await;
         if state == "gone" {
             service.set("servers/plain-0", None);
         } else {
             register(&service, 0, &leaving, state);
         }
-        sleep(SOON).await;
+        sleep(PROPAGATION).await;
         let before = leaving.state.heads().len();
         for _ in 0..6 {
             expect_that!(node.ask("/once/", "").await.status, eq(200), "{state}");
@@ -117,70 +117,70 @@
 
 #[gtest]
 #[tokio::test]
-async fn servers_that_lapse_while_the_service_is_away_have_time_to_register_again() {
+async fn servers_that_lapse_in_an_outage_have_time_to_register_again() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     node.kv.set_failing(true);
     sleep(Duration::from_millis(900)).await;
     service.set("servers/plain-0", None);
     node.kv.set_failing(false);
-    sleep(SOON + SOON).await;
+    sleep(PROPAGATION + PROPAGATION).await;
     expect_that!(node.ask("/once/", "").await.status, eq(200));
     sleep(Duration::from_millis(2_400)).await;
     expect_that!(
         node.ask("/once/", "").await.status,
         eq(503),
-        "it did not come back"
+        "the server did not register again"
     );
 }
 
-/// Time in which a change that is waited for comes into force; the callers of these tests wait
-/// for some of it.
-const AT_ONCE: Duration = Duration::from_millis(250);
+/// Time within which a change reaches a gateway that is waiting for it; shorter than the time for
+/// which callers wait.
+const FAST_PROPAGATION: Duration = Duration::from_millis(250);
 
-/// Registers one server of each pool as a life that began then.
-fn register_life(service: &Service, backend: &Backend, born: u64) {
+/// Registers one server of each pool as an instance with this start time.
+fn register_instance(service: &Service, backend: &Backend, started: u64) {
     for pool in ["plain", "model"] {
-        let value = format!("{pool} {} ready {born}", backend.address);
+        let value = format!("{pool} {} ready {started}", backend.address);
         service.set(&format!("servers/{pool}-0"), Some(&value));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_starts_again_under_its_name_has_nothing_of_before() {
+async fn a_restarted_server_has_none_of_its_earlier_load() {
     let backend = Backend::spawn(Behavior::Hang).await;
     let (service, node) = ready(&[&backend]).await;
-    register_life(&service, &backend, 5);
-    sleep(SOON).await;
+    register_instance(&service, &backend, 5);
+    sleep(PROPAGATION).await;
     let long = format!("x-tokens: {LONG_PROMPT}\r\n");
     let _long = caller::open(node.callers, &caller::request("/stream/", &long)).await;
-    sleep(AT_ONCE).await;
+    sleep(FAST_PROPAGATION).await;
     let short = "x-tokens: 2000\r\n";
     expect_that!(
         node.ask("/stream/", short).await.status,
         eq(503),
-        "it reads"
+        "the server is processing the long prompt"
     );
-    register_life(&service, &backend, 4);
-    sleep(AT_ONCE).await;
+    register_instance(&service, &backend, 4);
+    sleep(FAST_PROPAGATION).await;
     expect_that!(
         node.ask("/stream/", short).await.status,
         eq(503),
-        "an earlier life"
+        "an earlier instance is ignored"
     );
-    register_life(&service, &backend, 6);
-    sleep(AT_ONCE).await;
+    register_instance(&service, &backend, 6);
+    sleep(FAST_PROPAGATION).await;
     let before = backend.state.heads().len();
     let request = caller::request("/stream/", short);
     let _short = caller::open(node.callers, &request).await;
-    sleep(AT_ONCE).await;
+    sleep(FAST_PROPAGATION).await;
     expect_that!(backend.state.heads().len(), eq(before + 1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_unreadable_entry_ends_the_use_of_a_server_and_of_no_other() {
+async fn an_unreadable_registration_removes_only_its_own_server() {
     let (first, second) = (
         Backend::spawn(Behavior::Answer).await,
         Backend::spawn(Behavior::Answer).await,
@@ -188,7 +188,7 @@
     let (service, node) = ready(&[&first, &second]).await;
     service.set("servers/plain-0", Some("plain"));
     service.set("servers/other-writer", Some("\u{7}"));
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     let before = first.state.heads().len();
     for _ in 0..6 {
         expect_that!(node.ask("/once/", "").await.status, eq(200));
@@ -196,11 +196,11 @@
     expect_that!(first.state.heads().len(), eq(before));
     register(&service, 0, &first, "ready");
     service.set("servers/plain-1", None);
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     expect_that!(
         node.ask("/once/", "").await.status,
         eq(200),
-        "it registered again"
+        "the server registered again"
     );
     expect_that!(first.state.heads().len(), gt(before));
 }
--- a/crates/gateway/tests/gateway/feed.rs
+++ b/crates/gateway/tests/gateway/feed.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory that can be told to fail.
+//! In-memory key-value service with injected failures.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -14,17 +14,18 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// What the service holds.
+/// State of the service.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct State {
     era: Era,
     revision: Revision,
     keys: BTreeMap<String, (Vec<u8>, Revision)>,
     events: Vec<Event>,
-    floor: Revision,
+    /// Revision up to which the history is compacted.
+    compacted: Revision,
 }
 
-impl Held {
+impl State {
     const fn position(&self) -> Position {
         Position {
             era: self.era,
@@ -33,24 +34,25 @@
     }
 }
 
-/// The service.
+/// The key-value service.
 #[derive(Debug)]
 pub(crate) struct Service {
-    held: Mutex<Held>,
-    /// What it held when the copy was made from which it may come back.
-    backup: Mutex<Held>,
-    /// Leases that were granted, and by how many calls.
+    state: Mutex<State>,
+    /// State to which the service can be restored.
+    backup: Mutex<State>,
+    /// Number of granted leases.
     grants: AtomicU64,
     changed: watch::Sender<Revision>,
+    /// Number of calls.
     calls: AtomicU64,
-    /// Renewals of leases.
+    /// Number of lease renewals.
     renewals: AtomicU64,
 }
 
 impl Service {
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(Self {
-            held: Mutex::default(),
+            state: Mutex::default(),
             backup: Mutex::default(),
             grants: AtomicU64::new(0),
             changed: watch::Sender::new(0),
@@ -61,71 +63,70 @@
 
     /// Writes a key, or deletes it.
     pub(crate) fn set(&self, key: &str, value: Option<&str>) {
-        let mut held = self.held.lock();
-        held.revision += 1;
-        let revision = held.revision;
+        let mut state = self.state.lock();
+        state.revision += 1;
+        let revision = state.revision;
         let value = value.map(|value| value.as_bytes().to_vec());
         match &value {
-            Some(value) => held.keys.insert(key.to_owned(), (value.clone(), revision)),
-            None => held.keys.remove(key),
+            Some(value) => state.keys.insert(key.to_owned(), (value.clone(), revision)),
+            None => state.keys.remove(key),
         };
-        held.events.push(Event {
+        state.events.push(Event {
             key: key.to_owned(),
             value,
             revision,
         });
-        drop(held);
+        drop(state);
         self.changed.send_replace(revision);
     }
 
     /// The keys with a prefix.
     pub(crate) fn keys(&self, prefix: &str) -> Vec<String> {
-        let held = self.held.lock();
-        let keys = held.keys.keys().filter(|key| key.starts_with(prefix));
+        let state = self.state.lock();
+        let keys = state.keys.keys().filter(|key| key.starts_with(prefix));
         keys.cloned().collect()
     }
 
-    /// Forgets the history.
+    /// Compacts the whole history.
     pub(crate) fn compact(&self) {
-        let mut held = self.held.lock();
-        held.events.clear();
-        held.floor = held.revision;
+        let mut state = self.state.lock();
+        state.events.clear();
+        state.compacted = state.revision;
     }
 
-    /// Makes a copy of what it holds.
+    /// Backs up the state.
     pub(crate) fn back_up(&self) {
-        *self.backup.lock() = self.held.lock().clone();
+        *self.backup.lock() = self.state.lock().clone();
     }
 
-    /// Comes back from the copy: all that was written since is lost, and its revisions are
-    /// given out again.
+    /// Restores the backup in a new era: later writes are lost, and their revisions are reused.
     pub(crate) fn restore(&self) {
-        let mut held = self.held.lock();
-        let era = held.era + 1;
-        *held = self.backup.lock().clone();
-        held.era = era;
-        let revision = held.revision;
-        drop(held);
+        let mut state = self.state.lock();
+        let era = state.era + 1;
+        *state = self.backup.lock().clone();
+        state.era = era;
+        let revision = state.revision;
+        drop(state);
         self.changed.send_replace(revision);
     }
 
     /// The revision of the latest write.
     pub(crate) fn revision(&self) -> Revision {
-        self.held.lock().revision
+        self.state.lock().revision
     }
 
-    /// Leases that were granted.
+    /// Number of granted leases.
     pub(crate) fn grants(&self) -> u64 {
         self.grants.load(Ordering::Relaxed)
     }
 
-    /// Calls that came.
+    /// Number of calls.
     pub(crate) fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Renewals of leases that came.
-    #[allow(dead_code, reason = "only the tests of suspension ask")]
+    /// Number of lease renewals.
+    #[allow(dead_code, reason = "only used by the tests of suspension")]
     pub(crate) fn renewals(&self) -> u64 {
         self.renewals.load(Ordering::Relaxed)
     }
@@ -133,15 +134,15 @@
     async fn wait(&self, after: Revision, wait_ms: u64) {
         let mut changed = self.changed.subscribe();
         let wait = changed.wait_for(|revision| *revision > after);
-        // That the time is over is no failure.
+        // After the timeout there are no changes to return.
         let _ = timeout(Duration::from_millis(wait_ms), wait).await;
     }
 }
 
-/// Time after which a call that hangs is given up, beyond the time that it waits, in milliseconds.
-const CALL_MS: u64 = 900;
+/// Timeout of a hanging call beyond the time that it waits for changes, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 900;
 
-/// One node's way to the service.
+/// One gateway's client of the service.
 #[derive(Debug)]
 pub(crate) struct Client {
     pub(crate) service: Arc<Service>,
@@ -158,25 +159,29 @@
         })
     }
 
-    /// Makes calls fail, or work again.
+    /// Sets whether calls fail.
     pub(crate) fn set_failing(&self, is_failing: bool) {
         self.is_failing.store(is_failing, Ordering::Relaxed);
     }
 
-    /// Makes calls hang, or work again.
+    /// Sets whether calls hang.
     pub(crate) fn set_hanging(&self, is_hanging: bool) {
         self.is_hanging.store(is_hanging, Ordering::Relaxed);
     }
 
-    /// Lets a call through that waits for so long at the service.
-    async fn pass(&self, wait_ms: u64) -> Result<(), Error> {
+    /// Counts a call and injects the configured failure.
+    async fn start_call(&self, wait_ms: u64) -> Result<(), Error> {
         self.service.calls.fetch_add(1, Ordering::Relaxed);
         if self.is_hanging.load(Ordering::Relaxed) {
-            let _ = timeout(Duration::from_millis(wait_ms + CALL_MS), pending::<()>()).await;
+            let _ = timeout(
+                Duration::from_millis(wait_ms + CALL_TIMEOUT_MS),
+                pending::<()>(),
+            )
+            .await;
             return Err(Error::Unknown(Cause::Late));
         }
         if self.is_failing.load(Ordering::Relaxed) {
-            return Err(Error::Unsent(Cause::Connect("cut".to_owned())));
+            return Err(Error::Unsent(Cause::Connect("injected failure".to_owned())));
         }
         Ok(())
     }
@@ -192,9 +197,9 @@
 impl Feed for Client {
     fn list<'a>(&'a self, prefix: &'a str) -> Call<'a, Contents> {
         Box::pin(async move {
-            self.pass(0).await?;
-            let held = self.service.held.lock();
-            let keys = held.keys.iter().filter(|(key, _)| key.starts_with(prefix));
+            self.start_call(0).await?;
+            let state = self.service.state.lock();
+            let keys = state.keys.iter().filter(|(key, _)| key.starts_with(prefix));
             let entries = keys.map(|(key, (value, revision))| Pair {
                 key: key.clone(),
                 value: value.clone(),
@@ -202,7 +207,7 @@
                 lease: None,
             });
             Ok(Contents {
-                position: held.position(),
+                position: state.position(),
                 entries: entries.collect(),
             })
         })
@@ -210,16 +215,16 @@
 
     fn changes<'a>(&'a self, _: &'a str, after: Revision, wait_ms: u64) -> Call<'a, Changes> {
         Box::pin(async move {
-            self.pass(wait_ms).await?;
+            self.start_call(wait_ms).await?;
             self.service.wait(after, wait_ms).await;
-            self.pass(0).await?;
-            let held = self.service.held.lock();
-            if after < held.floor || after > held.revision {
-                return Err(Error::Compacted(held.floor));
+            self.start_call(0).await?;
+            let state = self.service.state.lock();
+            if after < state.compacted || after > state.revision {
+                return Err(Error::Compacted(state.compacted));
             }
-            let newer = held.events.iter().filter(|event| event.revision > after);
+            let newer = state.events.iter().filter(|event| event.revision > after);
             Ok(Changes {
-                position: held.position(),
+                position: state.position(),
                 events: newer.cloned().collect(),
             })
         })
@@ -227,7 +232,7 @@
 
     fn grant(&self, _: u64) -> Call<'_, Lease> {
         Box::pin(async move {
-            self.pass(0).await?;
+            self.start_call(0).await?;
             self.service.grants.fetch_add(1, Ordering::Relaxed);
             Ok(Self::lease(LeaseId(1)))
         })
@@ -235,7 +240,7 @@
 
     fn keep(&self, id: LeaseId) -> Call<'_, Lease> {
         Box::pin(async move {
-            self.pass(0).await?;
+            self.start_call(0).await?;
             self.service.renewals.fetch_add(1, Ordering::Relaxed);
             Ok(Self::lease(id))
         })
@@ -243,13 +248,13 @@
 
     fn put<'a>(&'a self, key: &'a str, value: &'a [u8], _: LeaseId) -> Call<'a, ()> {
         Box::pin(async move {
-            self.pass(0).await?;
+            self.start_call(0).await?;
             self.service.set(key, std::str::from_utf8(value).ok());
             Ok(())
         })
     }
 
     fn era(&self) -> Era {
-        self.service.held.lock().era
+        self.service.state.lock().era
     }
 }
--- a/crates/gateway/tests/gateway/fleet.rs
+++ b/crates/gateway/tests/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways with what they need.
+//! Gateways under test and their key-value clients.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 use crate::feed::{Client, Service};
 use crate::protocol::TestProtocol;
 
-/// Age from which requests with a key are refused in the tests, in milliseconds.
+/// Configuration age from which requests with a key are refused, in milliseconds.
 pub(crate) const KEYS_FRESH_MS: u64 = 4_000;
 
-/// Requests that a cold server may get in some second beyond those that it is made for.
+/// Requests per second that a cold server may get beyond its configured rate.
 pub(crate) const COLD_SLACK: f64 = 2.0;
 
-/// Times that a gateway is started on other addresses.
-const TRIES: u32 = 10;
+/// Maximum number of attempts to start a gateway on free addresses.
+const MAX_ATTEMPTS: u32 = 10;
 
-/// A gateway and its way to the key-value service.
+/// A gateway and its client of the key-value service.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) gateway: Option<Gateway>,
@@ -33,29 +33,25 @@
 }
 
 impl Node {
-    /// Starts a gateway that has not yet learnt anything.
+    /// Starts a gateway without waiting for its configuration.
     pub(crate) async fn spawn(service: &Arc<Service>, name: &str) -> Self {
         Self::spawn_with_cpus(service, name, 1.0).await
     }
 
-    /// As [`Node::spawn`], with so much of a processor.
-    pub(crate) async fn spawn_with_cpus(
-        service: &Arc<Service>,
-        name: &str,
-        processors: f64,
-    ) -> Self {
-        // Another test may take an address between its choice and its use.
-        for _ in 0..TRIES {
-            if let Some(node) = Self::try_spawn(service, name, processors).await {
+    /// As [`Node::spawn`], with this number of CPUs.
+    pub(crate) async fn spawn_with_cpus(service: &Arc<Service>, name: &str, cpus: f64) -> Self {
+        // Another test may bind an address before the gateway does.
+        for _ in 0..MAX_ATTEMPTS {
+            if let Some(node) = Self::try_spawn(service, name, cpus).await {
                 return node;
             }
         }
-        panic!("the gateway finds free addresses");
+        panic!("the gateway found no free addresses");
     }
 
-    async fn try_spawn(service: &Arc<Service>, name: &str, processors: f64) -> Option<Self> {
+    async fn try_spawn(service: &Arc<Service>, name: &str, cpus: f64) -> Option<Self> {
         let kv = Client::new(service);
-        let [callers, health, control, handoff, store] = [(); 5].map(|()| free());
+        let [callers, health, control, handoff, store] = [(); 5].map(|()| free_address());
         let settings = settings::Gateway {
             name: name.to_owned(),
             zone: "a".to_owned(),
@@ -70,15 +66,15 @@
             retry_slack: 20.0,
             cold_overage: 1.0,
             cold_slack: COLD_SLACK,
-            processors,
+            processors: cpus,
             descriptors: 1_024,
         };
         let logger = Logger::root(Discard, o!());
         let feed = Arc::clone(&kv);
-        let words = TestProtocol {
+        let protocol = TestProtocol {
             gateway: name.to_owned(),
         };
-        let gateway = Gateway::spawn(settings, Arc::new(words), feed, logger).await;
+        let gateway = Gateway::spawn(settings, Arc::new(protocol), feed, logger).await;
         let gateway = match gateway {
             Ok(gateway) => gateway,
             Err(Error::Bind { .. }) => return None,
@@ -96,23 +92,23 @@
         caller::send(self.callers, &caller::request(path, fields)).await
     }
 
-    /// The status with which it tells its readiness.
+    /// Status of the readiness check.
     pub(crate) async fn ready(&self) -> u16 {
         let request = "GET /any HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
         caller::send(self.health, request).await.status
     }
 
-    /// Waits until it is ready.
+    /// Waits until the gateway is ready.
     pub(crate) async fn wait_ready(&self) {
         let until = Instant::now() + Duration::from_secs(8);
         while self.ready().await != 200 {
-            assert!(Instant::now() < until, "the gateway becomes ready");
+            assert!(Instant::now() < until, "the gateway did not become ready");
             sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
-/// A gateway that knows a configuration and these servers of both pools, in their order.
+/// A ready gateway with a configuration and these servers in both pools.
 pub(crate) async fn ready(backends: &[&Backend]) -> (Arc<Service>, Node) {
     let service = Service::new();
     service.set("config", Some("5 secret"));
@@ -133,8 +129,7 @@
     }
 }
 
-/// A free address.
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address")
 }
--- a/crates/gateway/tests/gateway/lagging.rs
+++ b/crates/gateway/tests/gateway/lagging.rs
@@ -1,5 +1,4 @@
-//! A peer that is asked lags: it tells every key as it was before, and the key-value service
-//! hangs, which would tell otherwise.
+//! A lagging peer returns an outdated listing while the key-value service hangs.
 
 use std::time::Duration;
 
@@ -13,14 +12,14 @@
 use crate::feed::Service;
 use crate::fleet::{Node, register};
 
-/// Gateways of the highest rank that the others ask.
+/// Number of gateways that watch the key-value service, from which the others fetch.
 const WATCHERS: usize = 3;
 
-/// Time in which a node has asked them a dozen times.
-const ASKED: Duration = Duration::from_secs(2);
+/// Time in which a gateway fetches from them a dozen times.
+const DURATION: Duration = Duration::from_secs(2);
 
-/// Answers like a gateway that has lost its history and knows these keys up to this revision.
-async fn answer(listener: TcpListener, listing: Vec<u8>) {
+/// Serves this listing, like a gateway whose history is compacted.
+async fn serve(listener: TcpListener, listing: Vec<u8>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let listing = listing.clone();
         tokio::spawn(async move {
@@ -41,18 +40,18 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_server_stays_in_use_that_a_peer_does_not_know_yet() {
+async fn a_listing_from_a_lagging_peer_removes_no_server() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let service = Service::new();
     service.set("config", Some("5 secret"));
-    let before = service.revision();
+    let revision = service.revision();
     let listing = Relayed {
         known_ms: 0,
-        revision: before,
+        revision,
         writes: vec![Write {
             key: "config".to_owned(),
             value: Some(b"5 secret".to_vec()),
-            revision: before,
+            revision,
         }],
         era: 0,
     };
@@ -61,13 +60,13 @@
         let address = listener.local_addr().expect("an address");
         let peer = format!("{address} 9000 a");
         service.set(&format!("mulberryyoke/gateways/s{index}"), Some(&peer));
-        tokio::spawn(answer(listener, listing.encode()));
+        tokio::spawn(serve(listener, listing.encode()));
     }
     register(&service, 0, &backend, "ready");
     let node = Node::spawn(&service, "g0").await;
     node.wait_ready().await;
     node.kv.set_hanging(true);
-    let until = Instant::now() + ASKED;
+    let until = Instant::now() + DURATION;
     let mut status = 200;
     while Instant::now() < until && status == 200 {
         status = node.ask("/once/", "").await.status;
--- a/crates/gateway/tests/gateway/restore.rs
+++ b/crates/gateway/tests/gateway/restore.rs
@@ -1,4 +1,4 @@
-//! The key-value service comes back from a copy some seconds old.
+//! The key-value service is restored from a backup that is some seconds old.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,67 +12,66 @@
 
 const KEY: &str = "Authorization: Bearer secret\r\n";
 
-/// Time within which a change is in force, in milliseconds.
-const SOON: Duration = Duration::from_millis(900);
+/// Time within which a change is applied.
+const PROPAGATION: Duration = Duration::from_millis(900);
 
-/// Time after which servers are gone that a copy lacks and that do not register again: 2.5 s from
-/// when it is known that the service came back, which a call that waits learns 0.9 s later at
-/// most, and as long until the next look.
-const GONE: Duration = Duration::from_millis(4_500);
+/// Time after which servers are removed that the backup lacks and that do not register again: up
+/// to 0.9 s until the restore is detected, 2.5 s of grace and up to 0.9 s until the next check.
+const REMOVAL: Duration = Duration::from_millis(4_500);
 
-/// Writes until the service is at a revision again.
-fn write_up_to(service: &Service, revision: u64) {
+/// Writes until the service reaches a revision.
+fn advance_to(service: &Service, revision: u64) {
     while service.revision() < revision {
         service.set("any", Some("x"));
     }
 }
 
-/// Comes back from the copy and gives the revisions since then out again.
-fn restore(service: &Service, is_given_again: bool) {
+/// Restores the service from the backup, and optionally reuses the lost revisions.
+fn restore(service: &Service, reuses_revisions: bool) {
     let revision = service.revision();
     service.restore();
-    if is_given_again {
-        write_up_to(service, revision);
+    if reuses_revisions {
+        advance_to(service, revision);
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_key_that_was_taken_away_does_not_come_back() {
-    for is_given_again in [false, true] {
+async fn a_revoked_key_stays_revoked_after_a_restore() {
+    for reuses_revisions in [false, true] {
         let backend = Backend::spawn(Behavior::Answer).await;
         let (service, node) = ready(&[&backend]).await;
         service.back_up();
         service.set("config", Some("7 other"));
-        sleep(SOON).await;
+        sleep(PROPAGATION).await;
         expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
-        restore(&service, is_given_again);
-        sleep(SOON).await;
+        restore(&service, reuses_revisions);
+        sleep(PROPAGATION).await;
         expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
         service.set("config", Some("8 secret"));
-        sleep(SOON).await;
+        sleep(PROPAGATION).await;
         expect_that!(
             node.ask("/keyed/", KEY).await.status,
             eq(200),
-            "it is written again"
+            "a newer version restores the key"
         );
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_node_that_was_away_meanwhile_learns_what_is_written_under_its_old_revision() {
+async fn a_gateway_disconnected_during_a_restore_applies_writes_with_reused_revisions() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     service.back_up();
-    write_up_to(&service, service.revision() + 5);
-    sleep(SOON).await;
+    advance_to(&service, service.revision() + 5);
+    sleep(PROPAGATION).await;
     node.kv.set_failing(true);
     sleep(Duration::from_millis(900)).await;
     let revision = service.revision();
     service.restore();
     service.set("config", Some("9 other"));
-    write_up_to(&service, revision);
+    advance_to(&service, revision);
     node.kv.set_failing(false);
     sleep(Duration::from_millis(1_600)).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
@@ -80,40 +79,40 @@
 
 #[gtest]
 #[tokio::test]
-async fn servers_that_the_copy_lacks_have_time_to_register_again() {
+async fn servers_that_the_backup_lacks_have_time_to_register_again() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[]).await;
     service.back_up();
     register(&service, 0, &backend, "ready");
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     restore(&service, true);
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     expect_that!(node.ask("/once/", "").await.status, eq(200));
     register(&service, 0, &backend, "ready");
-    sleep(GONE).await;
+    sleep(REMOVAL).await;
     expect_that!(
         node.ask("/once/", "").await.status,
         eq(200),
-        "it registered again"
+        "the server registered again"
     );
     service.back_up();
     service.set("servers/plain-0", None);
     register(&service, 1, &backend, "ready");
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     restore(&service, false);
-    sleep(GONE).await;
+    sleep(REMOVAL).await;
     expect_that!(
         node.ask("/once/", "").await.status,
         eq(503),
-        "none registered again"
+        "no server registered again"
     );
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_leaves_or_is_gone_is_not_brought_back_by_the_copy() {
+async fn a_leaving_or_removed_server_is_not_brought_back_by_the_backup() {
     for state in ["leaving", "gone"] {
-        for is_given_again in [false, true] {
+        for reuses_revisions in [false, true] {
             let backend = Backend::spawn(Behavior::Answer).await;
             let (service, node) = ready(&[&backend]).await;
             service.back_up();
@@ -122,25 +121,25 @@
             } else {
                 register(&service, 0, &backend, state);
             }
-            sleep(SOON).await;
+            sleep(PROPAGATION).await;
             expect_that!(node.ask("/once/", "").await.status, eq(503), "{state}");
-            restore(&service, is_given_again);
-            sleep(SOON).await;
+            restore(&service, reuses_revisions);
+            sleep(PROPAGATION).await;
             expect_that!(node.ask("/once/", "").await.status, eq(503), "{state}");
             service.compact();
-            sleep(SOON).await;
+            sleep(PROPAGATION).await;
             expect_that!(
                 node.ask("/once/", "").await.status,
                 eq(503),
-                "{state}, read again"
+                "{state}, listed again"
             );
             let value = format!("plain {} ready 9", backend.address);
             service.set("servers/plain-0", Some(&value));
-            sleep(SOON).await;
+            sleep(PROPAGATION).await;
             expect_that!(
                 node.ask("/once/", "").await.status,
                 eq(200),
-                "{state}, another life"
+                "{state}, another instance"
             );
         }
     }
@@ -148,17 +147,17 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_evacuation_that_the_copy_lacks_still_holds_and_ends_with_its_key() {
+async fn an_evacuation_that_the_backup_lacks_holds_and_ends_with_its_key() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     service.back_up();
     service.set("evacuate/a", Some("{}"));
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     restore(&service, true);
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     expect_that!(node.ask("/once/", "").await.status, eq(503));
     service.set("evacuate/a", Some("{}"));
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     service.set("evacuate/a", None);
     sleep(Duration::from_millis(3_500)).await;
     expect_that!(node.ask("/once/", "").await.status, eq(200));
@@ -166,24 +165,24 @@
 
 #[gtest]
 #[tokio::test]
-async fn gateways_register_again_under_a_lease_of_their_own() {
+async fn gateways_register_again_under_a_new_lease() {
     let (service, node) = ready(&[]).await;
     let grants = service.grants();
     service.back_up();
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     restore(&service, true);
     sleep(Duration::from_millis(3_500)).await;
     expect_that!(
         service.grants(),
         gt(grants),
-        "the old lease may be another's"
+        "the old lease id may be in use by another holder"
     );
     expect_that!(service.keys("mulberryyoke/gateways/").is_empty(), eq(false));
     expect_that!(node.ready().await, eq(200));
 }
 
-/// Nodes that ask peers, as there are more than ask the service itself.
-async fn five(service: &Arc<Service>) -> Vec<Node> {
+/// Spawns more gateways than watch the service, so that some fetch from peers.
+async fn spawn_five(service: &Arc<Service>) -> Vec<Node> {
     let mut nodes = Vec::new();
     for name in ["g0", "g1", "g2", "g3", "g4"] {
         nodes.push(Node::spawn(service, name).await);
@@ -196,20 +195,20 @@
 
 #[gtest]
 #[tokio::test]
-async fn nodes_that_ask_peers_follow_into_the_new_era_a_second_time_as_well() {
+async fn gateways_that_fetch_from_peers_follow_repeated_restores() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
-    let nodes = five(&service).await;
+    let nodes = spawn_five(&service).await;
     service.back_up();
-    sleep(SOON).await;
+    sleep(PROPAGATION).await;
     for version in [7, 8] {
         restore(&service, version == 8);
         service.set("config", Some(&format!("{version} key-{version}")));
-        sleep(SOON + SOON).await;
+        sleep(PROPAGATION + PROPAGATION).await;
         for node in &nodes {
             let fields = format!("Authorization: Bearer key-{version}\r\n");
             let status = node.ask("/keyed/", &fields).await.status;
-            expect_that!(status, eq(503), "the key is known and there is no server");
+            expect_that!(status, eq(503), "the key is valid and there is no server");
         }
     }
 }
