--- a/crates/daemon/tests/gateway.rs
+++ b/crates/daemon/tests/gateway.rs
@@ -157,7 +157,7 @@
 
     async fn send(&self, id: &str, path: &str, tokens: u32) -> TcpStream {
         let mut stream = TcpStream::connect(self.callers).await.expect("it listens");
-        let request = caller::request(id, path, tokens);
+        let request = caller::raw_request(id, path, tokens);
         stream
             .write_all(request.as_bytes())
             .await
--- a/crates/daemon/tests/soak/audit.rs
+++ b/crates/daemon/tests/soak/audit.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::backend::{Arrival, EVENTS};
+use crate::backend::{EVENTS_PER_STREAM, RecordedRequest};
 use crate::gate::{KEYS_FRESH_MS, RETRY_RATIO, RETRY_SLACK};
 use crate::load::{End, PATIENCE, Record};
 use crate::operator::APPLY;
@@ -45,13 +45,13 @@
     let mut audit = Audit::default();
     let records = scene.records.lock().clone();
     let arrivals = scene.arrivals.lock().expect("no panic").clone();
-    let mut by_id: HashMap<&str, Vec<&Arrival>> = HashMap::new();
+    let mut by_id: HashMap<&str, Vec<&RecordedRequest>> = HashMap::new();
     for arrival in &arrivals {
         by_id.entry(&arrival.id).or_default().push(arrival);
     }
     for record in &records {
         let arrived = by_id.get(&*record.id).map_or(&[][..], Vec::as_slice);
-        let runs = arrived.iter().filter(|arrival| arrival.has_run).count();
+        let runs = arrived.iter().filter(|arrival| arrival.executed).count();
         own_answer(&mut audit, record);
         stream_order(&mut audit, record);
         outcome(&mut audit, scene, record, runs);
@@ -104,7 +104,7 @@
     let ids = text.filter_map(|event| event.lines().next()?.strip_prefix("id: "));
     let ids: Vec<u64> = ids.filter_map(|id| id.parse().ok()).collect();
     let in_order = ids.iter().copied().eq(1..=ids.len() as u64);
-    let is_complete = record.end != End::Whole || ids.len() as u64 == EVENTS;
+    let is_complete = record.end != End::Whole || ids.len() as u64 == EVENTS_PER_STREAM;
     audit.check("order of a stream", in_order && is_complete, || {
         format!("{record:?}")
     });
@@ -131,8 +131,8 @@
     }
 }
 
-fn configuration(audit: &mut Audit, scene: &Scene, record: &Record, arrived: &[&Arrival]) {
-    let runs = arrived.iter().filter(|arrival| arrival.has_run).count();
+fn configuration(audit: &mut Audit, scene: &Scene, record: &Record, arrived: &[&RecordedRequest]) {
+    let runs = arrived.iter().filter(|arrival| arrival.executed).count();
     let (from, to) = (record.sent, record.ended);
     if let Some(key) = &record.key {
         let Some((begun, ended)) = scene.operator.life(key) else {
@@ -196,17 +196,20 @@
     }
 }
 
-fn drained(audit: &mut Audit, scene: &Scene, record: &Record, arrival: &Arrival) {
+fn drained(audit: &mut Audit, scene: &Scene, record: &Record, arrival: &RecordedRequest) {
     let Some(left) = scene.left(&arrival.server) else {
         return;
     };
-    if arrival.at <= left {
+    if arrival.received_at <= left {
         return;
     }
     let late = left + DRAIN + SLACK;
-    let is_late = arrival.at > late && arrival.has_run;
+    let is_late = arrival.received_at > late && arrival.executed;
     let from = late.min(record.sent);
-    let breaks = is_late && scene.troubles.is_in_touch(record.gate, from, arrival.at);
+    let breaks = is_late
+        && scene
+            .troubles
+            .is_in_touch(record.gate, from, arrival.received_at);
     audit.check("leaving server", !breaks, || {
         format!("{arrival:?} {record:?}")
     });
@@ -215,17 +218,25 @@
 fn retries(
     audit: &mut Audit,
     records: &[Record],
-    arrivals: &[Arrival],
-    by_id: &HashMap<&str, Vec<&Arrival>>,
+    arrivals: &[RecordedRequest],
+    by_id: &HashMap<&str, Vec<&RecordedRequest>>,
 ) {
     let is_model = |kind: &str| matches!(kind, "stream" | "resume");
     let of_model = |path: &str| path.starts_with("/stream/") || path.starts_with("/resume/");
     for model in [false, true] {
-        let again = |arrival: &&Arrival| {
-            let first = by_id[&*arrival.id].iter().map(|arrival| arrival.at).min();
-            of_model(&arrival.path) == model && first.is_some_and(|first| arrival.at > first)
+        let again = |arrival: &&RecordedRequest| {
+            let first = by_id[&*arrival.id]
+                .iter()
+                .map(|arrival| arrival.received_at)
+                .min();
+            of_model(&arrival.path) == model
+                && first.is_some_and(|first| arrival.received_at > first)
         };
-        let again: Vec<Instant> = arrivals.iter().filter(again).map(|a| a.at).collect();
+        let again: Vec<Instant> = arrivals
+            .iter()
+            .filter(again)
+            .map(|a| a.received_at)
+            .collect();
         for begin in &again {
             let within = |at: &Instant| *at >= *begin && *at < *begin + WINDOW;
             let repeats = again.iter().filter(|at| within(at)).count();
--- a/crates/daemon/tests/soak/audit/notice.rs
+++ b/crates/daemon/tests/soak/audit/notice.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::{Audit, DRAIN, SLACK};
-use crate::backend::Arrival;
+use crate::backend::RecordedRequest;
 use crate::load::Record;
 use crate::scene::Scene;
 use crate::trouble::Place;
@@ -21,7 +21,7 @@
     audit: &mut Audit,
     scene: &Scene,
     asked: &HashMap<&str, &Record>,
-    arrivals: &[Arrival],
+    arrivals: &[RecordedRequest],
 ) {
     let mut told: HashMap<(usize, &str), Instant> = HashMap::new();
     let said = arrivals.iter().filter(|arrival| arrival.is_leaving);
@@ -41,11 +41,11 @@
         let Some(&at) = told.get(&(record.gate, &*arrival.server)) else {
             continue;
         };
-        let is_late = record.sent > at + DRAIN + SLACK && arrival.has_run;
+        let is_late = record.sent > at + DRAIN + SLACK && arrival.executed;
         let breaks = is_late
             && scene
                 .troubles
-                .is_clear(Place::Gate(record.gate), at, arrival.at);
+                .is_clear(Place::Gate(record.gate), at, arrival.received_at);
         audit.check("server that said it leaves", !breaks, || {
             format!("told {:?} before: {arrival:?} {record:?}", record.sent - at)
         });
@@ -57,16 +57,19 @@
     audit: &mut Audit,
     scene: &Scene,
     asked: &HashMap<&str, &Record>,
-    arrivals: &[Arrival],
+    arrivals: &[RecordedRequest],
 ) {
-    let gate = |arrival: &Arrival| asked.get(&*arrival.id).map(|record| record.gate);
+    let gate = |arrival: &RecordedRequest| asked.get(&*arrival.id).map(|record| record.gate);
     for arrival in arrivals {
-        let (Some(rest), Some(of)) = (arrival.rest, gate(arrival)) else {
+        let (Some(rest), Some(of)) = (arrival.pushback, gate(arrival)) else {
             continue;
         };
-        let (from, to) = (arrival.at + ON_THE_WAY, arrival.at + rest);
+        let (from, to) = (arrival.received_at + ON_THE_WAY, arrival.received_at + rest);
         // An answer that did not come through said nothing.
-        let before = arrival.at.checked_sub(ON_THE_WAY).unwrap_or(arrival.at);
+        let before = arrival
+            .received_at
+            .checked_sub(ON_THE_WAY)
+            .unwrap_or(arrival.received_at);
         let mut places = scene
             .host(arrival.address)
             .into_iter()
@@ -76,7 +79,7 @@
         }
         let came = arrivals.iter().filter(|other| {
             other.server == arrival.server
-                && (from..to).contains(&other.at)
+                && (from..to).contains(&other.received_at)
                 && gate(other) == Some(of)
         });
         let count = came.count();
--- a/crates/daemon/tests/soak/load.rs
+++ b/crates/daemon/tests/soak/load.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use crate::caller::{Ask, is_sealed, kept};
+use crate::caller::{RequestSpec, is_sealed, keep_alive_request};
 use crate::scene::Scene;
 
 /// Time that a caller waits for an answer, and how much longer it listens for a late one.
@@ -108,13 +108,13 @@
     key: Option<String>,
 ) -> (Record, bool) {
     let id = format!("q{}", NUMBER.fetch_add(1, Ordering::Relaxed));
-    let patience_ms = u64::try_from(PATIENCE.as_millis()).unwrap_or(0);
-    let request = kept(&Ask {
+    let timeout_ms = u64::try_from(PATIENCE.as_millis()).unwrap_or(0);
+    let request = keep_alive_request(&RequestSpec {
         id: &id,
         path: &format!("/{kind}/{id}"),
         key: key.as_deref(),
         is_prompt: matches!(kind, "stream" | "resume"),
-        patience_ms,
+        timeout_ms,
     });
     let sent = Instant::now();
     let mut record = Record {
--- a/crates/daemon/tests/soak/operator.rs
+++ b/crates/daemon/tests/soak/operator.rs
@@ -4,7 +4,7 @@
 
 use parking_lot::Mutex;
 
-use crate::forms::{CONFIG, configuration};
+use crate::forms::{CONFIG_KEY, configuration};
 use crate::store::Store;
 
 /// Keys that are valid at a time.
@@ -70,7 +70,7 @@
         held.version += 3;
         let has_extra = held.extra.len() % 2 == 1;
         let value = configuration(held.version, has_extra, &held.keys);
-        self.store.put(CONFIG, &value);
+        self.store.put(CONFIG_KEY, &value);
     }
 
     /// A key that was valid at some time, the newest ones most often.
--- a/crates/daemon/tests/soak/scene.rs
+++ b/crates/daemon/tests/soak/scene.rs
@@ -16,8 +16,8 @@
 use tokio::time::{sleep, timeout};
 
 use crate::audit::{Audit, audit};
-use crate::backend::{Arrival, Backend};
-use crate::forms::{Stage, registration, server_key};
+use crate::backend::{Backend, RecordedRequest};
+use crate::forms::{ServerState, registration, server_key};
 use crate::gate::Gate;
 use crate::link::Link;
 use crate::load::{self, Record};
@@ -54,7 +54,7 @@
     pub(crate) gates: Vec<Gate>,
     pub(crate) operator: Operator,
     pub(crate) records: Mutex<Vec<Record>>,
-    pub(crate) arrivals: Arc<std::sync::Mutex<Vec<Arrival>>>,
+    pub(crate) arrivals: Arc<std::sync::Mutex<Vec<RecordedRequest>>>,
     pub(crate) troubles: Troubles,
     store: Store,
     links: Vec<Link>,
@@ -142,7 +142,7 @@
             let pool = if index < SERVERS { "desk" } else { "llm" };
             let backend = Backend::spawn(&format!("s-{index}"), Arc::clone(&arrivals)).await;
             let link = Link::spawn(backend.address).await;
-            let value = registration(pool, link.address, Stage::Ready);
+            let value = registration(pool, link.address, ServerState::Ready);
             store.put(&server_key(&backend.name()), &value);
             hosts.push(Host {
                 backend,
--- a/crates/daemon/tests/soak/scene/step.rs
+++ b/crates/daemon/tests/soak/scene/step.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use super::{Host, Scene};
-use crate::forms::{Stage, registration, server_key};
+use crate::forms::{ServerState, registration, server_key};
 use crate::gate::GRACE_MS;
 use crate::link::Way;
 use crate::plan::{Fault, Step};
@@ -47,15 +47,15 @@
             }
             Fault::Refuse => {
                 let trouble = self.troubles.begin(Place::Stores);
-                self.store.set_refusing(true);
+                self.store.set_unavailable(true);
                 self.operator.revoke();
                 sleep(step.lasts).await;
-                self.store.set_refusing(false);
+                self.store.set_unavailable(false);
                 self.troubles.end(trouble);
             }
             Fault::Compact => self.store.compact(),
             Fault::Restore => {
-                self.store.copy();
+                self.store.back_up();
                 sleep(step.lasts).await;
                 let trouble = self.troubles.begin(Place::Stores);
                 self.store.restore();
@@ -87,21 +87,21 @@
             }
             Fault::Replace => self.replace(host, Duration::ZERO).await,
             Fault::Leave => {
-                host.backend.leave();
+                host.backend.announce_leaving();
                 self.replace(host, UNSAID + step.lasts).await;
             }
             Fault::Rest => {
-                host.backend.rest(Some(REST));
+                host.backend.set_pushback(Some(REST));
                 sleep(step.lasts).await;
-                host.backend.rest(None);
+                host.backend.set_pushback(None);
             }
             Fault::RestPool => {
                 let of_pool = self.hosts.iter().filter(|other| other.pool == host.pool);
                 of_pool
                     .clone()
-                    .for_each(|host| host.backend.rest(Some(REST)));
+                    .for_each(|host| host.backend.set_pushback(Some(REST)));
                 sleep(step.lasts).await;
-                of_pool.for_each(|host| host.backend.rest(None));
+                of_pool.for_each(|host| host.backend.set_pushback(None));
             }
             Fault::Route => self.operator.turn_route(),
             Fault::Revoke => self.operator.revoke(),
@@ -134,15 +134,15 @@
         if self.left.lock().contains_key(&name) {
             return;
         }
-        let value = registration(host.pool, host.link.address, Stage::Draining);
+        let value = registration(host.pool, host.link.address, ServerState::Draining);
         self.store.put(&server_key(&name), &value);
         self.left.lock().insert(name.clone(), Instant::now());
         sleep(Duration::from_secs(3)).await;
         self.store.delete(&server_key(&name));
         sleep(Duration::from_secs(1)).await;
         let next = format!("n-{}", self.named.fetch_add(1, Ordering::Relaxed));
-        host.backend.rename(&next);
-        let value = registration(host.pool, host.link.address, Stage::Ready);
+        host.backend.replace(&next);
+        let value = registration(host.pool, host.link.address, ServerState::Ready);
         self.store.put(&server_key(&next), &value);
     }
 }
