--- a/crates/client/src/cmd/customer.rs
+++ b/crates/client/src/cmd/customer.rs
@@ -43,7 +43,7 @@
             .iter()
             .map(|key| key.0.get(..8).unwrap_or("?"));
         let keys = keys.collect::<Vec<_>>().join(",");
-        let class = customer.class.word();
+        let class = customer.class.as_str();
         table.row([
             &customer.name,
             &customer.share,
--- a/crates/client/src/cmd/waiting.rs
+++ b/crates/client/src/cmd/waiting.rs
@@ -40,7 +40,7 @@
     match waiting.outcome {
         None => "nothing waits".to_owned(),
         Some(Outcome::Waiting) => "the request waits at another router".to_owned(),
-        Some(outcome) => format!("the request does not wait; outcome: {}", outcome.word()),
+        Some(outcome) => format!("the request does not wait; outcome: {}", outcome.as_str()),
     }
 }
 
@@ -84,7 +84,7 @@
         "WAITS FOR",
     ]);
     for waiter in requests {
-        let class = waiter.class.word();
+        let class = waiter.class.as_str();
         let waits = since(waiter.since);
         table.row([
             &waiter.request,
--- a/crates/daemon/src/cmd/gateway.rs
+++ b/crates/daemon/src/cmd/gateway.rs
@@ -24,7 +24,7 @@
 /// have one core, and a second thread only costs switches.
 pub(crate) fn run(options: &args::Gateway) -> Result<(), Error> {
     let settings = settings::read_gateway(&options.settings).map_err(Error::Settings)?;
-    let logger = mulberryyoke_event::open_output(&settings.name);
+    let logger = mulberryyoke_event::open_stdout(&settings.name);
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -8,7 +8,7 @@
 
 use std::future::Future;
 
-use mulberryyoke_event::Form;
+use mulberryyoke_event::Format;
 use mulberryyoke_settings::Log;
 use tokio::runtime::Builder;
 
@@ -46,9 +46,9 @@
 }
 
 /// The log form that settings ask for.
-const fn form(log: Log) -> Form {
+const fn form(log: Log) -> Format {
     match log {
-        Log::Json => Form::Json,
-        Log::Terminal => Form::Terminal,
+        Log::Json => Format::Json,
+        Log::Terminal => Format::Terminal,
     }
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -27,7 +27,7 @@
 use mulberryyoke_model::{Attempt, Change, Config, Incarnation, Outcome, Revision, ServerId};
 use mulberryyoke_platform::{kv, vm};
 use mulberryyoke_settings as settings;
-use mulberryyoke_wire::{Bytes, Listener, Member};
+use mulberryyoke_wire::{ByteCounter, Listener, Member};
 use parking_lot::Mutex;
 use slog::Logger;
 use tokio::sync::watch;
@@ -59,7 +59,7 @@
     logger: Logger,
     member: Member,
     control: SocketAddr,
-    bytes: Arc<Bytes>,
+    bytes: Arc<ByteCounter>,
     store: Store,
     kv_up: AtomicBool,
     roster: Roster,
@@ -86,7 +86,7 @@
         settings: Arc<settings::Router>,
         logger: Logger,
     ) -> Result<Arc<Self>, Error> {
-        let bytes = Arc::new(Bytes::default());
+        let bytes = Arc::new(ByteCounter::default());
         let bound = Listener::bind(settings.control, Arc::clone(&bytes)).await;
         let listener = bound.map_err(Error::Bind)?;
         let control = listener.address().map_err(Error::Bind)?;
@@ -231,7 +231,7 @@
 
     /// Counter of the bytes of all control links, those to sidecars included.
     #[must_use]
-    pub fn control_bytes(&self) -> Arc<Bytes> {
+    pub fn control_bytes(&self) -> Arc<ByteCounter> {
         Arc::clone(&self.bytes)
     }
 
--- a/crates/daemon/src/fleet/peer.rs
+++ b/crates/daemon/src/fleet/peer.rs
@@ -7,7 +7,7 @@
 
 use mulberryyoke_decide::exchange::Instance;
 use mulberryyoke_model::{Relation, Revision, ServerId};
-use mulberryyoke_wire::{self as wire, Bytes, Member, RouterClient};
+use mulberryyoke_wire::{self as wire, ByteCounter, Member, RouterClient};
 use parking_lot::Mutex;
 use tarpc::context::Context;
 use tokio::time::timeout;
@@ -68,7 +68,7 @@
     }
 
     /// The link to the router, connected if need be.
-    pub(super) async fn client(&self, bytes: &Arc<Bytes>) -> Option<RouterClient> {
+    pub(super) async fn client(&self, bytes: &Arc<ByteCounter>) -> Option<RouterClient> {
         let mut held = self.link.lock().await;
         if held.is_none() {
             let connect = wire::connect_router(self.address, Arc::clone(bytes));
--- a/crates/daemon/src/fleet/peers.rs
+++ b/crates/daemon/src/fleet/peers.rs
@@ -9,7 +9,7 @@
 use mulberryyoke_decide::member::{Limits, Neighbors, Router, Table};
 use mulberryyoke_model::{Attempt, Outcome, Relation, ServerId};
 use mulberryyoke_platform::vm::{Role, Vm};
-use mulberryyoke_wire::{Bytes, Member, Summary};
+use mulberryyoke_wire::{ByteCounter, Member, Summary};
 use parking_lot::{Mutex, RwLock};
 
 use super::peer::{Heard, Peer, context};
@@ -23,12 +23,12 @@
 pub(super) struct Peers {
     by_name: RwLock<BTreeMap<String, Arc<Peer>>>,
     table: Mutex<Table>,
-    bytes: Arc<Bytes>,
+    bytes: Arc<ByteCounter>,
     fresh_for: Duration,
 }
 
 impl Peers {
-    pub(super) fn open(own: Router, limits: Limits, bytes: Arc<Bytes>) -> Self {
+    pub(super) fn open(own: Router, limits: Limits, bytes: Arc<ByteCounter>) -> Self {
         Self {
             by_name: RwLock::default(),
             table: Mutex::new(Table::new(own, limits)),
--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -56,7 +56,7 @@
         "request" => call.attempt.request_id(),
         "attempt" => call.attempt.number,
         "customer" => call.customer.0,
-        "class" => call.class.word(),
+        "class" => call.class.as_str(),
         "server" => &link.server.name,
         "granted" => grant.is_some(),
         "waited_ms" => clock::now().saturating_sub(call.since));
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -156,7 +156,7 @@
             Verdict::Ran => Err(repeated(Outcome::Ran)),
             Verdict::Broken => self.lost("the server failed"),
             Verdict::NotHome | Verdict::Tombstone | Verdict::Unreachable => {
-                self.retry(verdict.word())
+                self.retry(verdict.as_str())
             }
         }
     }
@@ -210,7 +210,7 @@
             "request" => request,
             "customer" => customer,
             "code" => code,
-            "outcome" => refusal.outcome.word());
+            "outcome" => refusal.outcome.as_str());
     }
 }
 
--- a/crates/daemon/src/router/header.rs
+++ b/crates/daemon/src/router/header.rs
@@ -2,7 +2,7 @@
 
 use hyper::HeaderMap;
 use hyper::header::{AUTHORIZATION, CONTENT_LENGTH, EXPECT, HOST};
-use mulberryyoke_wire::{hop, ticket, verdict};
+use mulberryyoke_wire::{hop_by_hop, ticket, verdict};
 
 use super::refusal::{OUTCOME, REQUEST_ID};
 
@@ -22,7 +22,7 @@
 /// without the bearer key, which was for the router, and without names that
 /// the router itself uses towards the sidecar.
 pub(crate) fn forward(headers: &mut HeaderMap) {
-    hop::strip(headers);
+    hop_by_hop::strip(headers);
     for name in [AUTHORIZATION, HOST, CONTENT_LENGTH, EXPECT] {
         headers.remove(name);
     }
@@ -31,7 +31,7 @@
 
 /// Keeps of an answer's headers what its caller may see.
 pub(crate) fn back(headers: &mut HeaderMap) {
-    hop::strip(headers);
+    hop_by_hop::strip(headers);
     headers.remove(verdict::HEADER);
     headers.remove(OUTCOME);
     headers.remove(REQUEST_ID);
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -8,7 +8,7 @@
 use mulberryyoke_decide::exchange::Cursor;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::Load;
-use mulberryyoke_wire::{self as wire, Poll, Polled, SidecarClient};
+use mulberryyoke_wire::{self as wire, Poll, PollResponse, SidecarClient};
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
@@ -149,7 +149,7 @@
 
     /// Tells everything again if the sidecar has a free slot although it was told
     /// of waiting requests. Then what it knows is not what the router thinks.
-    fn check(&self, polled: &Polled, idle: &mut u32) {
+    fn check(&self, polled: &PollResponse, idle: &mut u32) {
         let is_idle = polled.load.free > 0 && !polled.load.draining && polled.grants.is_empty();
         if !is_idle || self.told.lock().is_empty() {
             *idle = 0;
@@ -184,9 +184,9 @@
             origin: self.core.origin(),
             revision: 0,
             until: 0,
-            counted: 0,
+            acknowledged: 0,
             fleet: Vec::new(),
-            heard: 0,
+            fleet_as_of: 0,
         };
         let mut known = None;
         let mut idle = 0;
@@ -198,9 +198,9 @@
             self.grant(&polled);
             self.check(&polled, &mut idle);
             if let Some(report) = &polled.report {
-                poll.counted = self.core.fleet.collect(polled.load.incarnation, report);
+                poll.acknowledged = self.core.fleet.collect(polled.load.incarnation, report);
                 poll.fleet = self.core.fleet.tell(polled.load.incarnation, &mut cursor);
-                poll.heard = self.core.fleet.heard();
+                poll.fleet_as_of = self.core.fleet.heard();
             } else {
                 poll.fleet = Vec::new();
             }
@@ -210,7 +210,7 @@
     }
 
     /// Calls the sidecar and watches for its silence.
-    async fn ask(&self, poll: &Poll) -> Result<Polled, Error> {
+    async fn ask(&self, poll: &Poll) -> Result<PollResponse, Error> {
         let silence = self.link.heartbeat * (SILENT_HEARTBEATS + 1);
         metrics::counter!("polls_total").increment(1);
         let call = self.client.poll(within(POLL_LIMIT), poll.clone());
@@ -242,7 +242,7 @@
         }
     }
 
-    fn grant(&self, polled: &Polled) {
+    fn grant(&self, polled: &PollResponse) {
         let mut declined = Vec::new();
         for grant in &polled.grants {
             // Before the request leaves its room, so that the change is seen after.
@@ -256,7 +256,7 @@
 
     /// Keeps a sidecar whose clock is ahead, and that therefore answers each
     /// poll at once with nothing new, from being polled without a pause.
-    async fn pace(&self, asked_at: Instant, polled: &Polled, known: &mut Option<Load>) {
+    async fn pace(&self, asked_at: Instant, polled: &PollResponse, known: &mut Option<Load>) {
         let is_news = known.replace(polled.load) != Some(polled.load);
         let has_news = is_news || !polled.grants.is_empty() || polled.report.is_some();
         if !has_news && asked_at.elapsed() < self.link.heartbeat / 2 {
--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -20,7 +20,7 @@
     request::customer(&core.fleet.view(), headers)?;
     let attempt = Attempt::parse_request_id(id).ok_or_else(no_id)?;
     let outcome = core.fleet.outcome(attempt).await;
-    let body = json!({"id": id, "outcome": outcome.word()});
+    let body = json!({"id": id, "outcome": outcome.as_str()});
     Ok(json(StatusCode::OK, body.to_string()))
 }
 
--- a/crates/daemon/src/router/refusal.rs
+++ b/crates/daemon/src/router/refusal.rs
@@ -64,7 +64,7 @@
         }});
         let mut response = json(self.status, body.to_string());
         let headers = response.headers_mut();
-        headers.insert(OUTCOME, HeaderValue::from_static(self.outcome.word()));
+        headers.insert(OUTCOME, HeaderValue::from_static(self.outcome.as_str()));
         if let Some(seconds) = self.retry_after {
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
         }
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -86,7 +86,7 @@
     log!(core.logger, Event::Refused,
         "request" => attempt.request_id(),
         "code" => refusal.code,
-        "outcome" => refusal.outcome.word());
+        "outcome" => refusal.outcome.as_str());
     refusal
 }
 
--- a/crates/daemon/src/router/wait.rs
+++ b/crates/daemon/src/router/wait.rs
@@ -73,7 +73,7 @@
     log!(core.logger, Event::Queued,
         "request" => call.attempt.request_id(),
         "customer" => call.customer.0,
-        "class" => call.class.word(),
+        "class" => call.class.as_str(),
         "pool" => call.pool.0);
     tokio::select! {
         biased;
--- a/crates/daemon/src/sidecar/answer.rs
+++ b/crates/daemon/src/sidecar/answer.rs
@@ -29,7 +29,7 @@
 pub(crate) fn refuse(verdict: Verdict, retry_at: Option<Millis>) -> Response<Body> {
     let mut response = Response::builder()
         .status(StatusCode::SERVICE_UNAVAILABLE)
-        .header(verdict::HEADER, verdict.word());
+        .header(verdict::HEADER, verdict.as_str());
     if let Some(at) = retry_at {
         let seconds = at.saturating_sub(clock::now()).div_ceil(1_000);
         response = response.header(RETRY_AFTER, seconds);
--- a/crates/daemon/src/sidecar/control.rs
+++ b/crates/daemon/src/sidecar/control.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_decide::admission::{Due, LinkKey};
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Attempt, Change, Incarnation, KeyId, Outcome, Revision};
-use mulberryyoke_wire::{self as wire, Interest, Poll, Polled, Sidecar, Withdrawal};
+use mulberryyoke_wire::{self as wire, Interest, Poll, PollResponse, Sidecar, Withdrawal};
 use tarpc::context::Context;
 use tarpc::server::Channel;
 use tokio::net::TcpStream;
@@ -26,7 +26,7 @@
     }
 }
 
-async fn serve(stream: TcpStream, bytes: Arc<wire::Bytes>, shared: Arc<Shared>) {
+async fn serve(stream: TcpStream, bytes: Arc<wire::ByteCounter>, shared: Arc<Shared>) {
     let (key, poll) = shared.connect();
     let link = Link {
         shared: Arc::clone(&shared),
@@ -71,7 +71,7 @@
         }
     }
 
-    fn answer(&self) -> Polled {
+    fn answer(&self) -> PollResponse {
         let (load, (grants, report)) = self
             .shared
             .decide(|admission, now| (admission.load(), admission.poll_response(self.key, now)));
@@ -79,7 +79,7 @@
             log!(self.shared.logger, Event::Granted,
                 "grant" => grant.id, "customer" => grant.customer.0, "until" => grant.until);
         }
-        Polled {
+        PollResponse {
             load,
             grants,
             report,
@@ -95,10 +95,16 @@
         });
     }
 
-    async fn poll(self, _: Context, poll: Poll) -> Polled {
+    async fn poll(self, _: Context, poll: Poll) -> PollResponse {
         self.shared.decide(|admission, now| {
             admission.identify_router(self.key, poll.origin, now);
-            admission.poll(self.key, poll.counted, &poll.fleet, poll.heard, now);
+            admission.poll(
+                self.key,
+                poll.acknowledged,
+                &poll.fleet,
+                poll.fleet_as_of,
+                now,
+            );
         });
         self.wait(poll.until).await;
         self.answer()
@@ -118,7 +124,7 @@
             .decide(|admission, now| admission.withdraw(attempt, key, now));
         log!(self.shared.logger, Event::Withdrawn,
             "request" => attempt.request_id(), "attempt" => attempt.number,
-            "outcome" => outcome.word(), "doubtful" => doubtful);
+            "outcome" => outcome.as_str(), "doubtful" => doubtful);
         Withdrawal { outcome, doubtful }
     }
 
--- a/crates/daemon/src/sidecar/data.rs
+++ b/crates/daemon/src/sidecar/data.rs
@@ -77,7 +77,7 @@
 async fn start(shared: &Arc<Shared>, ticket: Ticket, request: Request<Incoming>) -> Response<Body> {
     log!(shared.logger, Event::Started,
         "request" => ticket.attempt.request_id(), "attempt" => ticket.attempt.number,
-        "customer" => ticket.customer.0, "class" => ticket.class.word(), "cost" => ticket.cost,
+        "customer" => ticket.customer.0, "class" => ticket.class.as_str(), "cost" => ticket.cost,
         "grant" => ticket.grant);
     let slot = Slot::open(Arc::clone(shared), ticket);
     exchange::spawn(slot, request).await
@@ -98,9 +98,9 @@
     };
     log!(shared.logger, Event::TurnedAway,
         "request" => ticket.attempt.request_id(), "attempt" => ticket.attempt.number,
-        "customer" => ticket.customer.0, "verdict" => verdict.word());
+        "customer" => ticket.customer.0, "verdict" => verdict.as_str());
     metrics::counter!("sidecar_refusals_total",
-        "server" => shared.settings.name.clone(), "verdict" => verdict.word())
+        "server" => shared.settings.name.clone(), "verdict" => verdict.as_str())
     .increment(1);
     answer::refuse(verdict, retry_at)
 }
--- a/crates/daemon/src/sidecar/meter.rs
+++ b/crates/daemon/src/sidecar/meter.rs
@@ -6,7 +6,7 @@
 use mulberryyoke_model::{Kind, Ticket};
 
 use super::chunk::{self, Meaning};
-use mulberryyoke_wire::sse::{self, Events};
+use mulberryyoke_wire::sse::{self, EventBuffer};
 
 /// Largest whole answer that is read for its token count, in bytes.
 const MAX_WHOLE: usize = 1 << 20;
@@ -26,7 +26,7 @@
 /// What is known of an event stream.
 #[derive(Debug, Default)]
 pub(crate) struct Stream {
-    events: Events,
+    events: EventBuffer,
     /// Events passed on.
     passed: u64,
     /// Tokens counted.
@@ -54,7 +54,7 @@
     pub(crate) fn read(&mut self, data: Bytes) -> (Bytes, u64) {
         match self {
             Self::Stream(stream) => {
-                let ready = stream.events.read(data);
+                let ready = stream.events.push(data);
                 let tokens = stream.count(&ready);
                 (ready, tokens)
             }
@@ -99,8 +99,8 @@
         let Self::Stream(stream) = self else {
             return None;
         };
-        stream.events.rewind();
-        (!stream.events.is_torn() && !stream.done).then_some(stream.passed)
+        stream.events.discard_partial();
+        (!stream.events.is_split() && !stream.done).then_some(stream.passed)
     }
 }
 
--- a/crates/daemon/src/sidecar/shared.rs
+++ b/crates/daemon/src/sidecar/shared.rs
@@ -38,7 +38,7 @@
     /// Cancelled at a planned stop once nothing runs any more.
     pub(crate) idle: CancellationToken,
     /// Bytes on the control links.
-    pub(crate) control_bytes: Arc<wire::Bytes>,
+    pub(crate) control_bytes: Arc<wire::ByteCounter>,
     /// Fires when slots were reserved, for the timer of lapses.
     pub(crate) reserved: Notify,
     /// Fires when the backend was found down.
--- a/crates/daemon/tests/router/fake/control.rs
+++ b/crates/daemon/tests/router/fake/control.rs
@@ -5,7 +5,7 @@
 
 use futures::StreamExt;
 use mulberryyoke_model::{Attempt, Change, Incarnation, Interest, KeyId, Outcome, Revision};
-use mulberryyoke_wire::{self as wire, Listener, Poll, Polled, Sidecar, Withdrawal};
+use mulberryyoke_wire::{self as wire, Listener, Poll, PollResponse, Sidecar, Withdrawal};
 use tarpc::context::Context;
 use tarpc::server::Channel;
 use tokio_util::sync::CancellationToken;
@@ -39,13 +39,13 @@
         });
     }
 
-    async fn poll(self, _: Context, poll: Poll) -> Polled {
+    async fn poll(self, _: Context, poll: Poll) -> PollResponse {
         if poll.until > 0 {
             // A poll without news ends as well as one with.
             let _ = tokio::time::timeout(POLL, self.0.granted.notified()).await;
         }
         self.0.thaw().await;
-        Polled {
+        PollResponse {
             load: self.0.load(),
             grants: std::mem::take(&mut self.0.grants.lock()),
             report: None,
--- a/crates/daemon/tests/router/fake/data.rs
+++ b/crates/daemon/tests/router/fake/data.rs
@@ -67,7 +67,7 @@
         Act::Verdict(word) => {
             let mut response = whole("");
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            let word = word.word().parse().unwrap();
+            let word = word.as_str().parse().unwrap();
             response.headers_mut().insert(verdict::HEADER, word);
             response
         }
--- a/crates/daemon/tests/router/waiting.rs
+++ b/crates/daemon/tests/router/waiting.rs
@@ -47,7 +47,7 @@
     fake.declared(customer(), [1, 1, 1]).await;
     for (grant, class) in (1..).zip(["urgent", "normal", "deferrable"]) {
         fake.grant(grant, customer());
-        expect_that!(fake.arrival().await.ticket.class.word(), eq(class));
+        expect_that!(fake.arrival().await.ticket.class.as_str(), eq(class));
     }
     for caller in callers {
         expect_that!(caller.await.unwrap().status.as_u16(), eq(200));
--- a/crates/daemon/tests/sidecar/node.rs
+++ b/crates/daemon/tests/sidecar/node.rs
@@ -14,7 +14,7 @@
 use mulberryyoke_event::slog::{Discard, Logger, o};
 use mulberryyoke_model::{Attempt, Class, CustomerId, Incarnation, Interest, Kind, Millis, Ticket};
 use mulberryyoke_settings as settings;
-use mulberryyoke_wire::{self as wire, Poll, Polled, SidecarClient, ticket};
+use mulberryyoke_wire::{self as wire, Poll, PollResponse, SidecarClient, ticket};
 use mulberryyoked::sidecar::Sidecar;
 use tarpc::context::Context;
 
@@ -114,14 +114,14 @@
             .expect("link is up");
     }
 
-    pub async fn poll(&self, until: Millis) -> Polled {
+    pub async fn poll(&self, until: Millis) -> PollResponse {
         let poll = Poll {
             origin: ROUTER,
             revision: 0,
             until,
-            counted: 0,
+            acknowledged: 0,
             fleet: Vec::new(),
-            heard: 0,
+            fleet_as_of: 0,
         };
         self.link.poll(context(), poll).await.expect("link is up")
     }
--- a/crates/daemon/tests/sidecar/pass.rs
+++ b/crates/daemon/tests/sidecar/pass.rs
@@ -150,14 +150,14 @@
     Ok(())
 }
 
-async fn poll_link(link: &mulberryyoke_wire::SidecarClient) -> mulberryyoke_wire::Polled {
+async fn poll_link(link: &mulberryyoke_wire::SidecarClient) -> mulberryyoke_wire::PollResponse {
     let poll = mulberryyoke_wire::Poll {
         origin: crate::node::ROUTER,
         revision: 0,
         until: crate::node::now() + 1_000,
-        counted: 0,
+        acknowledged: 0,
         fleet: Vec::new(),
-        heard: 0,
+        fleet_as_of: 0,
     };
     link.poll(context(), poll).await.expect("link is up")
 }
--- a/crates/decide/src/aggregate/collector.rs
+++ b/crates/decide/src/aggregate/collector.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use mulberryyoke_model::whole_u32;
+use mulberryyoke_model::saturating_u32;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of gateways per zone that aggregate its state; one of them may fail.
@@ -23,7 +23,7 @@
     /// A placement with a number of CPUs, rounded to thousandths.
     #[must_use]
     pub fn new(zone: &str, cpus: f64) -> Self {
-        let millicpus = whole_u32((cpus * MILLICPUS_PER_CPU).round());
+        let millicpus = saturating_u32((cpus * MILLICPUS_PER_CPU).round());
         Self {
             zone: zone.to_owned(),
             millicpus,
--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold.rs
@@ -10,7 +10,7 @@
 mod members;
 mod window;
 
-use mulberryyoke_model::{ServerId, whole_u32};
+use mulberryyoke_model::{ServerId, saturating_u32};
 
 pub use self::members::Members;
 pub use self::window::Window;
@@ -38,7 +38,7 @@
     pub fn requests_per_s(self) -> u32 {
         let peak = self.per_s * self.overage + self.slack;
         let rate = self.per_s.min(peak / VIEWS).max(0.0);
-        whole_u32(rate)
+        saturating_u32(rate)
     }
 }
 
--- a/crates/decide/src/exchange/account.rs
+++ b/crates/decide/src/exchange/account.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use mulberryyoke_model::{CustomerId, Flow, PoolId, Tally, Usage};
+use mulberryyoke_model::{CustomerId, Flow, PoolCounters, PoolId, Usage};
 
 /// A customer in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -40,21 +40,23 @@
 }
 
 /// Groups flows by pool.
-pub(super) fn group(flows: impl IntoIterator<Item = (PoolId, Flow)>) -> Vec<Tally> {
+pub(super) fn group(flows: impl IntoIterator<Item = (PoolId, Flow)>) -> Vec<PoolCounters> {
     let mut pools: BTreeMap<PoolId, Vec<Flow>> = BTreeMap::new();
     for (pool, flow) in flows {
         pools.entry(pool).or_default().push(flow);
     }
-    let tallies = pools.into_iter();
-    tallies.map(|(pool, flows)| Tally { pool, flows }).collect()
+    let pools = pools.into_iter();
+    pools
+        .map(|(pool, flows)| PoolCounters { pool, flows })
+        .collect()
 }
 
-/// Iterates over the flows of all tallies with their accounts.
-pub(super) fn flatten(tallies: &[Tally]) -> impl Iterator<Item = (Account, &Flow)> {
-    tallies.iter().flat_map(|tally| {
-        tally.flows.iter().map(|flow| {
+/// Iterates over the flows of all pools with their accounts.
+pub(super) fn flatten(pools: &[PoolCounters]) -> impl Iterator<Item = (Account, &Flow)> {
+    pools.iter().flat_map(|counters| {
+        counters.flows.iter().map(|flow| {
             let account = Account {
-                pool: tally.pool,
+                pool: counters.pool,
                 customer: flow.customer,
             };
             (account, flow)
--- a/crates/decide/src/exchange/inbound.rs
+++ b/crates/decide/src/exchange/inbound.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use mulberryyoke_model::{Flow, Known, Millis, PoolId, Statement, Tally};
+use mulberryyoke_model::{Flow, Millis, OriginSum, PoolCounters, PoolId, Statement};
 
 use super::account::flatten;
 use super::outbound::predict;
@@ -74,7 +74,7 @@
     pub(super) fn receive(&mut self, statement: &Statement, now: Millis) {
         let sequence = statement.sequence;
         let rebase = self.is_rebased && self.sequence == 0;
-        for (account, flow) in flatten(&statement.tallies) {
+        for (account, flow) in flatten(&statement.pools) {
             let counter = self.counter(account, flow.tokens, rebase);
             counter.tokens = counter.tokens.max(flow.tokens);
             if sequence > counter.sequence {
@@ -91,9 +91,9 @@
     }
 
     /// Merges counters of the origin relayed by another router.
-    pub(super) fn receive_relayed(&mut self, tallies: &[Tally], now: Millis) {
+    pub(super) fn receive_relayed(&mut self, pools: &[PoolCounters], now: Millis) {
         let rebase = self.is_rebased && self.sequence == 0;
-        for (account, flow) in flatten(tallies) {
+        for (account, flow) in flatten(pools) {
             let counter = self.counter(account, flow.tokens, rebase);
             if flow.tokens > counter.tokens {
                 counter.tokens = flow.tokens;
@@ -145,9 +145,9 @@
         self.checkpoint
     }
 
-    pub(super) fn digest(&self, now: Millis, fresh_ms: Millis) -> Known {
+    pub(super) fn digest(&self, now: Millis, fresh_ms: Millis) -> OriginSum {
         let is_fresh = self.sequence > 0 && now.saturating_sub(self.received_at) <= fresh_ms;
-        Known {
+        OriginSum {
             origin: self.instance.incarnation,
             sum: if is_fresh { u64::MAX } else { self.sum() },
         }
--- a/crates/decide/src/exchange/ledger.rs
+++ b/crates/decide/src/exchange/ledger.rs
@@ -149,7 +149,7 @@
             Relation::Parent => (&mut session.to_child, self.totals.counters()),
         };
         let flows = outbound.compose(sequence, counters, now, &self.limits);
-        let counted = match relation {
+        let acknowledged = match relation {
             Relation::Peer => self.origins.get(&to).map_or(0, Inbound::sequence),
             Relation::Child => self.totals_from(to).map_or(0, ParentTotals::sequence),
             Relation::Parent => self.children.get(&to).map_or(0, Inbound::sequence),
@@ -158,11 +158,11 @@
             relation,
             to,
             sequence,
-            counted,
+            acknowledged,
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
-            tallies: group(flows),
-            known: Vec::new(),
-            extracts: Vec::new(),
+            pools: group(flows),
+            digest: Vec::new(),
+            relayed: Vec::new(),
         };
         if relation == Relation::Peer {
             self.add_repair(&mut statement, now);
@@ -179,18 +179,18 @@
         session.used_at = now;
         match statement.relation {
             Relation::Peer => {
-                session.to_peer.acknowledge(statement.counted);
-                if !statement.known.is_empty() {
-                    session.digest = Some(statement.known.clone());
+                session.to_peer.acknowledge(statement.acknowledged);
+                if !statement.digest.is_empty() {
+                    session.digest = Some(statement.digest.clone());
                 }
                 self.receive_from_peer(from, statement, now);
             }
             Relation::Child => {
-                session.to_child.acknowledge(statement.counted);
+                session.to_child.acknowledge(statement.acknowledged);
                 self.receive_from_child(from, statement, now);
             }
             Relation::Parent => {
-                session.to_parent.acknowledge(statement.counted);
+                session.to_parent.acknowledge(statement.acknowledged);
                 self.receive_from_parent(from, statement, now);
             }
         }
--- a/crates/decide/src/exchange/receive.rs
+++ b/crates/decide/src/exchange/receive.rs
@@ -16,16 +16,16 @@
     pub(super) fn receive_from_peer(&mut self, from: Instance, statement: &Statement, now: Millis) {
         let origin = self.origin(from, now);
         origin.receive(statement, now);
-        for extract in &statement.extracts {
-            if extract.origin == self.own.incarnation {
+        for relayed in &statement.relayed {
+            if relayed.origin == self.own.incarnation {
                 continue;
             }
             let instance = Instance {
-                incarnation: extract.origin,
-                started_at: extract.started_at,
+                incarnation: relayed.origin,
+                started_at: relayed.started_at,
             };
             self.origin(instance, now)
-                .receive_relayed(&extract.tallies, now);
+                .receive_relayed(&relayed.pools, now);
         }
         self.apply_origins(now);
     }
@@ -91,7 +91,7 @@
             .is_none_or(|at| self.ticks >= at + repair::INTERVAL_TICKS);
         if is_due {
             session.digest_sent_at = Some(self.ticks);
-            statement.known = repair::digest(
+            statement.digest = repair::digest(
                 self.own.incarnation,
                 &self.origins,
                 now,
@@ -102,8 +102,8 @@
             let page_size = self.limits.max_entries;
             let page = session.pages;
             session.pages += 1;
-            statement.extracts =
-                repair::extracts(&self.origins, statement.to, &digest, page, page_size);
+            statement.relayed =
+                repair::missing_counters(&self.origins, statement.to, &digest, page, page_size);
         }
     }
 
--- a/crates/decide/src/exchange/repair.rs
+++ b/crates/decide/src/exchange/repair.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use mulberryyoke_model::{Extract, Incarnation, Known, Millis};
+use mulberryyoke_model::{Incarnation, Millis, OriginCounters, OriginSum};
 
 use super::account::group;
 use super::inbound::Inbound;
@@ -20,8 +20,8 @@
     origins: &HashMap<Incarnation, Inbound>,
     now: Millis,
     fresh_ms: Millis,
-) -> Vec<Known> {
-    let own = Known {
+) -> Vec<OriginSum> {
+    let own = OriginSum {
         origin: own,
         sum: u64::MAX,
     };
@@ -31,22 +31,22 @@
 
 /// Counters of other origins that are missing from a peer's digest, at most
 /// `page_size` per origin.
-pub(super) fn extracts(
+pub(super) fn missing_counters(
     origins: &HashMap<Incarnation, Inbound>,
     peer: Incarnation,
-    digest: &[Known],
+    digest: &[OriginSum],
     page: usize,
     page_size: usize,
-) -> Vec<Extract> {
+) -> Vec<OriginCounters> {
     let sums: HashMap<Incarnation, u64> = digest.iter().map(|k| (k.origin, k.sum)).collect();
     let missing = origins.iter().filter(|(origin, inbound)| {
         let sum = sums.get(*origin).copied().unwrap_or(0);
         **origin != peer && inbound.checkpoint() > sum
     });
-    let extracts = missing.map(|(origin, inbound)| Extract {
+    let counters = missing.map(|(origin, inbound)| OriginCounters {
         origin: *origin,
         started_at: inbound.instance().started_at,
-        tallies: group(inbound.page(page, page_size)),
+        pools: group(inbound.page(page, page_size)),
     });
-    extracts.collect()
+    counters.collect()
 }
--- a/crates/decide/src/exchange/session.rs
+++ b/crates/decide/src/exchange/session.rs
@@ -1,6 +1,6 @@
 //! Exchange state for one remote router.
 
-use mulberryyoke_model::{Known, Millis};
+use mulberryyoke_model::{Millis, OriginSum};
 
 use super::outbound::Outbound;
 
@@ -16,7 +16,7 @@
     /// Totals, sent to a child.
     pub(super) to_child: Outbound,
     /// Digest received from a peer and not answered yet.
-    pub(super) digest: Option<Vec<Known>>,
+    pub(super) digest: Option<Vec<OriginSum>>,
     /// Tick at which a digest was last sent.
     pub(super) digest_sent_at: Option<u64>,
     /// Digests answered so far; selects the next page of counters.
--- a/crates/decide/src/pushback.rs
+++ b/crates/decide/src/pushback.rs
@@ -4,7 +4,7 @@
 //! every request. Once the delay has passed, single probe requests are sent until the server
 //! responds to one, so that the accumulated backlog does not hit it all at once.
 
-use mulberryyoke_model::{Millis, whole_u32};
+use mulberryyoke_model::{Millis, saturating_u32};
 
 /// Maximum delay that is honoured, in milliseconds, so that a faulty server is probed eventually.
 pub const MAX_DELAY_MS: u64 = 120_000;
@@ -22,7 +22,7 @@
 #[must_use]
 pub fn retry_after_ms(wait_ms: u64, drawn: f64) -> u32 {
     let wait_ms = f64::from(u32::try_from(wait_ms).unwrap_or(u32::MAX));
-    whole_u32(wait_ms + (wait_ms + MIN_JITTER_MS) * drawn)
+    saturating_u32(wait_ms + (wait_ms + MIN_JITTER_MS) * drawn)
 }
 
 /// Pushback state of a server.
--- a/crates/event/src/catalogue.rs
+++ b/crates/event/src/catalogue.rs
@@ -178,7 +178,7 @@
     /// Whether it tells what becomes of one request that goes well or is refused;
     /// under load there are too many of these to write all.
     #[must_use]
-    pub const fn is_of_request(self) -> bool {
+    pub const fn is_rate_limited(self) -> bool {
         matches!(
             self,
             Self::Routed
@@ -197,7 +197,7 @@
 macro_rules! log {
     ($logger:expr, $event:expr $(, $($fields:tt)*)?) => {{
         let event = $event;
-        if $crate::budget::admits(event) {
+        if $crate::rate_limit::allows(event) {
         match event.level() {
             $crate::Level::Info => $crate::slog::info!(
                 $logger, "{}", event.text(); "event" => event.number() $(, $($fields)*)?
--- a/crates/event/src/lib.rs
+++ b/crates/event/src/lib.rs
@@ -6,10 +6,10 @@
 
 pub use slog;
 
-pub mod budget;
 mod catalogue;
 mod logger;
+pub mod rate_limit;
 mod sink;
 
 pub use catalogue::{Event, Level};
-pub use logger::{Form, open, open_output};
+pub use logger::{Format, open, open_stdout};
--- a/crates/event/src/logger.rs
+++ b/crates/event/src/logger.rs
@@ -5,7 +5,7 @@
 
 use slog::{Drain, Logger, o};
 
-use crate::budget;
+use crate::rate_limit;
 use crate::sink::Sink;
 
 /// Lines kept while the output is slow; more are dropped and counted in the log.
@@ -13,7 +13,7 @@
 
 /// Form of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// One JSON object a line.
     Json,
     /// Text for people.
@@ -21,10 +21,10 @@
 }
 
 /// Opens a log on standard error for a named node.
-pub fn open(form: Form, node: &str) -> Logger {
+pub fn open(form: Format, node: &str) -> Logger {
     let node = node.to_owned();
     match form {
-        Form::Json => {
+        Format::Json => {
             let drain = slog_json::Json::default(io::stderr()).fuse();
             let drain = slog_async::Async::new(drain)
                 .chan_size(BACKLOG)
@@ -32,7 +32,7 @@
                 .fuse();
             Logger::root(drain, o!("node" => node))
         }
-        Form::Terminal => {
+        Format::Terminal => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
             let drain = slog_async::Async::new(drain)
@@ -51,8 +51,8 @@
 /// Opens a log in JSON on the standard output for a named node. Lines are never
 /// waited for: those that find no room are dropped and counted, and so are lines
 /// about requests beyond some hundred a second.
-pub fn open_output(node: &str) -> Logger {
-    budget::bound(REQUEST_LINES);
+pub fn open_stdout(node: &str) -> Logger {
+    rate_limit::set_limit(REQUEST_LINES);
     let drain = slog_json::Json::new(Sink::spawn())
         .add_default_keys()
         .set_newlines(true)
--- a/crates/event/src/budget.rs
+++ b/crates/event/src/rate_limit.rs
@@ -13,20 +13,20 @@
 static COUNTED: AtomicU64 = AtomicU64::new(0);
 
 /// Lines left out, by the event's place in [`Event::ALL`].
-static LEFT_OUT: [AtomicU64; Event::ALL.len()] = [const { AtomicU64::new(0) }; Event::ALL.len()];
+static SUPPRESSED: [AtomicU64; Event::ALL.len()] = [const { AtomicU64::new(0) }; Event::ALL.len()];
 
 /// Bits of [`COUNTED`] that count lines.
 const COUNT_BITS: u32 = 32;
 
 /// Bounds the lines about requests to so many a second.
-pub fn bound(lines_a_second: u32) {
+pub fn set_limit(lines_a_second: u32) {
     MOST.store(u64::from(lines_a_second), Ordering::Relaxed);
 }
 
 /// Whether a line about an event may be written now; if not, it is counted.
 #[must_use]
-pub fn admits(event: Event) -> bool {
-    if !event.is_of_request() {
+pub fn allows(event: Event) -> bool {
+    if !event.is_rate_limited() {
         return true;
     }
     let most = MOST.load(Ordering::Relaxed);
@@ -35,7 +35,7 @@
     }
     let place = Event::ALL.iter().position(|held| *held == event);
     if let Some(place) = place {
-        LEFT_OUT[place].fetch_add(1, Ordering::Relaxed);
+        SUPPRESSED[place].fetch_add(1, Ordering::Relaxed);
     }
     false
 }
@@ -59,8 +59,8 @@
 }
 
 /// Takes the numbers of lines left out, by event.
-pub(crate) fn take_left_out() -> Vec<(Event, u64)> {
-    let counts = Event::ALL.iter().zip(&LEFT_OUT);
+pub(crate) fn take_suppressed() -> Vec<(Event, u64)> {
+    let counts = Event::ALL.iter().zip(&SUPPRESSED);
     let counts = counts.map(|(event, count)| (*event, count.swap(0, Ordering::Relaxed)));
     counts.filter(|(_, count)| *count > 0).collect()
 }
--- a/crates/event/src/sink.rs
+++ b/crates/event/src/sink.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::budget;
+use crate::rate_limit;
 
 /// Most bytes that wait to be written; lines beyond are dropped and counted.
 const BUFFER_BYTES: usize = 256 << 10;
@@ -96,7 +96,7 @@
 
 /// Writes how many lines were left out, by the event's number.
 fn note_left_out(output: &mut impl Write) {
-    let left_out = budget::take_left_out();
+    let left_out = rate_limit::take_suppressed();
     if left_out.is_empty() {
         return;
     }
--- a/crates/gateway/examples/cost.rs
+++ b/crates/gateway/examples/cost.rs
@@ -132,7 +132,7 @@
         processors: 1.0,
         descriptors: 4_096,
     };
-    let logger = mulberryyoke_event::open_output("g0");
+    let logger = mulberryyoke_event::open_stdout("g0");
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let feed = feed::Client::new(service);
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -9,7 +9,7 @@
 use mulberryyoke_decide::share::Usage;
 use mulberryyoke_decide::shed::{self, Objective, Rejection};
 use mulberryyoke_event::{Event, log};
-use mulberryyoke_model::{CustomerId, PoolId, ServerId, whole_u32};
+use mulberryyoke_model::{CustomerId, PoolId, ServerId, saturating_u32};
 use rand::RngExt;
 use tokio::time::Instant;
 
@@ -197,15 +197,15 @@
         "request" => &call.id,
         "customer" => call.customer_name(),
         "server" => server,
-        "wait_ms" => whole_u32(choice.wait_ms),
-        "read_ms" => whole_u32(choice.prefill_ms),
+        "wait_ms" => saturating_u32(choice.wait_ms),
+        "read_ms" => saturating_u32(choice.prefill_ms),
         "uncached" => choice.uncached,
         "again" => choice.recomputed,
-        "allowed_ms" => whole_u32(held.allowed_ms),
-        "mean_wait_ms" => whole_u32(choice.mean_wait_ms),
-        "of_portion" => whole_u32(standing.of_portion * 100.0),
-        "of_given" => whole_u32(standing.of_given * 100.0));
-    let retry_ms = whole_u32(held.retry_after_ms);
+        "allowed_ms" => saturating_u32(held.allowed_ms),
+        "mean_wait_ms" => saturating_u32(choice.mean_wait_ms),
+        "of_portion" => saturating_u32(standing.of_portion * 100.0),
+        "of_given" => saturating_u32(standing.of_given * 100.0));
+    let retry_ms = saturating_u32(held.retry_after_ms);
     if standing.of_portion > 1.0 {
         return Refusal::OverShare(retry_ms);
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -15,7 +15,7 @@
 use mulberryyoke_decide::handoff::candidates;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Digest, Incarnation, ServerId};
-use mulberryyoke_wire::beat::{Beat, Read};
+use mulberryyoke_wire::aggregate::{Message, Prefill};
 use parking_lot::Mutex;
 
 pub(crate) use self::announce::{HANDOFFS_PREFIX, PEERS_PREFIX, announce};
@@ -89,7 +89,7 @@
         };
         let mut inner = self.inner.lock();
         if inner.peers.len() > 0 {
-            let read = || Read {
+            let read = || Prefill {
                 server,
                 shared: prompt.shared.to_vec(),
             };
@@ -121,32 +121,32 @@
             core.quarantine.updates(),
             core.registry.instances.announcements(),
         );
-        for (beat, _) in &mut round {
-            beat.suspects.clone_from(&suspects);
-            beat.leaving.clone_from(&leaving);
+        for (message, _) in &mut round {
+            message.suspects.clone_from(&suspects);
+            message.leaving.clone_from(&leaving);
         }
         round
     }
 
-    fn hear(&self, core: &Core, beat: &Beat, from: SocketAddr) {
-        if beat.origin == self.origin {
+    fn hear(&self, core: &Core, message: &Message, from: SocketAddr) {
+        if message.origin == self.origin {
             return;
         }
-        quarantine::receive(core, &beat.suspects);
-        notice::receive(core, &beat.leaving);
+        quarantine::receive(core, &message.suspects);
+        notice::receive(core, &message.leaving);
         let now = clock::now_ms();
         let mut inner = self.inner.lock();
-        let is_known = inner.aggregate.knows(beat.origin);
-        if !inner.take(beat, from, now) {
+        let is_known = inner.aggregate.knows(message.origin);
+        if !inner.take(message, from, now) {
             return;
         }
         inner.is_changed = true;
         if !is_known {
-            log!(core.logger, Event::PeerUp, "peer" => beat.origin.0, "address" => from.to_string());
+            log!(core.logger, Event::PeerUp, "peer" => message.origin.0, "address" => from.to_string());
         }
         inner.count_if_due(core, now);
         drop(inner);
-        for read in &beat.reads {
+        for read in &message.prefills {
             if let Some(backend) = core.registry.get_by_id(read.server) {
                 backend.engine.lock().cache.insert(&read.shared);
             }
--- a/crates/gateway/src/exchange/inner.rs
+++ b/crates/gateway/src/exchange/inner.rs
@@ -7,7 +7,7 @@
 use mulberryyoke_decide::engine::Load;
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::Incarnation;
-use mulberryyoke_wire::beat::{Beat, Scope};
+use mulberryyoke_wire::aggregate::{Message, Scope};
 
 use super::peers::{Peer, Peers};
 use super::reads::Reads;
@@ -20,7 +20,7 @@
 const COUNT_MS: u64 = 5;
 
 /// A message and where it goes.
-pub(super) type Outgoing = (Beat, Vec<SocketAddr>);
+pub(super) type Outgoing = (Message, Vec<SocketAddr>);
 
 /// What a gateway knows of its peers, and what it has to tell them.
 #[derive(Debug)]
@@ -126,7 +126,10 @@
         let messages = to.into_iter().map(|address| {
             let wants_fleet = !collects && self.upstream.is_asked(address, now);
             let scope = Scope::Node { node, wants_fleet };
-            (Beat::new(from, scope, &sum, reads.clone()), vec![address])
+            (
+                Message::new(from, scope, &sum, reads.clone()),
+                vec![address],
+            )
         });
         messages.collect()
     }
@@ -143,13 +146,13 @@
             };
             let from = self.next(origin);
             let sum = self.aggregate.zone_sum();
-            sums.push((Beat::new(from, scope, &sum, zone_reads), zones));
+            sums.push((Message::new(from, scope, &sum, zone_reads), zones));
         }
         if !self.wanting.is_empty() {
             let from = self.next(origin);
             let sum = self.aggregate.fleet_sum(now);
             let to = self.wanting.values().copied().collect();
-            sums.push((Beat::new(from, Scope::Fleet, &sum, fleet_reads), to));
+            sums.push((Message::new(from, Scope::Fleet, &sum, fleet_reads), to));
         }
         sums
     }
@@ -163,28 +166,28 @@
     }
 
     /// Takes in a message; `false` if a later one came before it.
-    pub(super) fn take(&mut self, beat: &Beat, from: SocketAddr, now: u64) -> bool {
-        let sum = beat.sum();
-        match beat.scope {
+    pub(super) fn take(&mut self, message: &Message, from: SocketAddr, now: u64) -> bool {
+        let sum = message.sum();
+        match message.scope {
             Scope::Node { node, wants_fleet } => {
-                self.reads.pass(&beat.reads, true, now);
+                self.reads.pass(&message.prefills, true, now);
                 if wants_fleet {
-                    self.wanting.insert(beat.origin, from);
+                    self.wanting.insert(message.origin, from);
                 } else {
-                    self.wanting.remove(&beat.origin);
+                    self.wanting.remove(&message.origin);
                 }
                 self.aggregate
-                    .receive_gateway(node, beat.member(), sum.state, now)
+                    .receive_gateway(node, message.id(), sum.state, now)
             }
             Scope::Zone { zone } => {
-                self.reads.pass(&beat.reads, false, now);
-                self.collectors.insert(beat.origin, from);
-                self.aggregate.receive_zone(zone, beat.member(), sum, now)
+                self.reads.pass(&message.prefills, false, now);
+                self.collectors.insert(message.origin, from);
+                self.aggregate.receive_zone(zone, message.id(), sum, now)
             }
             Scope::Fleet => {
                 let is_collector = self.collectors_of_zone(0).contains(&from);
                 self.upstream.hear(from, is_collector, now);
-                self.aggregate.receive_fleet(beat.member(), sum, now)
+                self.aggregate.receive_fleet(message.id(), sum, now)
             }
         }
     }
--- a/crates/gateway/src/exchange/reads.rs
+++ b/crates/gateway/src/exchange/reads.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use mulberryyoke_model::ServerId;
-use mulberryyoke_wire::beat::Read;
+use mulberryyoke_wire::aggregate::Prefill;
 
 /// Time after which a shared part that is still in use is told again, in
 /// milliseconds: a lost packet does no lasting harm.
@@ -20,9 +20,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Reads {
     told: HashMap<(ServerId, u64), u64>,
-    own: Vec<Read>,
-    zone: Vec<Read>,
-    fleet: Vec<Read>,
+    own: Vec<Prefill>,
+    zone: Vec<Prefill>,
+    fleet: Vec<Prefill>,
 }
 
 impl Reads {
@@ -30,7 +30,7 @@
     pub(super) fn note(
         &mut self,
         key: u64,
-        read: impl FnOnce() -> Read,
+        read: impl FnOnce() -> Prefill,
         is_new: bool,
         server: ServerId,
         now: u64,
@@ -48,7 +48,7 @@
     }
 
     /// Passes on what another gateway told, to other zones if it is of this one.
-    pub(super) fn pass(&mut self, reads: &[Read], is_of_zone: bool, now: u64) {
+    pub(super) fn pass(&mut self, reads: &[Prefill], is_of_zone: bool, now: u64) {
         for read in reads {
             let Some(last) = read.shared.last() else {
                 continue;
@@ -70,20 +70,20 @@
             .retain(|_, at| now.saturating_sub(*at) < TELL_AGAIN_MS);
     }
 
-    pub(super) fn take_own(&mut self) -> Vec<Read> {
+    pub(super) fn take_own(&mut self) -> Vec<Prefill> {
         std::mem::take(&mut self.own)
     }
 
-    pub(super) fn take_zone(&mut self) -> Vec<Read> {
+    pub(super) fn take_zone(&mut self) -> Vec<Prefill> {
         std::mem::take(&mut self.zone)
     }
 
-    pub(super) fn take_fleet(&mut self) -> Vec<Read> {
+    pub(super) fn take_fleet(&mut self) -> Vec<Prefill> {
         std::mem::take(&mut self.fleet)
     }
 }
 
-fn push(reads: &mut Vec<Read>, read: &Read) {
+fn push(reads: &mut Vec<Prefill>, read: &Prefill) {
     if reads.len() < MOST_PASSED {
         reads.push(read.clone());
     }
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mulberryyoke_wire::beat::{self, Assembler};
+use mulberryyoke_wire::aggregate::{self, Assembler};
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
@@ -17,7 +17,7 @@
 
 /// Tells peers and hears them until the gateway ends.
 pub(crate) async fn run(core: Arc<Core>, socket: UdpSocket) {
-    let mut buffer = vec![0; 2 * beat::MAX_BYTES];
+    let mut buffer = vec![0; 2 * aggregate::MAX_BYTES];
     let mut assembler = Assembler::default();
     let mut ticks = interval(Duration::from_millis(TICK_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -67,8 +67,8 @@
 /// Sends a round of messages, and returns the number of packets.
 async fn tell(core: &Core, socket: &UdpSocket) -> usize {
     let mut sent = 0;
-    for (mut beat, addresses) in core.exchange.round(core) {
-        let packets = beat.encode();
+    for (mut message, addresses) in core.exchange.round(core) {
+        let packets = message.encode();
         sent += packets.len() * addresses.len();
         for address in addresses {
             for packet in &packets {
@@ -93,11 +93,11 @@
     let Ok((length, from)) = received else {
         return;
     };
-    match assembler.take(&buffer[..*length]) {
-        Ok(Some(beat)) => core.exchange.hear(core, &beat, *from),
+    match assembler.receive(&buffer[..*length]) {
+        Ok(Some(message)) => core.exchange.hear(core, &message, *from),
         Ok(None) => {}
         Err(unreadable) => {
-            metrics::counter!("beats_unreadable_total", "why" => unreadable.word()).increment(1);
+            metrics::counter!("beats_unreadable_total", "why" => unreadable.as_str()).increment(1);
         }
     }
 }
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use mulberryyoke_event::{Event, log};
-use mulberryyoke_wire::beat::Leaving;
+use mulberryyoke_wire::aggregate::Leaving;
 
 use crate::backend::Backend;
 use crate::clock;
--- a/crates/gateway/src/registry/instances.rs
+++ b/crates/gateway/src/registry/instances.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use mulberryyoke_model::ServerId;
-use mulberryyoke_wire::beat::Leaving;
+use mulberryyoke_wire::aggregate::Leaving;
 use parking_lot::Mutex;
 
 use crate::backend::Instance;
--- a/crates/gateway/src/retry_budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use mulberryyoke_decide::retry::Budget;
-use mulberryyoke_model::{PoolId, whole_u32};
+use mulberryyoke_model::{PoolId, saturating_u32};
 use parking_lot::Mutex;
 
 /// Part of the fleet's ratio of retries that one node allows itself: the ratio
@@ -42,9 +42,11 @@
     /// Bounds the retries: the fleet may make `ratio` for each request and `slack`
     /// beyond, and this node is one of `nodes`.
     pub(crate) fn set_limits(&self, ratio: f64, slack: f64, nodes: usize) {
-        let percent = whole_u32(ratio * RATIO_PART * 100.0);
+        let percent = saturating_u32(ratio * RATIO_PART * 100.0);
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX).max(1);
-        let full = u64::from(whole_u32(slack * SLACK_PART * 100.0 / f64::from(nodes)));
+        let full = u64::from(saturating_u32(
+            slack * SLACK_PART * 100.0 / f64::from(nodes),
+        ));
         let mut inner = self.inner.lock();
         if inner.percent != percent {
             inner.by_pool.clear();
--- a/crates/gateway/src/stream_relay.rs
+++ b/crates/gateway/src/stream_relay.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use mulberryyoke_event::{Event, log};
-use mulberryyoke_wire::sse::{self, Events};
+use mulberryyoke_wire::sse::{self, EventBuffer};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -61,7 +61,7 @@
     call: Arc<Call>,
     running: InFlight,
     body: Incoming,
-    events: Events,
+    events: EventBuffer,
     pieces: mpsc::Sender<Result<Bytes, BodyError>>,
     passed: u32,
     /// When events were last passed on.
@@ -89,7 +89,7 @@
         call: Arc::clone(call),
         running,
         body,
-        events: Events::default(),
+        events: EventBuffer::default(),
         pieces,
         passed: 0,
         passed_at: Instant::now(),
@@ -214,7 +214,7 @@
             if !is_waited_for {
                 stalled.set(clock::sleep_until_opt(stall));
             }
-            let whole = self.events.read(data);
+            let whole = self.events.push(data);
             if whole.is_empty() {
                 continue;
             }
--- a/crates/model/src/class.rs
+++ b/crates/model/src/class.rs
@@ -31,7 +31,7 @@
 
     /// The word used in settings, headers and commands.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
             Self::Normal => "normal",
@@ -42,6 +42,6 @@
     /// Reads the word of a class; `None` for any other word.
     #[must_use]
     pub fn parse(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|class| class.word() == word)
+        Self::ALL.into_iter().find(|class| class.as_str() == word)
     }
 }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -23,7 +23,7 @@
 impl Outcome {
     /// The word used in headers and answers.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
             Self::Running => "running",
--- a/crates/model/src/number.rs
+++ b/crates/model/src/saturating.rs
@@ -2,7 +2,7 @@
 
 /// A number without its fraction; out of range, the nearest bound.
 #[must_use]
-pub const fn whole(number: f64) -> u64 {
+pub const fn saturating_u64(number: f64) -> u64 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -12,9 +12,9 @@
     whole
 }
 
-/// As [`whole`], of 32 bits.
+/// As [`saturating_u64`], of 32 bits.
 #[must_use]
-pub const fn whole_u32(number: f64) -> u32 {
+pub const fn saturating_u32(number: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/model/src/statement.rs
+++ b/crates/model/src/statement.rs
@@ -17,7 +17,7 @@
 
 /// Service of customers in one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct PoolCounters {
     /// The pool.
     pub pool: PoolId,
     /// Its customers.
@@ -38,7 +38,7 @@
 
 /// How far an origin's counters are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct OriginSum {
     /// The origin's life.
     pub origin: Incarnation,
     /// Sum of its counters as held; the largest value when the origin itself was
@@ -48,13 +48,13 @@
 
 /// Counters of one origin, passed on by another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Extract {
+pub struct OriginCounters {
     /// The origin's life.
     pub origin: Incarnation,
     /// When that life began.
     pub started_at: Millis,
     /// Its counters, or some of them.
-    pub tallies: Vec<Tally>,
+    pub pools: Vec<PoolCounters>,
 }
 
 /// One message of the usage exchange. Every part is idempotent.
@@ -67,14 +67,14 @@
     /// Sequence number on the way from this sender's to this receiver's life.
     pub sequence: u64,
     /// The last sequence number that the sender has taken in from the receiver.
-    pub counted: u64,
+    pub acknowledged: u64,
     /// How old what the sender counted was, in milliseconds: what its sidecars and
     /// children told it, or what a parent's totals rest on.
     pub age_ms: u32,
     /// A peer's or child's own counters, or a parent's totals.
-    pub tallies: Vec<Tally>,
+    pub pools: Vec<PoolCounters>,
     /// How far the sender knows each origin; now and then.
-    pub known: Vec<Known>,
+    pub digest: Vec<OriginSum>,
     /// What the receiver lacks of other origins.
-    pub extracts: Vec<Extract>,
+    pub relayed: Vec<OriginCounters>,
 }
--- a/crates/standin/src/fleet/op.rs
+++ b/crates/standin/src/fleet/op.rs
@@ -125,7 +125,7 @@
         };
         let mut request = post(path, &body);
         let headers = request.headers_mut();
-        let word = HeaderValue::from_static(self.class.word());
+        let word = HeaderValue::from_static(self.class.as_str());
         headers.insert("x-urgency", word);
         if self.hint > 0 {
             headers.insert("x-cost-hint", HeaderValue::from(self.hint));
--- a/crates/standin/src/fleet/report.rs
+++ b/crates/standin/src/fleet/report.rs
@@ -80,13 +80,13 @@
 pub(crate) fn first_token(records: &[Record], part: f64) -> BTreeMap<&'static str, f64> {
     let mut times: BTreeMap<&'static str, Vec<f64>> = BTreeMap::new();
     for class in Class::ALL {
-        times.insert(class.word(), Vec::new());
+        times.insert(class.as_str(), Vec::new());
     }
     for record in records.iter().filter(|record| !record.op.flood) {
         let streamed = matches!(record.op.work, Work::Chat { streamed: true, .. });
         let first = record.calls.last().and_then(|call| call.first);
         if let (true, End::Whole, Some(first)) = (streamed, record.end(), first) {
-            let times = times.entry(record.op.class.word()).or_default();
+            let times = times.entry(record.op.class.as_str()).or_default();
             times.push(first.as_secs_f64() * 1000.0);
         }
     }
--- a/crates/standin/tests/fleet/sidecar.rs
+++ b/crates/standin/tests/fleet/sidecar.rs
@@ -5,7 +5,9 @@
 
 use futures::StreamExt;
 use mulberryyoke_model::{Attempt, Change, Incarnation, KeyId, Outcome, Revision};
-use mulberryyoke_wire::{self as wire, Bytes, Interest, Listener, Poll, Polled, Withdrawal};
+use mulberryyoke_wire::{
+    self as wire, ByteCounter, Interest, Listener, Poll, PollResponse, Withdrawal,
+};
 use tarpc::context::Context;
 use tarpc::server::Channel;
 
@@ -16,7 +18,7 @@
 
 /// Serves some configuration; returns the control port.
 pub async fn serve(changes: Vec<Change>) -> SocketAddr {
-    let bytes = Arc::new(Bytes::default());
+    let bytes = Arc::new(ByteCounter::default());
     let listener = Listener::bind(LOOPBACK, bytes).await.unwrap();
     let address = listener.address().unwrap();
     let memory = Memory(Arc::new(changes));
@@ -33,7 +35,7 @@
 impl wire::Sidecar for Memory {
     async fn declare(self, _: Context, _: Incarnation, _: bool, _: Vec<Interest>) {}
 
-    async fn poll(self, _: Context, _: Poll) -> Polled {
+    async fn poll(self, _: Context, _: Poll) -> PollResponse {
         unreachable!("nobody polls")
     }
 
--- a/crates/wire/src/beat.rs
+++ b/crates/wire/src/aggregate.rs
@@ -7,11 +7,11 @@
 use mulberryyoke_decide::engine::{Load, Part};
 use mulberryyoke_decide::quarantine::Suspect;
 use mulberryyoke_decide::share::Flow;
-use mulberryyoke_model::{CustomerId, Incarnation, ServerId, whole_u32};
+use mulberryyoke_model::{CustomerId, Incarnation, ServerId, saturating_u32};
 use serde::{Deserialize, Serialize};
 
 pub use self::assembler::Assembler;
-pub use self::packet::{MAX_BYTES, Unreadable};
+pub use self::packet::{DecodeError, MAX_BYTES};
 
 /// Whose state a message tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,15 +35,15 @@
 /// What one or more gateways have at the servers. It is told whole, and a later message of
 /// the same life and scope takes the place of earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Message {
     /// The sender's life.
     pub origin: Incarnation,
     /// Counts the messages of that life.
-    pub number: u32,
+    pub sequence: u32,
     /// Whose state it tells.
     pub scope: Scope,
     /// Gateways whose state it tells.
-    pub nodes: u32,
+    pub gateways: u32,
     /// Those of the sender's zone, and the messages of theirs that it holds.
     pub members: Vec<MessageId>,
     /// What they have at each server; nothing where none is named.
@@ -51,7 +51,7 @@
     /// What customers lately asked of them and were given.
     pub customers: Vec<Customer>,
     /// Shared prompt parts that servers were lately given to read.
-    pub reads: Vec<Read>,
+    pub prefills: Vec<Prefill>,
     /// Requests that lately ended servers. They follow the rest of the message: a gateway of a
     /// release that does not know them reads up to there.
     #[serde(skip)]
@@ -81,7 +81,7 @@
 
 /// Shared prompt parts that a server was given to read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Read {
+pub struct Prefill {
     /// The server.
     pub server: ServerId,
     /// The parts, in order.
@@ -94,29 +94,29 @@
     /// The customer.
     pub id: CustomerId,
     /// Tokens asked, those of long ago counting less.
-    pub asked: u32,
+    pub requested: u32,
     /// Tokens of the requests that were sent to servers, likewise.
-    pub given: u32,
+    pub granted: u32,
 }
 
-impl Beat {
+impl Message {
     /// A message that tells a sum.
     #[must_use]
-    pub fn new(from: MessageId, scope: Scope, sum: &Sum, reads: Vec<Read>) -> Self {
+    pub fn new(from: MessageId, scope: Scope, sum: &Sum, prefills: Vec<Prefill>) -> Self {
         let servers = sum.state.loads.iter();
         let servers = servers.filter(|(_, load)| **load != Load::default());
         let customers = sum.state.flows.iter();
         Self {
             origin: from.origin,
-            number: from.sequence,
+            sequence: from.sequence,
             scope,
-            nodes: sum.gateways,
+            gateways: sum.gateways,
             members: sum.members.clone(),
             servers: servers.map(|(&id, &load)| Server { id, load }).collect(),
             customers: customers
                 .map(|(&id, flow)| Customer::new(id, *flow))
                 .collect(),
-            reads,
+            prefills,
             suspects: Vec::new(),
             leaving: Vec::new(),
         }
@@ -124,10 +124,10 @@
 
     /// The message's number in its sender's life.
     #[must_use]
-    pub const fn member(&self) -> MessageId {
+    pub const fn id(&self) -> MessageId {
         MessageId {
             origin: self.origin,
-            sequence: self.number,
+            sequence: self.sequence,
         }
     }
 
@@ -137,7 +137,7 @@
         let loads = self.servers.iter().map(|server| (server.id, server.load));
         let flows = self.customers.iter().map(Customer::flow);
         Sum {
-            gateways: self.nodes,
+            gateways: self.gateways,
             members: self.members.clone(),
             state: State {
                 loads: loads.collect(),
@@ -152,25 +152,25 @@
     pub fn encode(&mut self) -> Vec<Vec<u8>> {
         loop {
             let bytes = self.bytes();
-            if let Some(packets) = packet::split(self.member(), &bytes) {
+            if let Some(packets) = packet::split(self.id(), &bytes) {
                 return packets;
             }
-            let (reads, servers) = (self.reads.len(), self.servers.len());
-            match (reads, servers) {
+            let (prefills, servers) = (self.prefills.len(), self.servers.len());
+            match (prefills, servers) {
                 (0, 0) => return Vec::new(),
                 (0, _) => self.servers.truncate(servers / 2),
-                (_, _) => self.reads.truncate(reads / 2),
+                (_, _) => self.prefills.truncate(prefills / 2),
             }
         }
     }
 
     /// Reads the bytes of a whole message.
-    fn decode(bytes: &[u8]) -> Result<Self, Unreadable> {
+    fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let read = postcard::take_from_bytes::<Self>(bytes);
-        let (mut beat, rest) = read.map_err(|_| Unreadable::Message)?;
-        let rest = follow(rest, &mut beat.suspects)?;
-        follow(rest, &mut beat.leaving)?;
-        Ok(beat)
+        let (mut message, rest) = read.map_err(|_| DecodeError::Message)?;
+        let rest = follow(rest, &mut message.suspects)?;
+        follow(rest, &mut message.leaving)?;
+        Ok(message)
     }
 
     fn bytes(&self) -> Vec<u8> {
@@ -187,11 +187,11 @@
 }
 
 /// Reads what follows a message, if anything does; the rest is what follows that.
-fn follow<'a, T: Deserialize<'a>>(bytes: &'a [u8], to: &mut T) -> Result<&'a [u8], Unreadable> {
+fn follow<'a, T: Deserialize<'a>>(bytes: &'a [u8], to: &mut T) -> Result<&'a [u8], DecodeError> {
     if bytes.is_empty() {
         return Ok(bytes);
     }
-    let (read, rest) = postcard::take_from_bytes(bytes).map_err(|_| Unreadable::Message)?;
+    let (read, rest) = postcard::take_from_bytes(bytes).map_err(|_| DecodeError::Message)?;
     *to = read;
     Ok(rest)
 }
@@ -200,15 +200,15 @@
     fn new(id: CustomerId, flow: Flow) -> Self {
         Self {
             id,
-            asked: whole_u32(flow.requested),
-            given: whole_u32(flow.granted),
+            requested: saturating_u32(flow.requested),
+            granted: saturating_u32(flow.granted),
         }
     }
 
     fn flow(&self) -> (CustomerId, Flow) {
         let flow = Flow {
-            requested: f64::from(self.asked),
-            granted: f64::from(self.given),
+            requested: f64::from(self.requested),
+            granted: f64::from(self.granted),
         };
         (self.id, flow)
     }
--- a/crates/wire/src/beat/assembler.rs
+++ b/crates/wire/src/aggregate/assembler.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_model::Incarnation;
 
 use super::packet::{self, Packet};
-use super::{Beat, Unreadable};
+use super::{DecodeError, Message};
 
 /// Senders of whose messages parts are kept; with more, all parts are forgotten. It bounds
 /// what packets of unknown senders can make a gateway keep.
@@ -30,16 +30,16 @@
     ///
     /// # Errors
     ///
-    /// [`Unreadable`] when the packet or its message cannot be read.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Option<Beat>, Unreadable> {
+    /// [`DecodeError`] when the packet or its message cannot be read.
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<Option<Message>, DecodeError> {
         let packet = packet::read(bytes)?;
         if packet.count == 1 {
-            return Beat::decode(packet.part).map(Some);
+            return Message::decode(packet.part).map(Some);
         }
         let Some(whole) = self.add(&packet) else {
             return Ok(None);
         };
-        Beat::decode(&whole).map(Some)
+        Message::decode(&whole).map(Some)
     }
 
     /// Adds a part, and returns the message's bytes once all have come.
--- a/crates/wire/src/beat/packet.rs
+++ b/crates/wire/src/aggregate/packet.rs
@@ -29,24 +29,24 @@
 
 /// Why a packet is not read.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// packet is of another version
     Version,
     /// packet is too short or names a part that its message has not
-    Head,
+    Header,
     /// message is not whole or has another form
     Message,
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
-impl Unreadable {
+impl DecodeError {
     /// Its name in metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Version => "version",
-            Self::Head => "head",
+            Self::Header => "head",
             Self::Message => "message",
         }
     }
@@ -69,16 +69,16 @@
 }
 
 /// Reads a packet.
-pub(super) fn read(bytes: &[u8]) -> Result<Packet<'_>, Unreadable> {
-    let (&version, rest) = bytes.split_first().ok_or(Unreadable::Head)?;
+pub(super) fn read(bytes: &[u8]) -> Result<Packet<'_>, DecodeError> {
+    let (&version, rest) = bytes.split_first().ok_or(DecodeError::Header)?;
     if version != VERSION {
-        return Err(Unreadable::Version);
+        return Err(DecodeError::Version);
     }
-    let (origin, rest) = rest.split_first_chunk().ok_or(Unreadable::Head)?;
-    let (number, rest) = rest.split_first_chunk().ok_or(Unreadable::Head)?;
-    let (&[index, count], part) = rest.split_first_chunk().ok_or(Unreadable::Head)?;
+    let (origin, rest) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
+    let (number, rest) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
+    let (&[index, count], part) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
     if index >= count {
-        return Err(Unreadable::Head);
+        return Err(DecodeError::Header);
     }
     let from = MessageId {
         origin: Incarnation(u64::from_le_bytes(*origin)),
--- a/crates/wire/src/count.rs
+++ b/crates/wire/src/byte_counter.rs
@@ -10,12 +10,12 @@
 
 /// Bytes read and written, shared by every link that counts into it.
 #[derive(Debug, Default)]
-pub struct Bytes {
+pub struct ByteCounter {
     read: AtomicU64,
     written: AtomicU64,
 }
 
-impl Bytes {
+impl ByteCounter {
     /// Bytes read so far.
     pub fn read(&self) -> u64 {
         self.read.load(Ordering::Relaxed)
@@ -29,19 +29,19 @@
 
 /// A stream whose bytes are counted.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountingStream<S> {
     stream: S,
-    bytes: Arc<Bytes>,
+    bytes: Arc<ByteCounter>,
 }
 
-impl<S> Counted<S> {
+impl<S> CountingStream<S> {
     /// Counts what passes through `stream` into `bytes`.
-    pub fn new(stream: S, bytes: Arc<Bytes>) -> Self {
+    pub fn new(stream: S, bytes: Arc<ByteCounter>) -> Self {
         Self { stream, bytes }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -55,7 +55,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,11 +5,11 @@
 //! by its peers. Bodies and answers go over HTTP/2; the router's request
 //! carries one [`Ticket`] in the header [`ticket::HEADER`].
 
-pub mod beat;
-mod count;
+pub mod aggregate;
+mod byte_counter;
 mod error;
 pub mod handoff;
-pub mod hop;
+pub mod hop_by_hop;
 mod link;
 pub mod relay;
 mod router;
@@ -18,7 +18,7 @@
 pub mod ticket;
 pub mod verdict;
 
-pub use count::{Bytes, Counted};
+pub use byte_counter::{ByteCounter, CountingStream};
 pub use error::Error;
 pub use link::{
     Listener, RouterChannel, SidecarChannel, connect_router, connect_sidecar, router_channel,
@@ -26,5 +26,5 @@
 };
 pub use mulberryyoke_model::{Grant, Interest, Load, Report, Ticket, Usage};
 pub use router::{Member, Router, RouterClient, Summary};
-pub use sidecar::{Poll, Polled, Sidecar, SidecarClient, Withdrawal};
+pub use sidecar::{Poll, PollResponse, Sidecar, SidecarClient, Withdrawal};
 pub use verdict::Verdict;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -15,12 +15,12 @@
 
 use crate::router::{RouterRequest, RouterResponse};
 use crate::sidecar::{SidecarRequest, SidecarResponse};
-use crate::{Bytes, Counted, Error, RouterClient, SidecarClient};
+use crate::{ByteCounter, CountingStream, Error, RouterClient, SidecarClient};
 
 /// Largest message on a control link, in bytes: a whole configuration fits.
 const MAX_FRAME: usize = 16 << 20;
 
-type Wire<I, O> = Transport<Counted<TcpStream>, I, O, Bincode<I, O>>;
+type Wire<I, O> = Transport<CountingStream<TcpStream>, I, O, Bincode<I, O>>;
 
 /// Server side of a link to a sidecar.
 pub type SidecarChannel = BaseChannel<
@@ -36,7 +36,7 @@
     Wire<ClientMessage<RouterRequest>, Response<RouterResponse>>,
 >;
 
-fn wire<I, O>(stream: TcpStream, bytes: Arc<Bytes>) -> Wire<I, O>
+fn wire<I, O>(stream: TcpStream, bytes: Arc<ByteCounter>) -> Wire<I, O>
 where
     I: for<'de> Deserialize<'de>,
     O: Serialize,
@@ -44,7 +44,7 @@
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME)
         .new_codec();
-    let framed = tokio_util::codec::Framed::new(Counted::new(stream, bytes), codec);
+    let framed = tokio_util::codec::Framed::new(CountingStream::new(stream, bytes), codec);
     serde_transport::new(framed, Bincode::default())
 }
 
@@ -61,7 +61,7 @@
 /// [`Error::Connect`] when nothing answers at `address`.
 pub async fn connect_sidecar(
     address: SocketAddr,
-    bytes: Arc<Bytes>,
+    bytes: Arc<ByteCounter>,
 ) -> Result<SidecarClient, Error> {
     let stream = dial(address).await?;
     Ok(SidecarClient::new(Config::default(), wire(stream, bytes)).spawn())
@@ -72,7 +72,10 @@
 /// # Errors
 ///
 /// [`Error::Connect`] when nothing answers at `address`.
-pub async fn connect_router(address: SocketAddr, bytes: Arc<Bytes>) -> Result<RouterClient, Error> {
+pub async fn connect_router(
+    address: SocketAddr,
+    bytes: Arc<ByteCounter>,
+) -> Result<RouterClient, Error> {
     let stream = dial(address).await?;
     Ok(RouterClient::new(Config::default(), wire(stream, bytes)).spawn())
 }
@@ -81,7 +84,7 @@
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
-    bytes: Arc<Bytes>,
+    bytes: Arc<ByteCounter>,
 }
 
 impl Listener {
@@ -90,7 +93,7 @@
     /// # Errors
     ///
     /// [`Error::Bind`] when the address is taken or not ours.
-    pub async fn bind(address: SocketAddr, bytes: Arc<Bytes>) -> Result<Self, Error> {
+    pub async fn bind(address: SocketAddr, bytes: Arc<ByteCounter>) -> Result<Self, Error> {
         let listener = TcpListener::bind(address).await.map_err(Error::Bind)?;
         Ok(Self { listener, bytes })
     }
@@ -117,18 +120,18 @@
 
     /// The counter of this port's links.
     #[must_use]
-    pub fn bytes(&self) -> Arc<Bytes> {
+    pub fn bytes(&self) -> Arc<ByteCounter> {
         Arc::clone(&self.bytes)
     }
 }
 
 /// The calls of one accepted link to a sidecar, for `execute` and [`spawn_calls`].
-pub fn sidecar_channel(stream: TcpStream, bytes: Arc<Bytes>) -> SidecarChannel {
+pub fn sidecar_channel(stream: TcpStream, bytes: Arc<ByteCounter>) -> SidecarChannel {
     BaseChannel::with_defaults(wire(stream, bytes))
 }
 
 /// The calls of one accepted link to a router, for `execute` and [`spawn_calls`].
-pub fn router_channel(stream: TcpStream, bytes: Arc<Bytes>) -> RouterChannel {
+pub fn router_channel(stream: TcpStream, bytes: Arc<ByteCounter>) -> RouterChannel {
     BaseChannel::with_defaults(wire(stream, bytes))
 }
 
--- a/crates/wire/src/sidecar.rs
+++ b/crates/wire/src/sidecar.rs
@@ -15,18 +15,18 @@
     /// Answer by this instant even with nothing to tell.
     pub until: Millis,
     /// The last report of this sidecar that the router has counted; 0 for none.
-    pub counted: u64,
+    pub acknowledged: u64,
     /// Fleet-wide service of customers, cumulative in tokens, as far as changed.
     /// Includes this sidecar's own service up to report `counted`.
     pub fleet: Vec<Usage>,
     /// About the instant up to which `fleet` includes the service of other
     /// collectors' sidecars.
-    pub heard: Millis,
+    pub fleet_as_of: Millis,
 }
 
 /// Answer to a long poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Polled {
+pub struct PollResponse {
     /// The server's load and standing.
     pub load: Load,
     /// Slots reserved for requests that wait at this router.
@@ -51,7 +51,7 @@
     async fn declare(origin: Incarnation, full: bool, interest: Vec<Interest>);
 
     /// Waits for grants, a change of load or the poll's instant.
-    async fn poll(poll: Poll) -> Polled;
+    async fn poll(poll: Poll) -> PollResponse;
 
     /// Gives back reserved slots that found no request.
     async fn decline(grants: Vec<u64>);
--- a/crates/wire/src/sse.rs
+++ b/crates/wire/src/sse.rs
@@ -8,15 +8,15 @@
 /// Cuts a stream at the ends of its events, so that what was passed on is always
 /// a number of whole events and the stream can be resumed there.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventBuffer {
     partial: BytesMut,
-    torn: bool,
+    split: bool,
 }
 
-impl Events {
+impl EventBuffer {
     /// Reads a part of the stream. Returns the whole events that end in it.
     #[must_use]
-    pub fn read(&mut self, data: Bytes) -> Bytes {
+    pub fn push(&mut self, data: Bytes) -> Bytes {
         if self.partial.is_empty() && data.ends_with(b"\n\n") {
             return data;
         }
@@ -27,7 +27,7 @@
         if self.partial.len() <= MAX_EVENT {
             return Bytes::new();
         }
-        self.torn = true;
+        self.split = true;
         self.flush()
     }
 
@@ -38,14 +38,14 @@
     }
 
     /// Drops what came after the last whole event.
-    pub fn rewind(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
     /// Whether part of an event was passed on before its end had come.
     #[must_use]
-    pub const fn is_torn(&self) -> bool {
-        self.torn
+    pub const fn is_split(&self) -> bool {
+        self.split
     }
 }
 
--- a/crates/wire/src/verdict.rs
+++ b/crates/wire/src/verdict.rs
@@ -53,7 +53,7 @@
 
     /// The word used in [`HEADER`].
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Busy => "busy",
             Self::Draining => "draining",
@@ -73,7 +73,9 @@
     /// Reads the word of a verdict; `None` for any other word.
     #[must_use]
     pub fn parse(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|verdict| verdict.word() == word)
+        Self::ALL
+            .into_iter()
+            .find(|verdict| verdict.as_str() == word)
     }
 
     /// Whether the attempt is proved not to have run.
--- a/crates/wire/tests/beat.rs
+++ b/crates/wire/tests/aggregate.rs
@@ -6,13 +6,15 @@
 use mulberryyoke_decide::quarantine::{Crash, Suspect};
 use mulberryyoke_decide::share::Flow;
 use mulberryyoke_model::{CustomerId, Digest, Incarnation, ServerId};
-use mulberryyoke_wire::beat::{Assembler, Beat, Leaving, MAX_BYTES, Read, Scope, Unreadable};
+use mulberryyoke_wire::aggregate::{
+    Assembler, DecodeError, Leaving, MAX_BYTES, Message, Prefill, Scope,
+};
 
 /// Bytes of a packet before its part of the message.
 const HEAD: usize = 15;
 
 /// A message of a fleet with so many servers and customers, and with reads.
-fn beat(number: u32, servers: u32, customers: u32, reads: u32) -> Beat {
+fn message(number: u32, servers: u32, customers: u32, reads: u32) -> Message {
     let load = Load {
         prefill_tokens: 123_456,
         queued: 3,
@@ -40,17 +42,17 @@
         key: u64::MAX - key,
         tokens: 5_000,
     };
-    let reads = (0..reads).map(|id| Read {
+    let reads = (0..reads).map(|id| Prefill {
         server: ServerId(id),
         shared: vec![part(u64::from(id)), part(u64::from(id) + 1)],
     });
-    Beat::new(from(0, number), Scope::Fleet, &sum, reads.collect())
+    Message::new(from(0, number), Scope::Fleet, &sum, reads.collect())
 }
 
-fn sorted(mut beat: Beat) -> Beat {
-    beat.servers.sort_by_key(|server| server.id);
-    beat.customers.sort_by_key(|customer| customer.id);
-    beat
+fn sorted(mut message: Message) -> Message {
+    message.servers.sort_by_key(|server| server.id);
+    message.customers.sort_by_key(|customer| customer.id);
+    message
 }
 
 #[gtest]
@@ -64,14 +66,14 @@
         (180, 60, 400),
         (2_000, 600, 0),
     ] {
-        let mut told = beat(1, servers, customers, reads);
+        let mut told = message(1, servers, customers, reads);
         let packets = told.encode();
         let mut assembler = Assembler::default();
         let mut heard = None;
         for packet in &packets {
             expect_that!(packet.len(), le(MAX_BYTES));
             expect_that!(heard.is_none(), eq(true));
-            heard = assembler.take(packet).expect("the packet can be read");
+            heard = assembler.receive(packet).expect("the packet can be read");
         }
         expect_that!(heard.map(sorted) == Some(sorted(told)), eq(true));
     }
@@ -79,33 +81,33 @@
 
 #[gtest]
 fn packets_may_come_in_any_order_and_more_than_once() {
-    let mut told = beat(1, 180, 60, 0);
+    let mut told = message(1, 180, 60, 0);
     let packets = told.encode();
     let mut assembler = Assembler::default();
     for packet in packets.iter().skip(1).rev() {
-        expect_that!(assembler.take(packet), ok(none()));
-        expect_that!(assembler.take(packet), ok(none()));
+        expect_that!(assembler.receive(packet), ok(none()));
+        expect_that!(assembler.receive(packet), ok(none()));
     }
-    expect_that!(assembler.take(&packets[0]), ok(some(anything())));
+    expect_that!(assembler.receive(&packets[0]), ok(some(anything())));
 }
 
 #[gtest]
 fn a_message_that_lost_a_packet_is_made_up_for_by_the_next() {
     let mut assembler = Assembler::default();
-    for packet in beat(1, 180, 60, 0).encode().iter().skip(1) {
-        expect_that!(assembler.take(packet), ok(none()));
+    for packet in message(1, 180, 60, 0).encode().iter().skip(1) {
+        expect_that!(assembler.receive(packet), ok(none()));
     }
     let mut heard = Vec::new();
-    for packet in beat(2, 180, 60, 0).encode() {
-        heard.extend(assembler.take(&packet).expect("the packet can be read"));
+    for packet in message(2, 180, 60, 0).encode() {
+        heard.extend(assembler.receive(&packet).expect("the packet can be read"));
     }
     expect_that!(heard.len(), eq(1));
-    expect_that!(heard[0].number, eq(2));
+    expect_that!(heard[0].sequence, eq(2));
 }
 
 #[gtest]
 fn more_reads_than_a_message_can_have_are_left_out_first() {
-    let mut told = beat(1, 180, 60, 40_000);
+    let mut told = message(1, 180, 60, 40_000);
     let packets = told.encode();
     expect_that!(packets.len(), le(255));
     expect_that!(told.servers.len(), eq(180));
@@ -114,41 +116,41 @@
 
 #[gtest]
 fn what_is_no_packet_is_refused() {
-    let whole = beat(1, 3, 3, 0).encode().remove(0);
+    let whole = message(1, 3, 3, 0).encode().remove(0);
     let mut other = whole.clone();
     other[0] = 1;
     let mut index = whole.clone();
     index[13] = 7;
     let cases = [
-        (Vec::new(), Unreadable::Head),
-        (other, Unreadable::Version),
-        (whole[..10].to_vec(), Unreadable::Head),
-        (index, Unreadable::Head),
-        (whole[..40].to_vec(), Unreadable::Message),
+        (Vec::new(), DecodeError::Header),
+        (other, DecodeError::Version),
+        (whole[..10].to_vec(), DecodeError::Header),
+        (index, DecodeError::Header),
+        (whole[..40].to_vec(), DecodeError::Message),
     ];
     let mut assembler = Assembler::default();
     for (packet, why) in cases {
-        expect_that!(assembler.take(&packet), err(eq(&why)));
+        expect_that!(assembler.receive(&packet), err(eq(&why)));
     }
 }
 
 #[gtest]
 fn cut_or_changed_packets_never_panic() {
-    let packets = beat(1, 180, 60, 9).encode();
+    let packets = message(1, 180, 60, 9).encode();
     let mut assembler = Assembler::default();
     for packet in &packets {
         for position in 0..packet.len() {
             let mut changed = packet.clone();
             changed[position] ^= 0x5a;
             // What comes of it is of no interest, but that it is told.
-            let _ = assembler.take(&changed);
-            let _ = assembler.take(&packet[..position]);
+            let _ = assembler.receive(&changed);
+            let _ = assembler.receive(&packet[..position]);
         }
     }
-    let whole: Vec<Beat> = beat(2, 12, 16, 0)
+    let whole: Vec<Message> = message(2, 12, 16, 0)
         .encode()
         .iter()
-        .filter_map(|packet| assembler.take(packet).ok().flatten())
+        .filter_map(|packet| assembler.receive(packet).ok().flatten())
         .collect();
     expect_that!(whole.len(), eq(1));
 }
@@ -169,7 +171,7 @@
 
 #[gtest]
 fn requests_under_suspicion_come_back_and_change_nothing_of_the_rest() {
-    let mut plain = beat(7, 12, 16, 4);
+    let mut plain = message(7, 12, 16, 4);
     let mut told = plain.clone();
     told.suspects = suspects(64);
     let bare = plain.encode();
@@ -183,7 +185,7 @@
     let mut assembler = Assembler::default();
     let read = packets
         .iter()
-        .filter_map(|packet| assembler.take(packet).expect("readable"));
+        .filter_map(|packet| assembler.receive(packet).expect("readable"));
     expect_that!(
         sorted(read.last().expect("whole")).suspects,
         eq(&suspects(64))
@@ -193,7 +195,7 @@
 #[gtest]
 fn servers_that_leave_follow_whatever_else_is_told_and_change_nothing_of_it() {
     for count in [0, 2] {
-        let mut before = beat(7, 12, 16, 4);
+        let mut before = message(7, 12, 16, 4);
         before.suspects = suspects(count);
         let mut told = before.clone();
         let leaving = |index| Leaving {
@@ -210,7 +212,7 @@
         let mut assembler = Assembler::default();
         let read = packets
             .iter()
-            .filter_map(|packet| assembler.take(packet).expect("readable"));
+            .filter_map(|packet| assembler.receive(packet).expect("readable"));
         let read = sorted(read.last().expect("whole"));
         expect_that!(read.leaving, eq(&told.leaving));
         expect_that!(read.suspects, eq(&told.suspects));
