--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -202,7 +202,7 @@
         let customer = self.call.customer.0;
         let code = refusal.code;
         if refusal.outcome == Outcome::Unknown {
-            log!(self.core.logger, Event::Doubtful,
+            log!(self.core.logger, Event::OutcomeUnknown,
                 "request" => request, "customer" => customer, "code" => code);
             return;
         }
--- a/crates/daemon/src/sidecar/data.rs
+++ b/crates/daemon/src/sidecar/data.rs
@@ -96,7 +96,7 @@
         Decision::Completed => (Verdict::Ran, None),
         Decision::Interrupted => (Verdict::Broken, None),
     };
-    log!(shared.logger, Event::TurnedAway,
+    log!(shared.logger, Event::Rejected,
         "request" => ticket.attempt.request_id(), "attempt" => ticket.attempt.number,
         "customer" => ticket.customer.0, "verdict" => verdict.as_str());
     metrics::counter!("sidecar_refusals_total",
--- a/crates/daemon/src/sidecar/keeper.rs
+++ b/crates/daemon/src/sidecar/keeper.rs
@@ -94,7 +94,7 @@
             doubtful.then(|| admission.missing_reports())
         });
         if let Some(missing) = missing {
-            log!(self.shared.logger, Event::KeysDoubtful, "routers" => missing);
+            log!(self.shared.logger, Event::KeysIndeterminate, "routers" => missing);
         }
         self.shared.home.note_written();
         Ok(())
--- a/crates/event/src/catalogue.rs
+++ b/crates/event/src/catalogue.rs
@@ -1,31 +1,31 @@
-//! The catalogue of events.
+//! Catalogue of log events.
 
 macro_rules! catalogue {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $level:ident, $text:literal;)+) => {
-        /// An event: a fixed number, a level and a text. The fields are named at
-        /// the place that logs it and in `docs/EVENTS.md`.
+        /// A log event with a fixed number, a level and a text. The fields are listed in
+        /// `docs/EVENTS.md`.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Event {
             $($(#[doc = $doc])+ $name,)+
         }
 
         impl Event {
-            /// Every event.
+            /// All events, in the order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$name,)+];
 
-            /// Its number.
+            /// Number of the event.
             #[must_use]
             pub const fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)+ }
             }
 
-            /// Its level.
+            /// Log level of the event.
             #[must_use]
             pub const fn level(self) -> Level {
                 match self { $(Self::$name => Level::$level,)+ }
             }
 
-            /// Its text.
+            /// Message of the event.
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)+ }
@@ -34,149 +34,149 @@
     };
 }
 
-/// How grave an event is.
+/// Log level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Level {
-    /// Each decision.
+    /// Normal operation.
     Info,
-    /// Something an operator may want to know of.
+    /// May need the attention of an operator.
     Warning,
-    /// Something an operator has to act on.
+    /// Needs action by an operator.
     Error,
 }
 
 catalogue! {
     /// A router sent a request to a server.
     Routed = 1001, Info, "request routed";
-    /// A router keeps a request until a server has a free slot.
-    Queued = 1002, Info, "request waits";
+    /// A router queued a request until a server has a free slot.
+    Queued = 1002, Info, "request queued";
     /// A router refused a request.
     Refused = 1003, Info, "request refused";
-    /// A router finished a request.
+    /// A router completed a request.
     Answered = 1004, Info, "request answered";
-    /// A router tries a request again on another server.
+    /// A router retried a request on another server.
     Retried = 1005, Info, "request retried";
-    /// A router cannot tell what became of a request.
-    Doubtful = 1006, Warning, "outcome unknown";
-    /// An answer was cut off before its end.
-    Truncated = 1007, Warning, "answer cut off";
-    /// A late or crossed answer was dropped.
-    Dropped = 1008, Warning, "late answer dropped";
-    /// A link to a sidecar is up.
+    /// A router cannot determine the outcome of a request.
+    OutcomeUnknown = 1006, Warning, "request outcome unknown";
+    /// A response was truncated.
+    Truncated = 1007, Warning, "response truncated";
+    /// A response was dropped because it arrived late or belongs to another attempt.
+    Dropped = 1008, Warning, "late response dropped";
+    /// A router connected to a sidecar.
     LinkUp = 1010, Info, "sidecar connected";
-    /// A link to a sidecar is down.
+    /// A router lost its connection to a sidecar.
     LinkDown = 1011, Warning, "sidecar disconnected";
-    /// A peer router answered again.
+    /// A peer router is reachable again.
     PeerUp = 1012, Info, "peer connected";
-    /// A peer router does not answer.
+    /// A peer router is unreachable.
     PeerDown = 1013, Warning, "peer disconnected";
-    /// A stream that a router passed on has ended.
+    /// A relayed stream ended.
     Streamed = 1014, Info, "stream ended";
-    /// A connection of a caller could not be taken.
+    /// A client connection could not be accepted.
     AcceptFailed = 1015, Warning, "connection not accepted";
-    /// A router uses a server, or no longer gives it new work.
-    ServerSeen = 1016, Info, "server registered";
-    /// A router no longer uses a server.
-    ServerGone = 1017, Info, "server gone";
-    /// A router could not tell its peers where it is.
+    /// A router registered a server, or its registration changed to leaving.
+    ServerRegistered = 1016, Info, "server registered";
+    /// A router removed a server.
+    ServerRemoved = 1017, Info, "server removed";
+    /// A router could not publish its address to its peers.
     AnnounceFailed = 1018, Warning, "address not announced";
-    /// A router sends a request to no server, because the best one has too much to do.
+    /// A router held a request back because even the best server has too much queued work.
     HeldBack = 1019, Info, "request held back";
-    /// A router has more to do than its processor can, or no longer.
-    Strained = 1020, Warning, "strain changed";
-    /// A caller's head could not be read.
-    Malformed = 1021, Info, "head malformed";
-    /// A model server told which prompt parts it keeps.
-    Listed = 1022, Info, "kept parts listed";
-    /// A model server could not be asked which prompt parts it keeps.
-    ListFailed = 1023, Warning, "kept parts not listed";
-    /// A router hears of none of its peers, or again of some.
-    Alone = 1024, Warning, "load of peers unknown changed";
-    /// A life of a server is seen to have ended where requests broke off.
-    ServerEnded = 1025, Warning, "server ended";
-    /// More than one server ended under one request.
+    /// A router became overloaded, or recovered.
+    Overloaded = 1020, Warning, "overload state changed";
+    /// The head of a request could not be parsed.
+    Malformed = 1021, Info, "request head malformed";
+    /// A model server reported which prompt parts it has cached.
+    CacheReported = 1022, Info, "cache report received";
+    /// A cache report could not be fetched from a model server.
+    CacheReportFailed = 1023, Warning, "cache report failed";
+    /// A router lost the load state of all its peers, or receives it again.
+    PeerLoadUnknown = 1024, Warning, "peer load availability changed";
+    /// A server instance crashed while requests were running on it.
+    ServerCrashed = 1025, Warning, "server crashed";
+    /// Several servers crashed while running the same request.
     Suspected = 1026, Warning, "request under suspicion";
-    /// A request ended so many servers that it reaches no more.
+    /// A request crashed so many servers that it is no longer sent to any.
     Convicted = 1027, Error, "request quarantined";
-    /// Nothing is held against a request any more.
+    /// A request is no longer suspected or quarantined.
     Cleared = 1028, Info, "request cleared";
-    /// A request in quarantine, or under suspicion while another copy runs, was not sent.
+    /// A request was not sent because it is quarantined, or suspected while a copy runs.
     Withheld = 1029, Info, "request withheld";
-    /// The router that decides about a request under suspicion could not be asked.
-    AdmitFailed = 1030, Warning, "router that decides not asked";
+    /// The router that arbitrates a suspected request could not be reached.
+    AdmitFailed = 1030, Warning, "quarantine arbiter unreachable";
     /// A conviction could not be written to the key-value service.
-    ConvictionUnwritten = 1031, Warning, "conviction not written";
-    /// A server is not used again as an older copy of the key-value service says.
-    ServerHeldOver = 1032, Info, "server not brought back";
-    /// A router sends nothing to the servers of an availability zone, or again.
-    Evacuated = 1033, Warning, "evacuation changed";
-    /// A connection could not be handed on to a larger router.
-    HandoffFailed = 1034, Info, "connection not handed on";
-    /// A server said with an answer that it leaves.
-    ServerLeaves = 1035, Warning, "server says that it leaves";
-    /// A server asked for a time without requests.
-    ServerRests = 1036, Warning, "server asks for rest";
-    /// A server that had asked for rest has answered a request.
-    ServerRested = 1037, Info, "server takes requests again";
-    /// A sidecar reserved a slot for a customer's request at a router.
+    ConvictionWriteFailed = 1031, Warning, "conviction not written";
+    /// A server is ignored because its entry comes from older contents of the key-value service.
+    StaleServerIgnored = 1032, Info, "stale server entry ignored";
+    /// A router stopped sending to the servers of an availability zone, or resumed.
+    Evacuated = 1033, Warning, "zone evacuation changed";
+    /// A connection could not be handed off to a larger router.
+    HandoffFailed = 1034, Info, "connection handoff failed";
+    /// A server announced that it is leaving, in a response or through a peer.
+    ServerLeaving = 1035, Warning, "server is leaving";
+    /// A server requested pushback.
+    PushbackRequested = 1036, Warning, "server requested pushback";
+    /// A server answered a request after asking for pushback.
+    PushbackEnded = 1037, Info, "server pushback ended";
+    /// A sidecar granted a router a slot for a customer's request.
     Granted = 2001, Info, "slot granted";
     /// A sidecar started a request on its server.
     Started = 2002, Info, "request started";
-    /// A request ended on the server.
+    /// A request ended on its server.
     Ended = 2003, Info, "request ended";
-    /// A sidecar turned a request away.
-    TurnedAway = 2004, Info, "request turned away";
-    /// A running request was cancelled because its caller is gone.
+    /// A sidecar rejected a request.
+    Rejected = 2004, Info, "request rejected";
+    /// A running request was cancelled because its client disconnected.
     Cancelled = 2005, Info, "request cancelled";
     /// An attempt was withdrawn before it started.
     Withdrawn = 2006, Info, "attempt withdrawn";
-    /// The backend failed after a request was sent to it.
+    /// The backend failed after it received a request.
     BackendFailed = 2007, Warning, "backend failed";
-    /// Idempotency keys are in doubt after a restart.
-    KeysDoubtful = 2008, Warning, "earlier keys unknown";
-    /// Earlier idempotency keys are known again.
+    /// The state of earlier idempotency keys is unknown after a restart.
+    KeysIndeterminate = 2008, Warning, "state of earlier keys unknown";
+    /// The state of earlier idempotency keys was recovered.
     KeysRecovered = 2009, Info, "earlier keys recovered";
-    /// The backend cannot be reached; nothing is started on it.
+    /// The backend is unreachable; no requests are started on it.
     BackendDown = 2010, Warning, "backend unreachable";
-    /// The backend can be reached again.
+    /// The backend is reachable again.
     BackendUp = 2011, Info, "backend reachable";
-    /// A stream that broke off goes on where it stopped.
+    /// An interrupted stream was resumed at its last event.
     Resumed = 2012, Info, "stream resumed";
-    /// Another life of the sidecar has taken over the server's home record.
+    /// Another instance of the sidecar took over the server's home record.
     Superseded = 2013, Error, "home record taken over";
-    /// An accepted configuration is in force on this node.
+    /// An accepted configuration was applied on this node.
     ConfigApplied = 3001, Info, "configuration applied";
-    /// The key-value service does not answer.
+    /// The key-value service is unreachable.
     KvDown = 3002, Warning, "key-value service unreachable";
-    /// The key-value service answers again.
+    /// The key-value service is reachable again.
     KvUp = 3003, Info, "key-value service reachable";
-    /// The key-value service came back with older contents, which are not followed.
+    /// The key-value service returned with older contents, which are ignored.
     KvBehind = 3004, Error, "key-value service has older contents";
-    /// The VM list does not answer.
+    /// The VM list is unreachable.
     VmsDown = 3005, Warning, "VM list unreachable";
-    /// A value in the key-value service cannot be read.
+    /// A value in the key-value service could not be parsed.
     ConfigUnreadable = 3006, Error, "configuration value unreadable";
-    /// The key-value service came back from a copy and has lost its latest writes.
-    KvRestored = 3007, Error, "key-value service restored from a copy";
-    /// An operator's command was carried out or refused.
+    /// The key-value service was restored from a backup and lost its latest writes.
+    KvRestored = 3007, Error, "key-value service restored from a backup";
+    /// An operator command was executed or refused.
     Commanded = 4001, Info, "operator command";
-    /// An operator's key was wrong.
+    /// An operator presented an invalid key.
     OperatorDenied = 4002, Warning, "operator denied";
     /// A process is ready.
     Ready = 5001, Info, "ready";
-    /// A planned stop began.
+    /// A graceful shutdown began.
     Stopping = 5002, Info, "stopping";
-    /// A process has stopped.
+    /// A process stopped.
     Stopped = 5003, Info, "stopped";
-    /// Changed settings are in force.
+    /// Changed settings were applied.
     Reloaded = 5004, Info, "settings reloaded";
-    /// Changed settings cannot be read; the earlier ones stay in force.
+    /// Changed settings could not be read; the previous ones stay in force.
     ReloadFailed = 5005, Error, "settings not reloaded";
 }
 
 impl Event {
-    /// Whether it tells what becomes of one request that goes well or is refused;
-    /// under load there are too many of these to write all.
+    /// Whether the event concerns a single request that was served or refused normally.
+    /// Such events are too frequent under load to log all of them.
     #[must_use]
     pub const fn is_rate_limited(self) -> bool {
         matches!(
--- a/crates/gateway/src/cache_report.rs
+++ b/crates/gateway/src/cache_report.rs
@@ -55,12 +55,12 @@
         let asked = timeout(FETCH_TIMEOUT, fetch(&core, &backend, path)).await;
         match asked.unwrap_or(Err(Error::Timeout)) {
             Ok(names) => {
-                log!(core.logger, Event::Listed,
+                log!(core.logger, Event::CacheReported,
                     "server" => &backend.server.name, "parts" => names.len());
                 backend.engine.lock().cache.set_reported(names);
             }
             Err(error) => {
-                log!(core.logger, Event::ListFailed,
+                log!(core.logger, Event::CacheReportFailed,
                     "server" => &backend.server.name, "error" => error.to_string());
             }
         }
--- a/crates/gateway/src/exchange/inner.rs
+++ b/crates/gateway/src/exchange/inner.rs
@@ -215,7 +215,7 @@
         let is_alone = told.is_none() && self.peers.len() > 0;
         if is_alone != self.is_alone {
             self.is_alone = is_alone;
-            log!(core.logger, Event::Alone, "alone" => is_alone, "peers" => self.peers.len());
+            log!(core.logger, Event::PeerLoadUnknown, "alone" => is_alone, "peers" => self.peers.len());
         }
         let used = core.registry.subset();
         let others = told.unwrap_or_else(|| {
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -100,7 +100,7 @@
         let is_ready = matches!(self.core.protocol.parse_server(name, value),
             Ok(Server { is_leaving, .. }) if !is_leaving);
         if is_ready && (is_closed || self.gone.contains_key(name)) {
-            log!(self.core.logger, Event::ServerHeldOver, "server" => name, "revision" => revision);
+            log!(self.core.logger, Event::StaleServerIgnored, "server" => name, "revision" => revision);
             return;
         }
         self.register(name, value, revision);
@@ -130,7 +130,7 @@
         }
         if is_new {
             self.replaced(name, before);
-            log!(self.core.logger, Event::ServerSeen,
+            log!(self.core.logger, Event::ServerRegistered,
                 "server" => name, "leaving" => is_leaving, "revision" => revision);
             if let Some(backend) = backend.filter(|_| !is_leaving) {
                 cache_report::spawn_fetch(&self.core, &backend);
@@ -193,7 +193,7 @@
     fn drop_server(&mut self, name: &str, why: &str) {
         if self.core.registry.remove(name) {
             self.gone.insert(name.to_owned(), Instant::now());
-            log!(self.core.logger, Event::ServerGone, "server" => name, "why" => why);
+            log!(self.core.logger, Event::ServerRemoved, "server" => name, "why" => why);
         }
     }
 
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -21,7 +21,7 @@
     } else if reading.verification == Verification::Sealed
         && backend.instance.record_response(clock::now_ms())
     {
-        log!(core.logger, Event::ServerRested,
+        log!(core.logger, Event::PushbackEnded,
             "request" => request, "server" => &backend.server.name);
     }
 }
@@ -36,7 +36,7 @@
         .instances
         .insert(backend.server.id, &backend.instance);
     metrics::counter!("servers_leaving_total", "source" => "answer").increment(1);
-    log!(core.logger, Event::ServerLeaves,
+    log!(core.logger, Event::ServerLeaving,
         "request" => request, "server" => &backend.server.name, "source" => "answer");
 }
 
@@ -51,7 +51,7 @@
             continue;
         }
         metrics::counter!("servers_leaving_total", "source" => "peer").increment(1);
-        log!(core.logger, Event::ServerLeaves,
+        log!(core.logger, Event::ServerLeaving,
             "server" => backend.map(|backend| backend.server.name.clone()),
             "source" => "peer",
             "age_ms" => told.age_ms);
@@ -66,7 +66,7 @@
         .instances
         .insert(backend.server.id, &backend.instance);
     metrics::counter!("servers_resting_total").increment(1);
-    log!(core.logger, Event::ServerRests,
+    log!(core.logger, Event::PushbackRequested,
         "request" => request,
         "server" => &backend.server.name,
         "rest_ms" => rest_ms,
--- a/crates/gateway/src/quarantine/conviction.rs
+++ b/crates/gateway/src/quarantine/conviction.rs
@@ -59,7 +59,7 @@
     let writes = &core.quarantine.pending_writes;
     if writes.fetch_add(1, Ordering::Relaxed) >= MAX_PENDING_WRITES {
         writes.fetch_sub(1, Ordering::Relaxed);
-        log!(core.logger, Event::ConvictionUnwritten,
+        log!(core.logger, Event::ConvictionWriteFailed,
             "digest" => digest.to_string(), "error" => "too many wait");
         return;
     }
@@ -97,7 +97,7 @@
         match put(core, digest).await {
             Ok(()) => return,
             Err(error) => {
-                log!(core.logger, Event::ConvictionUnwritten,
+                log!(core.logger, Event::ConvictionWriteFailed,
                     "digest" => digest.to_string(), "error" => error.to_string());
             }
         }
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -70,7 +70,7 @@
         }
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
             seen.record_crash(Instant::now());
-            log!(core.logger, Event::ServerEnded, "server" => &backend.server.name);
+            log!(core.logger, Event::ServerCrashed, "server" => &backend.server.name);
             true
         }
         // It says nothing of the server's life.
--- a/crates/gateway/src/strain.rs
+++ b/crates/gateway/src/strain.rs
@@ -82,7 +82,7 @@
         core.strain.behind_until_ms.store(until, Ordering::Relaxed);
         if is_changed {
             core.strain.set(&overload);
-            log!(core.logger, Event::Strained,
+            log!(core.logger, Event::Overloaded,
                 "strained" => overload.is_overloaded(), "late_ms" => late_ms);
         }
     }
