--- a/crates/wire/src/aggregate.rs
+++ b/crates/wire/src/aggregate.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other, many times a second, in datagrams that fit a packet each.
+//! UDP messages by which gateways exchange aggregated state.
 
 mod assembler;
 mod packet;
@@ -13,94 +13,95 @@
 pub use self::assembler::Assembler;
 pub use self::packet::{DecodeError, MAX_BYTES};
 
-/// Whose state a message tells.
+/// Set of gateways whose state a message carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// The sender's own, told to the collectors of its zone.
+    /// The sender alone; sent to the collectors of its zone.
     Node {
-        /// A hash of its name.
+        /// Hash of the gateway's name.
         node: u64,
-        /// Whether it wants the fleet's sum from the receiver.
+        /// Whether the sender requests the fleet's sum from the receiver.
         wants_fleet: bool,
     },
-    /// That of all gateways of a zone, told to the collectors of the others.
+    /// All gateways of a zone; sent to the collectors of the other zones.
     Zone {
-        /// A hash of its name.
+        /// Hash of the zone's name.
         zone: u64,
     },
-    /// That of the whole fleet, told to the gateways of the sender's zone.
+    /// The whole fleet; sent to the gateways of the sender's zone.
     Fleet,
 }
 
-/// What one or more gateways have at the servers. It is told whole, and a later message of
-/// the same life and scope takes the place of earlier ones.
+/// State of one or more gateways. A message carries the full state and replaces earlier ones of
+/// the same instance and scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's life.
+    /// Instance of the sender.
     pub origin: Incarnation,
-    /// Counts the messages of that life.
+    /// Sequence number within that instance.
     pub sequence: u32,
-    /// Whose state it tells.
+    /// Gateways whose state it carries.
     pub scope: Scope,
-    /// Gateways whose state it tells.
+    /// Number of those gateways.
     pub gateways: u32,
-    /// Those of the sender's zone, and the messages of theirs that it holds.
+    /// Messages of gateways in the sender's zone that the sum includes.
     pub members: Vec<MessageId>,
-    /// What they have at each server; nothing where none is named.
+    /// Load per server; servers without load are omitted.
     pub servers: Vec<Server>,
-    /// What customers lately asked of them and were given.
+    /// Recent tokens per customer.
     pub customers: Vec<Customer>,
-    /// Shared prompt parts that servers were lately given to read.
+    /// Shared prompt parts recently sent to servers for prefill.
     pub prefills: Vec<Prefill>,
-    /// Requests that lately ended servers. They follow the rest of the message: a gateway of a
-    /// release that does not know them reads up to there.
+    /// Requests that recently crashed servers. Encoded after the rest of the message, so that
+    /// older releases can decode what precedes them.
     #[serde(skip)]
     pub suspects: Vec<Suspect>,
-    /// Servers that said that they leave. They follow the suspects, as these the rest.
+    /// Servers that announced that they are leaving. Encoded after the suspects for the same
+    /// reason.
     #[serde(skip)]
     pub leaving: Vec<Leaving>,
 }
 
-/// A server that said to a gateway that it leaves.
+/// A server that announced to a gateway that it is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaving {
-    /// The life of the server.
+    /// The server.
     pub server: ServerId,
-    /// Time since it said so, in milliseconds.
+    /// Time since the announcement, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What gateways have at a server.
+/// Load of the gateways on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
     /// The server.
     pub id: ServerId,
-    /// What they have there now.
+    /// Current load.
     pub load: Load,
 }
 
-/// Shared prompt parts that a server was given to read.
+/// Shared prompt parts sent to a server for prefill.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefill {
     /// The server.
     pub server: ServerId,
-    /// The parts, in order.
+    /// The parts, in prompt order.
     pub shared: Vec<Part>,
 }
 
-/// What a customer lately asked of gateways and was given.
+/// Recent tokens of a customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
     /// The customer.
     pub id: CustomerId,
-    /// Tokens asked, those of long ago counting less.
+    /// Tokens of received requests, with exponential decay.
     pub requested: u32,
-    /// Tokens of the requests that were sent to servers, likewise.
+    /// Tokens of requests sent to servers, with exponential decay.
     pub granted: u32,
 }
 
 impl Message {
-    /// A message that tells a sum.
+    /// Creates a message that carries a sum.
     #[must_use]
     pub fn new(from: MessageId, scope: Scope, sum: &Sum, prefills: Vec<Prefill>) -> Self {
         let servers = sum.state.loads.iter();
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The message's number in its sender's life.
+    /// Identity of the message.
     #[must_use]
     pub const fn id(&self) -> MessageId {
         MessageId {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The sum that it tells.
+    /// The sum that the message carries.
     #[must_use]
     pub fn sum(&self) -> Sum {
         let loads = self.servers.iter().map(|server| (server.id, server.load));
@@ -146,12 +147,12 @@
         }
     }
 
-    /// Encodes a message as packets. What exceeds the most that one message may have is left
-    /// out: half of the reads at a time, those last told first.
+    /// Encodes the message as packets. While it is too large, the second half of the prefills is
+    /// dropped, and once there are none, that of the servers.
     #[must_use]
     pub fn encode(&mut self) -> Vec<Vec<u8>> {
         loop {
-            let bytes = self.bytes();
+            let bytes = self.to_bytes();
             if let Some(packets) = packet::split(self.id(), &bytes) {
                 return packets;
             }
@@ -164,16 +165,16 @@
         }
     }
 
-    /// Reads the bytes of a whole message.
+    /// Decodes a reassembled message.
     fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let read = postcard::take_from_bytes::<Self>(bytes);
-        let (mut message, rest) = read.map_err(|_| DecodeError::Message)?;
-        let rest = follow(rest, &mut message.suspects)?;
-        follow(rest, &mut message.leaving)?;
+        let decoded = postcard::take_from_bytes::<Self>(bytes);
+        let (mut message, rest) = decoded.map_err(|_| DecodeError::Message)?;
+        let rest = decode_trailing(rest, &mut message.suspects)?;
+        decode_trailing(rest, &mut message.leaving)?;
         Ok(message)
     }
 
-    fn bytes(&self) -> Vec<u8> {
+    fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
         let has_leaving = !self.leaving.is_empty();
         if has_leaving || !self.suspects.is_empty() {
@@ -186,13 +187,16 @@
     }
 }
 
-/// Reads what follows a message, if anything does; the rest is what follows that.
-fn follow<'a, T: Deserialize<'a>>(bytes: &'a [u8], to: &mut T) -> Result<&'a [u8], DecodeError> {
+/// Decodes an optional trailing field and returns the remaining bytes.
+fn decode_trailing<'a, T: Deserialize<'a>>(
+    bytes: &'a [u8],
+    field: &mut T,
+) -> Result<&'a [u8], DecodeError> {
     if bytes.is_empty() {
         return Ok(bytes);
     }
-    let (read, rest) = postcard::take_from_bytes(bytes).map_err(|_| DecodeError::Message)?;
-    *to = read;
+    let (value, rest) = postcard::take_from_bytes(bytes).map_err(|_| DecodeError::Message)?;
+    *field = value;
     Ok(rest)
 }
 
--- a/crates/wire/src/aggregate/assembler.rs
+++ b/crates/wire/src/aggregate/assembler.rs
@@ -1,4 +1,4 @@
-//! Putting messages together from their packets.
+//! Reassembly of messages from packets.
 
 use std::collections::HashMap;
 
@@ -7,66 +7,66 @@
 use super::packet::{self, Packet};
 use super::{DecodeError, Message};
 
-/// Senders of whose messages parts are kept; with more, all parts are forgotten. It bounds
-/// what packets of unknown senders can make a gateway keep.
-const SENDERS: usize = 512;
+/// Maximum number of senders with partial messages; beyond it all are dropped. Bounds the memory
+/// that packets from unknown senders can occupy.
+const MAX_SENDERS: usize = 512;
 
-/// A message of which parts have come.
+/// A partially received message.
 #[derive(Debug)]
 struct Partial {
-    number: u32,
-    parts: Vec<Option<Vec<u8>>>,
+    sequence: u32,
+    payloads: Vec<Option<Vec<u8>>>,
 }
 
-/// Puts messages together from their packets. Of each sender the message last begun is kept:
-/// one that lost a packet is made up for by the next.
+/// Reassembles messages from packets. Only the latest message of each sender is kept: one that
+/// lost a packet is superseded by the next.
 #[derive(Debug, Default)]
 pub struct Assembler {
     partial: HashMap<Incarnation, Partial>,
 }
 
 impl Assembler {
-    /// Takes in a packet, and returns its message once that is whole.
+    /// Processes a packet and returns its message once it is complete.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] when the packet or its message cannot be read.
+    /// [`DecodeError`] if the packet or its message cannot be decoded.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Option<Message>, DecodeError> {
-        let packet = packet::read(bytes)?;
+        let packet = packet::decode(bytes)?;
         if packet.count == 1 {
-            return Message::decode(packet.part).map(Some);
+            return Message::decode(packet.payload).map(Some);
         }
-        let Some(whole) = self.add(&packet) else {
+        let Some(bytes) = self.add(&packet) else {
             return Ok(None);
         };
-        Message::decode(&whole).map(Some)
+        Message::decode(&bytes).map(Some)
     }
 
-    /// Adds a part, and returns the message's bytes once all have come.
+    /// Adds a packet and returns the bytes of its message once all packets have arrived.
     fn add(&mut self, packet: &Packet<'_>) -> Option<Vec<u8>> {
-        if self.partial.len() >= SENDERS {
+        if self.partial.len() >= MAX_SENDERS {
             self.partial.clear();
         }
         let count = usize::from(packet.count);
-        let begun = self.partial.entry(packet.from.origin);
-        let partial = begun.or_insert_with(|| Partial::new(packet.from.sequence, count));
-        if partial.number != packet.from.sequence || partial.parts.len() != count {
-            *partial = Partial::new(packet.from.sequence, count);
+        let entry = self.partial.entry(packet.id.origin);
+        let partial = entry.or_insert_with(|| Partial::new(packet.id.sequence, count));
+        if partial.sequence != packet.id.sequence || partial.payloads.len() != count {
+            *partial = Partial::new(packet.id.sequence, count);
         }
-        partial.parts[usize::from(packet.index)] = Some(packet.part.to_vec());
-        if partial.parts.iter().any(Option::is_none) {
+        partial.payloads[usize::from(packet.index)] = Some(packet.payload.to_vec());
+        if partial.payloads.iter().any(Option::is_none) {
             return None;
         }
-        let partial = self.partial.remove(&packet.from.origin)?;
-        Some(partial.parts.into_iter().flatten().flatten().collect())
+        let partial = self.partial.remove(&packet.id.origin)?;
+        Some(partial.payloads.into_iter().flatten().flatten().collect())
     }
 }
 
 impl Partial {
-    fn new(number: u32, count: usize) -> Self {
+    fn new(sequence: u32, count: usize) -> Self {
         Self {
-            number,
-            parts: vec![None; count],
+            sequence,
+            payloads: vec![None; count],
         }
     }
 }
--- a/crates/wire/src/aggregate/packet.rs
+++ b/crates/wire/src/aggregate/packet.rs
@@ -1,47 +1,47 @@
-//! The packets of a message.
+//! Packet format of messages.
 
 use displaydoc::Display;
 use mulberryyoke_decide::aggregate::MessageId;
 use mulberryyoke_model::Incarnation;
 
-/// Largest packet, in bytes: it crosses an Ethernet link in one piece.
+/// Largest packet, in bytes; fits an Ethernet frame without fragmentation.
 pub const MAX_BYTES: usize = 1_400;
 
-/// Version of the messages. Gateways of two versions do not understand each other: each
-/// counts the other's packets as unreadable and goes by what its own version tells.
+/// Version of the message format. Packets of other versions are counted as unreadable and
+/// ignored.
 const VERSION: u8 = 2;
 
-/// Bytes of a packet before its part of the message: version, sender's life, number of the
-/// message, place of the part and number of parts.
-const HEAD: usize = 1 + 8 + 4 + 1 + 1;
+/// Length of the packet header: version, sender's incarnation, sequence number of the message,
+/// index of the packet and number of packets.
+const HEADER_BYTES: usize = 1 + 8 + 4 + 1 + 1;
 
-/// Bytes of a message in one packet.
-const PART: usize = MAX_BYTES - HEAD;
+/// Largest payload of a packet.
+const MAX_PAYLOAD_BYTES: usize = MAX_BYTES - HEADER_BYTES;
 
-/// One part of a message.
+/// A decoded packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Packet<'a> {
-    pub(super) from: MessageId,
+    pub(super) id: MessageId,
     pub(super) index: u8,
     pub(super) count: u8,
-    pub(super) part: &'a [u8],
+    pub(super) payload: &'a [u8],
 }
 
-/// Why a packet is not read.
+/// Why a packet could not be decoded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DecodeError {
-    /// packet is of another version
+    /// packet has an unsupported version
     Version,
-    /// packet is too short or names a part that its message has not
+    /// packet header is truncated or its index is out of range
     Header,
-    /// message is not whole or has another form
+    /// message is truncated or malformed
     Message,
 }
 
 impl std::error::Error for DecodeError {}
 
 impl DecodeError {
-    /// Its name in metrics.
+    /// Label value in metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -52,42 +52,42 @@
     }
 }
 
-/// Divides a message into packets; `None` if it has more parts than can be counted.
-pub(super) fn split(from: MessageId, bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
-    let count = u8::try_from(bytes.len().div_ceil(PART).max(1)).ok()?;
-    let parts = bytes.chunks(PART).zip(0..count);
-    let packets = parts.map(|(part, index)| {
-        let mut packet = Vec::with_capacity(HEAD + part.len());
+/// Splits a message into packets; `None` if there are more than the header can count.
+pub(super) fn split(id: MessageId, bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
+    let count = u8::try_from(bytes.len().div_ceil(MAX_PAYLOAD_BYTES).max(1)).ok()?;
+    let payloads = bytes.chunks(MAX_PAYLOAD_BYTES).zip(0..count);
+    let packets = payloads.map(|(payload, index)| {
+        let mut packet = Vec::with_capacity(HEADER_BYTES + payload.len());
         packet.push(VERSION);
-        packet.extend_from_slice(&from.origin.0.to_le_bytes());
-        packet.extend_from_slice(&from.sequence.to_le_bytes());
+        packet.extend_from_slice(&id.origin.0.to_le_bytes());
+        packet.extend_from_slice(&id.sequence.to_le_bytes());
         packet.extend_from_slice(&[index, count]);
-        packet.extend_from_slice(part);
+        packet.extend_from_slice(payload);
         packet
     });
     Some(packets.collect())
 }
 
-/// Reads a packet.
-pub(super) fn read(bytes: &[u8]) -> Result<Packet<'_>, DecodeError> {
+/// Decodes a packet.
+pub(super) fn decode(bytes: &[u8]) -> Result<Packet<'_>, DecodeError> {
     let (&version, rest) = bytes.split_first().ok_or(DecodeError::Header)?;
     if version != VERSION {
         return Err(DecodeError::Version);
     }
     let (origin, rest) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
-    let (number, rest) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
-    let (&[index, count], part) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
+    let (sequence, rest) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
+    let (&[index, count], payload) = rest.split_first_chunk().ok_or(DecodeError::Header)?;
     if index >= count {
         return Err(DecodeError::Header);
     }
-    let from = MessageId {
+    let id = MessageId {
         origin: Incarnation(u64::from_le_bytes(*origin)),
-        sequence: u32::from_le_bytes(*number),
+        sequence: u32::from_le_bytes(*sequence),
     };
     Ok(Packet {
-        from,
+        id,
         index,
         count,
-        part,
+        payload,
     })
 }
--- a/crates/wire/src/byte_counter.rs
+++ b/crates/wire/src/byte_counter.rs
@@ -1,4 +1,4 @@
-//! Counting of bytes on control links.
+//! Byte counters for control connections.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes read and written, shared by every link that counts into it.
+/// Bytes read and written, shared by several connections.
 #[derive(Debug, Default)]
 pub struct ByteCounter {
     read: AtomicU64,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// A stream that counts the bytes read and written.
 #[derive(Debug)]
 pub struct CountingStream<S> {
     stream: S,
@@ -35,7 +35,7 @@
 }
 
 impl<S> CountingStream<S> {
-    /// Counts what passes through `stream` into `bytes`.
+    /// Wraps `stream`, counting its traffic in `bytes`.
     pub fn new(stream: S, bytes: Arc<ByteCounter>) -> Self {
         Self { stream, bytes }
     }
@@ -48,10 +48,10 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
+        let result = Pin::new(&mut self.stream).poll_read(cx, buf);
         let count = buf.filled().len() - before;
         self.bytes.read.fetch_add(count as u64, Ordering::Relaxed);
-        polled
+        result
     }
 }
 
@@ -61,13 +61,13 @@
         cx: &mut Context<'_>,
         data: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, data);
-        if let Poll::Ready(Ok(count)) = polled {
+        let result = Pin::new(&mut self.stream).poll_write(cx, data);
+        if let Poll::Ready(Ok(count)) = result {
             self.bytes
                 .written
                 .fetch_add(count as u64, Ordering::Relaxed);
         }
-        polled
+        result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of the control links.
+//! Errors of control connections and ticket headers.
 
 use std::io;
 
 use displaydoc::Display;
 
-/// Why a control link failed.
+/// An error of a control connection or ticket header.
 #[derive(Debug, Display)]
 pub enum Error {
     /// could not bind control port: {0}
     Bind(io::Error),
     /// could not connect to control port: {0}
     Connect(io::Error),
-    /// could not read ticket header: {0}
+    /// could not decode ticket header: {0}
     Ticket(String),
 }
 
--- a/crates/wire/src/handoff.rs
+++ b/crates/wire/src/handoff.rs
@@ -1,34 +1,35 @@
-//! What two gateways say to each other before one takes over a caller's connection.
+//! Handshake between two gateways before one hands a client connection off to the other.
 
-/// First bytes of a greeting. An address may meanwhile belong to a process that is no gateway.
-const MARK: [u8; 8] = *b"handoff1";
+/// Magic bytes at the start of a greeting. The address may meanwhile belong to a process that is
+/// not a gateway.
+const MAGIC: [u8; 8] = *b"handoff1";
 
 /// Length of a greeting, in bytes.
 pub const LENGTH: usize = 16;
 
-/// A configuration's version: the least that callers were answered by, and in return the one
-/// that is in force.
+/// Message of the handshake. The request carries the newest configuration version that clients
+/// were served with, the reply the receiver's current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Greeting {
-    /// The version.
+    /// Configuration version.
     pub version: u64,
 }
 
 impl Greeting {
-    /// Its bytes.
+    /// Encodes the greeting.
     #[must_use]
     pub fn encode(self) -> [u8; LENGTH] {
         let mut bytes = [0; LENGTH];
-        bytes[..8].copy_from_slice(&MARK);
+        bytes[..8].copy_from_slice(&MAGIC);
         bytes[8..].copy_from_slice(&self.version.to_be_bytes());
         bytes
     }
 
-    /// Reads one; `None` if it is none.
+    /// Decodes a greeting; `None` if the magic bytes do not match.
     #[must_use]
     pub fn decode(bytes: [u8; LENGTH]) -> Option<Self> {
-        let (mark, version) = bytes.split_at(MARK.len());
+        let (magic, version) = bytes.split_at(MAGIC.len());
         let version = version.try_into().ok().map(u64::from_be_bytes)?;
-        (mark == MARK).then_some(Self { version })
+        (magic == MAGIC).then_some(Self { version })
     }
 }
--- a/crates/wire/src/hop_by_hop.rs
+++ b/crates/wire/src/hop_by_hop.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers (RFC 9110, section 7.6.1).
 
 use hyper::HeaderMap;
 use hyper::header::{
@@ -9,7 +9,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-const HOP_BY_HOP: [HeaderName; 9] = [
+const HEADERS: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -21,16 +21,16 @@
     UPGRADE,
 ];
 
-/// Removes the headers that concern one connection only, and those that `Connection` names.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub fn strip(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.into_iter().chain(HOP_BY_HOP) {
+    for name in listed.into_iter().chain(HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages between the processes of the fleet.
+//! Protocols between the processes of the fleet.
 //!
-//! Control calls go over tarpc: [`Sidecar`] is served beside each backend
-//! server and called by routers; [`Router`] is served by each router and called
-//! by its peers. Bodies and answers go over HTTP/2; the router's request
-//! carries one [`Ticket`] in the header [`ticket::HEADER`].
+//! Control calls use tarpc: [`Sidecar`] is served next to each backend server and
+//! called by routers; [`Router`] is served by each router and called by its peers.
+//! Requests and responses use HTTP/2; the router attaches a [`Ticket`] to each
+//! request in the header [`ticket::HEADER`].
 
 pub mod aggregate;
 mod byte_counter;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! Control links: tarpc over TCP with a length-delimited binary codec.
+//! Control connections: tarpc over TCP with length-delimited bincode frames.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,38 +17,38 @@
 use crate::sidecar::{SidecarRequest, SidecarResponse};
 use crate::{ByteCounter, CountingStream, Error, RouterClient, SidecarClient};
 
-/// Largest message on a control link, in bytes: a whole configuration fits.
-const MAX_FRAME: usize = 16 << 20;
+/// Largest frame on a control connection; fits a complete configuration.
+const MAX_FRAME_BYTES: usize = 16 << 20;
 
-type Wire<I, O> = Transport<CountingStream<TcpStream>, I, O, Bincode<I, O>>;
+type FramedTransport<I, O> = Transport<CountingStream<TcpStream>, I, O, Bincode<I, O>>;
 
-/// Server side of a link to a sidecar.
+/// Server side of a connection to a sidecar.
 pub type SidecarChannel = BaseChannel<
     SidecarRequest,
     SidecarResponse,
-    Wire<ClientMessage<SidecarRequest>, Response<SidecarResponse>>,
+    FramedTransport<ClientMessage<SidecarRequest>, Response<SidecarResponse>>,
 >;
 
-/// Server side of a link to a router.
+/// Server side of a connection to a router.
 pub type RouterChannel = BaseChannel<
     RouterRequest,
     RouterResponse,
-    Wire<ClientMessage<RouterRequest>, Response<RouterResponse>>,
+    FramedTransport<ClientMessage<RouterRequest>, Response<RouterResponse>>,
 >;
 
-fn wire<I, O>(stream: TcpStream, bytes: Arc<ByteCounter>) -> Wire<I, O>
+fn transport<I, O>(stream: TcpStream, bytes: Arc<ByteCounter>) -> FramedTransport<I, O>
 where
     I: for<'de> Deserialize<'de>,
     O: Serialize,
 {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec();
-    let framed = tokio_util::codec::Framed::new(CountingStream::new(stream, bytes), codec);
-    serde_transport::new(framed, Bincode::default())
+    let frames = tokio_util::codec::Framed::new(CountingStream::new(stream, bytes), codec);
+    serde_transport::new(frames, Bincode::default())
 }
 
-async fn dial(address: SocketAddr) -> Result<TcpStream, Error> {
+async fn connect(address: SocketAddr) -> Result<TcpStream, Error> {
     let stream = TcpStream::connect(address).await.map_err(Error::Connect)?;
     stream.set_nodelay(true).map_err(Error::Connect)?;
     Ok(stream)
@@ -58,26 +58,26 @@
 ///
 /// # Errors
 ///
-/// [`Error::Connect`] when nothing answers at `address`.
+/// [`Error::Connect`] if the TCP connection cannot be established.
 pub async fn connect_sidecar(
     address: SocketAddr,
     bytes: Arc<ByteCounter>,
 ) -> Result<SidecarClient, Error> {
-    let stream = dial(address).await?;
-    Ok(SidecarClient::new(Config::default(), wire(stream, bytes)).spawn())
+    let stream = connect(address).await?;
+    Ok(SidecarClient::new(Config::default(), transport(stream, bytes)).spawn())
 }
 
 /// Connects to a router's control port.
 ///
 /// # Errors
 ///
-/// [`Error::Connect`] when nothing answers at `address`.
+/// [`Error::Connect`] if the TCP connection cannot be established.
 pub async fn connect_router(
     address: SocketAddr,
     bytes: Arc<ByteCounter>,
 ) -> Result<RouterClient, Error> {
-    let stream = dial(address).await?;
-    Ok(RouterClient::new(Config::default(), wire(stream, bytes)).spawn())
+    let stream = connect(address).await?;
+    Ok(RouterClient::new(Config::default(), transport(stream, bytes)).spawn())
 }
 
 /// A bound control port.
@@ -88,11 +88,11 @@
 }
 
 impl Listener {
-    /// Binds a control port whose links count into `bytes`.
+    /// Binds a control port; traffic is counted in `bytes`.
     ///
     /// # Errors
     ///
-    /// [`Error::Bind`] when the address is taken or not ours.
+    /// [`Error::Bind`] if the address is in use or not local.
     pub async fn bind(address: SocketAddr, bytes: Arc<ByteCounter>) -> Result<Self, Error> {
         let listener = TcpListener::bind(address).await.map_err(Error::Bind)?;
         Ok(Self { listener, bytes })
@@ -102,40 +102,42 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Bind`] when the operating system does not tell it.
+    /// [`Error::Bind`] if the operating system does not report it.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         self.listener.local_addr().map_err(Error::Bind)
     }
 
-    /// Waits for the next link.
+    /// Accepts the next connection.
     ///
     /// # Errors
     ///
-    /// [`Error::Connect`] when a link failed while it was set up; the port stays bound.
+    /// [`Error::Connect`] if the connection fails during setup; the port stays bound.
     pub async fn accept(&self) -> Result<(TcpStream, SocketAddr), Error> {
         let (stream, peer) = self.listener.accept().await.map_err(Error::Connect)?;
         stream.set_nodelay(true).map_err(Error::Connect)?;
         Ok((stream, peer))
     }
 
-    /// The counter of this port's links.
+    /// The byte counter for this port's connections.
     #[must_use]
     pub fn bytes(&self) -> Arc<ByteCounter> {
         Arc::clone(&self.bytes)
     }
 }
 
-/// The calls of one accepted link to a sidecar, for `execute` and [`spawn_calls`].
+/// Creates the server channel of an accepted sidecar connection, for `execute` and
+/// [`spawn_calls`].
 pub fn sidecar_channel(stream: TcpStream, bytes: Arc<ByteCounter>) -> SidecarChannel {
-    BaseChannel::with_defaults(wire(stream, bytes))
+    BaseChannel::with_defaults(transport(stream, bytes))
 }
 
-/// The calls of one accepted link to a router, for `execute` and [`spawn_calls`].
+/// Creates the server channel of an accepted router connection, for `execute` and
+/// [`spawn_calls`].
 pub fn router_channel(stream: TcpStream, bytes: Arc<ByteCounter>) -> RouterChannel {
-    BaseChannel::with_defaults(wire(stream, bytes))
+    BaseChannel::with_defaults(transport(stream, bytes))
 }
 
-/// Runs each call of a link in a task of its own until the link closes.
+/// Spawns a task for each call on a connection until it closes.
 pub async fn spawn_calls<F>(calls: impl Stream<Item = F>)
 where
     F: Future<Output = ()> + Send + 'static,
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -1,26 +1,26 @@
-//! What gateways pass on to each other of the key-value service.
+//! Relay of key-value service contents between gateways.
 
 use serde::{Deserialize, Serialize};
 
-/// Path under which a gateway passes on every key.
+/// Path that lists all keys.
 pub const LIST: &str = "/relay/list";
 
-/// Path under which a gateway passes on writes after a revision, in the query
+/// Path that returns writes after a revision, with the query
 /// `era=ERA&after=REVISION&wait_ms=MILLISECONDS`.
 pub const CHANGES: &str = "/relay/changes";
 
-/// Writes as a gateway knows them.
+/// Writes known to a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relayed {
-    /// When the gateway last knew that there were no others, in milliseconds after
-    /// the call came; negative if before.
+    /// Time at which the gateway last confirmed that the list is complete, in milliseconds
+    /// after it received the call; negative if before.
     pub known_ms: i64,
-    /// The service's revision up to which it knows them.
+    /// Revision of the key-value service up to which writes are included.
     pub revision: u64,
-    /// The writes, in the order of their revisions.
+    /// The writes, in revision order.
     pub writes: Vec<Write>,
-    /// The service's era to which the revisions belong. It is the last field, so that gateways
-    /// of a release without eras read the others.
+    /// Era of the key-value service to which the revisions belong. It is the last field, so
+    /// that releases without eras can decode the others.
     pub era: u64,
 }
 
@@ -29,20 +29,20 @@
 pub struct Write {
     /// The key.
     pub key: String,
-    /// What was written; `None` when the key was deleted.
+    /// The value; `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
     /// Revision of the write.
     pub revision: u64,
 }
 
 impl Relayed {
-    /// Encodes it.
+    /// Encodes the writes.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads an encoded one; `None` if it is none.
+    /// Decodes writes; `None` if the bytes are malformed.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
--- a/crates/wire/src/router.rs
+++ b/crates/wire/src/router.rs
@@ -1,11 +1,11 @@
-//! Control calls that routers make to each other.
+//! Control calls between routers.
 
 use mulberryyoke_model::{
     Attempt, Change, Incarnation, KeyId, Millis, Outcome, Revision, ServerId, Statement,
 };
 use serde::{Deserialize, Serialize};
 
-/// A router as its peers know it.
+/// Identity of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Unique name.
@@ -14,40 +14,41 @@
     pub region: String,
     /// Availability zone it runs in.
     pub zone: String,
-    /// Its life.
+    /// Instance of the router.
     pub incarnation: Incarnation,
-    /// When that life began.
+    /// Start time of the instance.
     pub started_at: Millis,
 }
 
 /// One message of the usage exchange; idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Who sends.
+    /// The sender.
     pub from: Member,
     /// Highest configuration revision applied.
     pub revision: Revision,
-    /// Hash of what is accepted; nodes of one revision that differ compare all of it.
+    /// Hash of the accepted configuration; nodes with the same revision and different hashes
+    /// compare the full configuration.
     pub digest: u64,
-    /// Service counted, unless the receiver's life is not known yet.
+    /// Usage counters; `None` while the receiver's instance is unknown.
     pub statement: Option<Statement>,
-    /// Servers with free slots that the sender can spare, at most a few.
+    /// Some servers with free slots that the sender does not need.
     pub idle: Vec<ServerId>,
 }
 
 /// A router of the fleet.
 #[tarpc::service]
 pub trait Router {
-    /// Exchanges usage, standing and idle servers; returns the callee's own summary.
+    /// Exchanges summaries.
     async fn exchange(summary: Summary) -> Summary;
 
-    /// Configuration newer than a revision.
+    /// Returns configuration changes newer than a revision.
     async fn changes(since: Revision) -> Vec<Change>;
 
-    /// Tells what became of a request that this router took.
+    /// Returns the outcome of a request received by this router.
     async fn outcome(attempt: Attempt) -> Outcome;
 
-    /// Keys that this router sent to a server since an instant and that are not
-    /// proved not run, together with when this router's life began.
+    /// Returns the start time of this router's instance and the keys that it has sent to a
+    /// server since a time, without those known not to have run.
     async fn keys(server: ServerId, since: Millis) -> (Millis, Vec<KeyId>);
 }
--- a/crates/wire/src/sse.rs
+++ b/crates/wire/src/sse.rs
@@ -1,12 +1,12 @@
-//! Events of an event stream.
+//! Event boundaries in server-sent event streams.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event kept until its end has come, in bytes.
-const MAX_EVENT: usize = 64 << 10;
+/// Maximum size of a buffered event; longer ones are passed on in parts.
+const MAX_EVENT_BYTES: usize = 64 << 10;
 
-/// Cuts a stream at the ends of its events, so that what was passed on is always
-/// a number of whole events and the stream can be resumed there.
+/// Splits a stream at event boundaries, so that the output consists of complete events
+/// and the stream can be resumed after any of them.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     partial: BytesMut,
@@ -14,7 +14,7 @@
 }
 
 impl EventBuffer {
-    /// Reads a part of the stream. Returns the whole events that end in it.
+    /// Appends a chunk of the stream and returns the events that it completes.
     #[must_use]
     pub fn push(&mut self, data: Bytes) -> Bytes {
         if self.partial.is_empty() && data.ends_with(b"\n\n") {
@@ -24,32 +24,32 @@
         if let Some(end) = last_end(&self.partial) {
             return self.partial.split_to(end).freeze();
         }
-        if self.partial.len() <= MAX_EVENT {
+        if self.partial.len() <= MAX_EVENT_BYTES {
             return Bytes::new();
         }
         self.split = true;
         self.flush()
     }
 
-    /// Returns what came after the last whole event.
+    /// Takes the data after the last complete event.
     #[must_use]
     pub fn flush(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// Drops what came after the last whole event.
+    /// Discards the data after the last complete event.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Whether part of an event was passed on before its end had come.
+    /// Whether an oversized event was passed on in parts.
     #[must_use]
     pub const fn is_split(&self) -> bool {
         self.split
     }
 }
 
-/// Where the last whole event ends: after an empty line.
+/// End of the last complete event, which an empty line terminates.
 fn last_end(text: &[u8]) -> Option<usize> {
     (1..=text.len()).rev().find(|end| {
         let head = &text[..*end];
@@ -57,14 +57,14 @@
     })
 }
 
-/// The data of each event in a part of a stream.
+/// Values of the `data` fields in a chunk of a stream.
 pub fn data(events: &[u8]) -> impl Iterator<Item = &[u8]> {
     let lines = events.split(|byte| *byte == b'\n');
     let data = lines.filter_map(|line| line.strip_prefix(b"data:"));
     data.map(<[u8]>::trim_ascii)
 }
 
-/// The number of the last event in a part of a stream, if its `id` is one.
+/// The last `id` field in a chunk of a stream, if it is a number.
 #[must_use]
 pub fn last_id(events: &[u8]) -> Option<u64> {
     let lines = events.rsplit(|byte| *byte == b'\n');
--- a/crates/wire/src/ticket.rs
+++ b/crates/wire/src/ticket.rs
@@ -1,4 +1,4 @@
-//! What a router sends along with a body.
+//! Encoding of request tickets in an HTTP header.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -6,28 +6,28 @@
 
 use crate::Error;
 
-/// Request header that carries a packed [`Ticket`].
+/// Request header that carries an encoded [`Ticket`].
 pub const HEADER: &str = "ticket";
 
-/// Packs a ticket for [`HEADER`].
+/// Encodes a ticket as a value of [`HEADER`].
 ///
 /// # Panics
 ///
-/// Never: every ticket has a packed form.
+/// Never: serialization of a ticket cannot fail.
 #[must_use]
 pub fn pack(ticket: &Ticket) -> String {
-    let bytes = postcard::to_stdvec(ticket).expect("every ticket has a packed form");
+    let bytes = postcard::to_stdvec(ticket).expect("serialization of a ticket cannot fail");
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// Reads what [`pack`] wrote.
+/// Decodes a value of [`HEADER`].
 ///
 /// # Errors
 ///
-/// [`Error::Ticket`] when the text is not a packed ticket.
+/// [`Error::Ticket`] if the text is not an encoded ticket.
 pub fn unpack(text: &str) -> Result<Ticket, Error> {
     let bytes = URL_SAFE_NO_PAD
         .decode(text)
-        .map_err(|e| Error::Ticket(e.to_string()))?;
-    postcard::from_bytes(&bytes).map_err(|e| Error::Ticket(e.to_string()))
+        .map_err(|error| Error::Ticket(error.to_string()))?;
+    postcard::from_bytes(&bytes).map_err(|error| Error::Ticket(error.to_string()))
 }
--- a/crates/wire/src/verdict.rs
+++ b/crates/wire/src/verdict.rs
@@ -1,41 +1,39 @@
-//! Why a sidecar itself answered a request.
+//! Results that a sidecar reports for requests that it did not pass on.
 
-/// Response header in which a sidecar gives its [`Verdict`]; absent on answers
-/// of the backend.
+/// Response header that carries the [`Verdict`]; absent from responses of the backend.
 pub const HEADER: &str = "verdict";
 
-/// A sidecar's own answer to a request that it did not pass on.
+/// Why a sidecar answered a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// No slot is free; not run, and never will be under this attempt.
+    /// No slot is free; the attempt did not run and never will.
     Busy,
-    /// The server is leaving; not run.
+    /// The server is draining; not run.
     Draining,
     /// The attempt was withdrawn before it arrived; not run.
     Tombstone,
-    /// The key is not at home here by the sidecar's configuration; not run.
+    /// The server is not the key's home in the sidecar's configuration; not run.
     NotHome,
-    /// The key may have run in an earlier life or at a former home; unknown.
+    /// The key may have run in an earlier instance or at a former home; unknown.
     Doubtful,
-    /// A request with this key is running now.
+    /// A request with this key is running.
     Running,
-    /// A request with this key ran; its answer is not kept.
+    /// A request with this key completed; its response is not stored.
     Ran,
-    /// The backend refused or could not be reached before anything was sent; not run.
+    /// The backend refused the connection or was unreachable; nothing was sent; not run.
     Unreachable,
     /// The backend failed after the request was sent; unknown.
     Broken,
-    /// The ticket could not be read; not run.
+    /// The ticket could not be decoded; not run.
     Malformed,
-    /// The ticket's deadline had passed on arrival; not run.
+    /// The deadline had passed on arrival; not run.
     Late,
-    /// The idempotency key cannot be remembered safely now; not run.
-    /// `retry-after` says when it may be.
+    /// The idempotency key cannot be stored yet; not run. `retry-after` gives the time to retry.
     Full,
 }
 
 impl Verdict {
-    /// Every verdict.
+    /// All verdicts.
     pub const ALL: [Self; 12] = [
         Self::Busy,
         Self::Draining,
@@ -51,7 +49,7 @@
         Self::Full,
     ];
 
-    /// The word used in [`HEADER`].
+    /// Value in [`HEADER`].
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -70,15 +68,15 @@
         }
     }
 
-    /// Reads the word of a verdict; `None` for any other word.
+    /// Parses a value of [`HEADER`].
     #[must_use]
-    pub fn parse(word: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         Self::ALL
             .into_iter()
-            .find(|verdict| verdict.as_str() == word)
+            .find(|verdict| verdict.as_str() == text)
     }
 
-    /// Whether the attempt is proved not to have run.
+    /// Whether the attempt is known not to have run.
     #[must_use]
     pub const fn is_not_run(self) -> bool {
         match self {
