--- a/crates/event/src/lib.rs
+++ b/crates/event/src/lib.rs
@@ -1,8 +1,8 @@
-//! Numbered log events. `docs/EVENTS.md` is their catalogue.
+//! Numbered log events, listed in `docs/EVENTS.md`.
 //!
-//! Each event carries a fixed number by its source: routers 1000 to 1999, sidecars
-//! 2000 to 2999, the platform's edge 3000 to 3999, operators 4000 to 4999, starting
-//! and stopping 5000 to 5999.
+//! Event numbers are assigned by source: routers 1000 to 1999, sidecars 2000 to 2999,
+//! platform integration 3000 to 3999, operator commands 4000 to 4999, process lifecycle
+//! 5000 to 5999.
 
 pub use slog;
 
--- a/crates/event/src/logger.rs
+++ b/crates/event/src/logger.rs
@@ -1,4 +1,4 @@
-//! Opening the log.
+//! Log initialization.
 
 use std::io;
 use std::sync::Mutex;
@@ -8,26 +8,26 @@
 use crate::rate_limit;
 use crate::sink::Sink;
 
-/// Lines kept while the output is slow; more are dropped and counted in the log.
-const BACKLOG: usize = 8192;
+/// Lines buffered while the output is slow; further lines are dropped and counted.
+const CHANNEL_LINES: usize = 8192;
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     Terminal,
 }
 
-/// Opens a log on standard error for a named node.
-pub fn open(form: Format, node: &str) -> Logger {
+/// Opens a log on standard error.
+pub fn open(format: Format, node: &str) -> Logger {
     let node = node.to_owned();
-    match form {
+    match format {
         Format::Json => {
             let drain = slog_json::Json::default(io::stderr()).fuse();
             let drain = slog_async::Async::new(drain)
-                .chan_size(BACKLOG)
+                .chan_size(CHANNEL_LINES)
                 .build()
                 .fuse();
             Logger::root(drain, o!("node" => node))
@@ -36,7 +36,7 @@
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
             let drain = slog_async::Async::new(drain)
-                .chan_size(BACKLOG)
+                .chan_size(CHANNEL_LINES)
                 .build()
                 .fuse();
             Logger::root(drain, o!("node" => node))
@@ -44,15 +44,14 @@
     }
 }
 
-/// Lines about requests that are written a second: every line of an entry VM on a
-/// busy day, at about 300 bytes; a flood of refusals causes many times more.
-const REQUEST_LINES: u32 = 300;
+/// Maximum number of log lines about single requests per second; above the rate of an
+/// entry VM under regular peak load.
+const REQUEST_LINES_PER_S: u32 = 300;
 
-/// Opens a log in JSON on the standard output for a named node. Lines are never
-/// waited for: those that find no room are dropped and counted, and so are lines
-/// about requests beyond some hundred a second.
+/// Opens a JSON log on standard output. Logging never blocks: lines are dropped and
+/// counted if the buffer is full, and lines about single requests are rate-limited.
 pub fn open_stdout(node: &str) -> Logger {
-    rate_limit::set_limit(REQUEST_LINES);
+    rate_limit::set_limit(REQUEST_LINES_PER_S);
     let drain = slog_json::Json::new(Sink::spawn())
         .add_default_keys()
         .set_newlines(true)
--- a/crates/event/src/sink.rs
+++ b/crates/event/src/sink.rs
@@ -1,4 +1,4 @@
-//! A bounded buffer of log lines that a thread of its own writes out.
+//! Bounded log buffer, written by a dedicated thread.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -9,18 +9,17 @@
 
 use crate::rate_limit;
 
-/// Most bytes that wait to be written; lines beyond are dropped and counted.
-const BUFFER_BYTES: usize = 256 << 10;
+/// Maximum size of buffered lines; further lines are dropped and counted.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Time between writes: a line is seen this much later at most, and the process
-/// is woken this seldom for its log.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Interval between writes: bounds both the delay of a line and the thread's wakeups.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where lines are put without waiting for the output.
+/// Non-blocking writer of log lines.
 #[derive(Debug, Default)]
 pub(crate) struct Sink {
     shared: Arc<Shared>,
-    /// A line that has not come to its end.
+    /// Incomplete line.
     line: Vec<u8>,
 }
 
@@ -31,7 +30,7 @@
 }
 
 impl Sink {
-    /// Begins to write lines to the standard output.
+    /// Spawns the thread that writes to standard output.
     pub(crate) fn spawn() -> Self {
         let sink = Self::default();
         let shared = Arc::clone(&sink.shared);
@@ -40,7 +39,7 @@
             .stack_size(64 << 10)
             .spawn(move || write(&shared));
         if let Err(error) = spawned {
-            eprintln!("could not start the thread that writes the log: {error}");
+            eprintln!("could not spawn log writer thread: {error}");
         }
         sink
     }
@@ -59,7 +58,7 @@
             return Ok(text.len());
         }
         let mut lines = self.shared.lines();
-        if lines.len() + self.line.len() > BUFFER_BYTES {
+        if lines.len() + self.line.len() > MAX_BUFFERED_BYTES {
             self.shared.dropped.fetch_add(1, Ordering::Relaxed);
         } else {
             lines.extend_from_slice(&self.line);
@@ -77,10 +76,10 @@
     let mut output = io::stdout();
     let mut lines = Vec::new();
     loop {
-        thread::sleep(PAUSE);
+        thread::sleep(WRITE_INTERVAL);
         std::mem::swap(&mut *shared.lines(), &mut lines);
         let dropped = shared.dropped.swap(0, Ordering::Relaxed);
-        // Nobody can be told that the log cannot be written.
+        // There is nowhere to report a failure to write the log.
         let _ = output.write_all(&lines);
         if dropped > 0 {
             let _ = writeln!(
@@ -88,23 +87,23 @@
                 "{{\"msg\":\"log lines dropped\",\"count\":{dropped}}}"
             );
         }
-        note_left_out(&mut output);
+        write_suppressed(&mut output);
         let _ = output.flush();
         lines.clear();
     }
 }
 
-/// Writes how many lines were left out, by the event's number.
-fn note_left_out(output: &mut impl Write) {
-    let left_out = rate_limit::take_suppressed();
-    if left_out.is_empty() {
+/// Writes the numbers of suppressed lines by event number.
+fn write_suppressed(output: &mut impl Write) {
+    let suppressed = rate_limit::take_suppressed();
+    if suppressed.is_empty() {
         return;
     }
-    let counts = left_out
+    let counts = suppressed
         .iter()
         .map(|(event, count)| format!("\"{}\":{count}", event.number()));
     let counts = counts.collect::<Vec<_>>().join(",");
-    // Nobody can be told that the log cannot be written.
+    // There is nowhere to report a failure to write the log.
     let _ = writeln!(
         output,
         "{{\"msg\":\"log lines left out\",\"events\":{{{counts}}}}}"
--- a/crates/event/tests/catalogue.rs
+++ b/crates/event/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! Holds the code, its log lines and `docs/EVENTS.md` together.
+//! Checks that the events, the fields they are logged with and `docs/EVENTS.md` agree.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use mulberryyoke_event::{Event, Level};
 
-/// A row of the page.
+/// A row of the table in `docs/EVENTS.md`.
 struct Row {
     number: u16,
     name: String,
@@ -23,11 +23,12 @@
 }
 
 fn rows() -> Vec<Row> {
-    let page = fs::read_to_string(root().join("docs/EVENTS.md")).expect("the page is there");
-    page.lines().filter_map(row).collect()
+    let page =
+        fs::read_to_string(root().join("docs/EVENTS.md")).expect("docs/EVENTS.md is readable");
+    page.lines().filter_map(parse_row).collect()
 }
 
-fn row(line: &str) -> Option<Row> {
+fn parse_row(line: &str) -> Option<Row> {
     let cells: Vec<&str> = line.trim_matches('|').split('|').map(str::trim).collect();
     let [number, name, level, text, meaning, fields, action] = cells[..] else {
         return None;
@@ -57,28 +58,28 @@
     }
 }
 
-/// The fields with which the daemon logs each event.
-fn logged() -> BTreeMap<String, BTreeSet<String>> {
-    let mut logged = BTreeMap::new();
+/// Fields with which the sources log each event.
+fn logged_fields() -> BTreeMap<String, BTreeSet<String>> {
+    let mut events = BTreeMap::new();
     let sources = ["crates/daemon/src", "crates/gateway/src"];
     let mut directories: Vec<PathBuf> = sources.map(|source| root().join(source)).into();
     while let Some(directory) = directories.pop() {
-        for entry in fs::read_dir(&directory).expect("the source is there") {
-            let path = entry.expect("an entry").path();
+        for entry in fs::read_dir(&directory).expect("source directory is readable") {
+            let path = entry.expect("directory entry is readable").path();
             if path.is_dir() {
                 directories.push(path);
                 continue;
             }
-            let source = fs::read_to_string(&path).expect("source is text");
+            let source = fs::read_to_string(&path).expect("source is UTF-8");
             for call in source.split("log!(").skip(1) {
-                note(&mut logged, arguments(call));
+                add_fields(&mut events, arguments(call));
             }
         }
     }
-    logged
+    events
 }
 
-/// The text up to the parenthesis that closes a call.
+/// Arguments of a call, up to the closing parenthesis.
 fn arguments(call: &str) -> &str {
     let mut depth = 1;
     for (index, character) in call.char_indices() {
@@ -94,7 +95,7 @@
     call
 }
 
-fn note(logged: &mut BTreeMap<String, BTreeSet<String>>, arguments: &str) {
+fn add_fields(events: &mut BTreeMap<String, BTreeSet<String>>, arguments: &str) {
     let fields = arguments.rsplit("=>").skip(1).filter_map(|part| {
         let quoted = part.trim_end().strip_suffix('"')?;
         quoted.rsplit_once('"').map(|(_, field)| field.to_owned())
@@ -103,7 +104,7 @@
     for part in arguments.split("Event::").skip(1) {
         let end = part.find(|c: char| !c.is_ascii_alphanumeric());
         let name = &part[..end.unwrap_or(part.len())];
-        logged
+        events
             .entry(name.to_owned())
             .or_default()
             .extend(fields.iter().cloned());
@@ -111,7 +112,7 @@
 }
 
 #[gtest]
-fn every_event_stands_on_the_page() {
+fn every_event_is_documented() {
     let rows = rows();
     let numbers: Vec<u16> = rows.iter().map(|row| row.number).collect();
     let events: Vec<u16> = Event::ALL.iter().map(|event| event.number()).collect();
@@ -126,8 +127,8 @@
 }
 
 #[gtest]
-fn every_field_stands_on_the_page() {
-    let logged = logged();
+fn every_field_is_documented() {
+    let logged = logged_fields();
     for row in rows() {
         let fields = logged.get(&row.name).cloned().unwrap_or_default();
         expect_that!(row.fields, eq(&fields), "{} in docs/EVENTS.md", row.name);
@@ -135,7 +136,7 @@
 }
 
 #[gtest]
-fn numbers_are_unique_and_rise() {
+fn numbers_are_unique_and_ascending() {
     let numbers: Vec<u16> = Event::ALL.iter().map(|event| event.number()).collect();
     expect_that!(numbers.is_sorted_by(|one, next| one < next), eq(true));
 }
--- a/crates/event/tests/rate_limit.rs
+++ b/crates/event/tests/rate_limit.rs
@@ -1,18 +1,18 @@
-//! A flood of requests does not flood the log; what matters more is kept.
+//! Guards against a flood of requests filling the log or suppressing other events.
 
 use googletest::prelude::*;
 use mulberryyoke_event::{Event, rate_limit};
 
 #[gtest]
-fn lines_of_requests_are_bounded_and_others_are_not() {
+fn only_request_events_are_limited() {
     rate_limit::set_limit(50);
-    let flood = (0..10_000)
+    let refused = (0..10_000)
         .filter(|_| rate_limit::allows(Event::Refused))
         .count();
-    // A second may begin in the midst of it.
-    expect_that!(flood, all!(ge(50), le(100)));
-    let faults = (0..1_000)
+    // A new second may begin during the loop.
+    expect_that!(refused, all!(ge(50), le(100)));
+    let failures = (0..1_000)
         .filter(|_| rate_limit::allows(Event::BackendFailed))
         .count();
-    expect_that!(faults, eq(1_000));
+    expect_that!(failures, eq(1_000));
 }
