--- a/crates/model/src/attempt.rs
+++ b/crates/model/src/attempt.rs
@@ -1,18 +1,18 @@
-//! Identity of one attempt to run a request.
+//! Identity of a request attempt.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Incarnation;
 
-/// One attempt to run one request. Answers are matched by it; a late answer of
-/// an earlier attempt differs in `number`.
+/// An attempt to run a request. Identifies responses: a late response to an earlier
+/// attempt has a different `number`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The router life that took the request.
+    /// Router instance that received the request.
     pub origin: Incarnation,
-    /// Sequence number of the request in that life.
+    /// Sequence number of the request within that instance.
     pub request: u64,
-    /// Count of attempts made before this one.
+    /// Number of previous attempts.
     pub number: u8,
 }
 
@@ -26,13 +26,13 @@
         }
     }
 
-    /// The request id shown to callers: origin and sequence number in hex.
+    /// The request id shown to clients: origin and sequence number in hexadecimal.
     #[must_use]
     pub fn request_id(self) -> String {
         format!("{:016x}-{:x}", self.origin.0, self.request)
     }
 
-    /// Reads a request id as shown to callers; the attempt number is 0.
+    /// Parses a request id as shown to clients; the attempt number is 0.
     #[must_use]
     pub fn parse_request_id(text: &str) -> Option<Self> {
         let (origin, request) = text.split_once('-')?;
--- a/crates/model/src/class.rs
+++ b/crates/model/src/class.rs
@@ -1,35 +1,33 @@
-//! Urgency classes.
+//! Priority classes.
 
 use serde::{Deserialize, Serialize};
 
-/// How a request ranks among the waiting requests of its own customer.
-///
-/// The order is the rank: urgent requests go first.
+/// Priority of a request among the queued requests of its customer, highest first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Goes first, within a bounded lead over other customers.
+    /// Served first, with a bounded advantage over other customers.
     Urgent,
-    /// Neither urgent nor deferrable.
+    /// Default priority.
     #[default]
     Normal,
-    /// May wait until its deadline nears.
+    /// May be delayed until close to its deadline.
     Deferrable,
 }
 
 impl Class {
-    /// Every class, by rank.
+    /// All classes, highest priority first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Deferrable];
 
-    /// Position in [`Class::ALL`].
+    /// Index in [`Class::ALL`].
     #[must_use]
     pub const fn index(self) -> usize {
         self as usize
     }
 
-    /// The word used in settings, headers and commands.
+    /// Name in settings, headers and commands.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -39,9 +37,9 @@
         }
     }
 
-    /// Reads the word of a class; `None` for any other word.
+    /// Parses the name of a class.
     #[must_use]
-    pub fn parse(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|class| class.as_str() == word)
+    pub fn parse(name: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|class| class.as_str() == name)
     }
 }
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration, ordered by the key-value service's revision.
+//! Accepted configuration, ordered by revision of the key-value service.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use crate::{Customer, Millis, Pool, Server};
 
-/// Revision of the key-value service at which a value was written.
+/// Revision of the key-value service.
 pub type Revision = u64;
 
-/// Anything an operator configures.
+/// A configuration object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Object {
@@ -22,7 +22,7 @@
 }
 
 impl Object {
-    /// Key below the configuration prefix, for example `customer/acme`.
+    /// Key under the configuration prefix, for example `customer/acme`.
     #[must_use]
     pub fn key(&self) -> String {
         match self {
@@ -33,24 +33,24 @@
     }
 }
 
-/// The value kept under one key of the key-value service, as JSON.
+/// JSON value of a key in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Identity of the command that wrote it, to recognise one's own write.
+    /// Identity of the command that wrote it; lets a writer recognize its own write.
     pub command: u64,
     /// Name of the operator.
     #[serde(default)]
     pub operator: String,
-    /// When it was written.
+    /// Time of the write.
     #[serde(default)]
     pub at: Millis,
-    /// The command's words, without keys.
+    /// Text of the command, without keys.
     #[serde(default)]
     pub words: String,
-    /// What is configured; `None` once removed.
+    /// The object; `None` if it was removed.
     pub object: Option<Object>,
-    /// Writes that this one followed, newest first, as far as kept.
+    /// Recent earlier writes, newest first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub earlier: Vec<Write>,
 }
@@ -65,38 +65,37 @@
     pub command: u64,
     /// Name of the operator.
     pub operator: String,
-    /// When it was written.
+    /// Time of the write.
     pub at: Millis,
-    /// The command's words, without keys.
+    /// Text of the command, without keys.
     pub words: String,
 }
 
-/// One accepted write.
+/// An accepted write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Key below the configuration prefix.
+    /// Key under the configuration prefix.
     pub key: String,
     /// Revision of the write.
     pub revision: Revision,
-    /// What was written; `None` once removed.
+    /// The object; `None` if it was removed.
     pub object: Option<Object>,
 }
 
-/// All accepted objects as of one revision. A node applies changes in revision
-/// order and never a lower one.
+/// All accepted objects as of a revision. For each key, only newer changes are applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// Highest revision applied; 0 before any.
+    /// Highest applied revision; 0 if none.
     pub revision: Revision,
-    /// The latest write of every key, removals included.
+    /// Latest write of each key, including removals.
     pub changes: BTreeMap<String, Change>,
 }
 
 impl Config {
-    /// Applies one write. Returns whether it was newer than what is held for its key.
+    /// Applies a write; returns `false` if it is not newer than the current one of its key.
     pub fn apply(&mut self, change: Change) -> bool {
-        let held = self.changes.get(&change.key);
-        if held.is_some_and(|held| held.revision >= change.revision) {
+        let current = self.changes.get(&change.key);
+        if current.is_some_and(|current| current.revision >= change.revision) {
             return false;
         }
         self.revision = self.revision.max(change.revision);
@@ -104,7 +103,7 @@
         true
     }
 
-    /// Writes newer than a revision, oldest first.
+    /// Writes newer than a revision, in revision order.
     #[must_use]
     pub fn since(&self, revision: Revision) -> Vec<Change> {
         let newer = self
@@ -116,14 +115,14 @@
         changes
     }
 
-    /// Every object held now.
+    /// All current objects.
     pub fn objects(&self) -> impl Iterator<Item = &Object> {
         self.changes
             .values()
             .filter_map(|change| change.object.as_ref())
     }
 
-    /// Every customer.
+    /// All customers.
     pub fn customers(&self) -> impl Iterator<Item = &Customer> {
         self.objects().filter_map(|object| match object {
             Object::Customer(customer) => Some(customer),
@@ -131,7 +130,7 @@
         })
     }
 
-    /// Every pool.
+    /// All pools.
     pub fn pools(&self) -> impl Iterator<Item = &Pool> {
         self.objects().filter_map(|object| match object {
             Object::Pool(pool) => Some(pool),
@@ -139,7 +138,7 @@
         })
     }
 
-    /// Every server, removed ones within the retention time included.
+    /// All servers, including removed ones within the retention time.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.objects().filter_map(|object| match object {
             Object::Server(server) => Some(server),
--- a/crates/model/src/customer.rs
+++ b/crates/model/src/customer.rs
@@ -7,7 +7,7 @@
 
 use crate::Class;
 
-/// A bearer key's SHA-256 in lower-case hex; the key itself is kept nowhere.
+/// SHA-256 of a bearer key in lowercase hexadecimal; the key itself is not stored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyHash(pub String);
@@ -25,21 +25,21 @@
     }
 }
 
-/// A customer as configured.
+/// Configuration of a customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// Unique name.
     pub name: String,
-    /// Weight of the customer's portion; at least 1.
+    /// Weight of the customer's share; at least 1.
     pub share: u32,
-    /// Class of requests that name none.
+    /// Default class of requests.
     #[serde(default)]
     pub class: Class,
-    /// Hashes of the bearer keys that name this customer.
+    /// Hashes of the customer's bearer keys.
     #[serde(default)]
     pub keys: Vec<KeyHash>,
-    /// Most requests waiting at one router; the router's setting when absent.
+    /// Maximum number of queued requests per router; defaults to the router's setting.
     #[serde(default)]
     pub queue: Option<u32>,
 }
--- a/crates/model/src/grant.rs
+++ b/crates/model/src/grant.rs
@@ -3,13 +3,13 @@
 use crate::{CustomerId, Millis};
 use serde::{Deserialize, Serialize};
 
-/// A slot reserved for one request of a customer that waits at the router.
+/// A slot reserved for a queued request of a customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Identity within the sidecar's life.
+    /// Identity within the sidecar instance.
     pub id: u64,
-    /// The customer whose turn it is.
+    /// The customer.
     pub customer: CustomerId,
-    /// After this instant the slot is free for others again.
+    /// Expiry of the reservation.
     pub until: Millis,
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` identities.
+//! Compact identifiers.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -13,11 +13,11 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The identity of a name: the low half of its XXH3 hash. Commands
-            /// refuse a new name whose identity is taken by another.
+            /// Derives the identifier from a name: the lower half of its XXH3 hash. Commands
+            /// reject a new name whose identifier collides with that of another.
             #[must_use]
             pub fn of(name: &str) -> Self {
-                #[expect(clippy::cast_possible_truncation, reason = "the low half is meant")]
+                #[expect(clippy::cast_possible_truncation, reason = "takes the lower half")]
                 Self(xxh3_64(name.as_bytes()) as u32)
             }
         }
@@ -29,7 +29,7 @@
     CustomerId
 );
 name_id!(
-    /// A pool of servers that can answer the same requests.
+    /// A pool of servers.
     PoolId
 );
 name_id!(
@@ -37,20 +37,20 @@
     ServerId
 );
 
-/// One life of a process, drawn at random when it starts.
+/// Identifier of a process instance, chosen at random at startup.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// A customer's `Idempotency-Key`, hashed together with the customer.
+/// Hash of a customer and its `Idempotency-Key`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyId(pub u64);
 
 impl KeyId {
-    /// The identity of a key of a customer.
+    /// Derives the identifier from a customer and its key.
     #[must_use]
     pub fn of(customer: CustomerId, key: &str) -> Self {
         let mut bytes = customer.0.to_le_bytes().to_vec();
--- a/crates/model/src/interest.rs
+++ b/crates/model/src/interest.rs
@@ -1,24 +1,24 @@
-//! What waits at a router.
+//! Declarations of queued requests.
 
 use crate::{CustomerId, Millis};
 use serde::{Deserialize, Serialize};
 
-/// Requests of one customer that wait at one router and that the server may
-/// run. All counts 0 withdraws an earlier declaration.
+/// Requests of a customer that are queued at a router and that the server may run.
+/// Counts of 0 withdraw an earlier declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interest {
     /// The customer.
     pub customer: CustomerId,
-    /// Waiting requests by [`crate::Class::index`], at most 65,535 each.
+    /// Number of queued requests by [`crate::Class::index`], capped at `u16::MAX`.
     pub waiting: [u16; 3],
-    /// Mean estimated cost of one of them, in tokens.
+    /// Mean estimated cost of a request, in tokens.
     pub cost: u32,
-    /// When the oldest of the best class began to wait.
+    /// Time at which the oldest request of the highest class present was queued.
     pub since: Millis,
 }
 
 impl Interest {
-    /// Waiting requests of all classes.
+    /// Number of queued requests of all classes.
     #[must_use]
     pub fn total(&self) -> u32 {
         self.waiting.iter().copied().map(u32::from).sum()
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,7 @@
-//! The configured things and the identities that every other package speaks of.
+//! Configuration objects, identities and messages shared by all packages.
 //!
-//! The words are those of the users' brief (`docs/GLOSSARY.md` maps them to
-//! standard terms): a *customer* shares capacity, a *server* is a backend
-//! server with a sidecar beside it, a *zone* is an availability zone.
+//! A *customer* shares capacity with others, a *server* is a backend server with a
+//! sidecar, a *zone* is an availability zone. `docs/GLOSSARY.md` defines further terms.
 
 mod attempt;
 mod class;
--- a/crates/model/src/load.rs
+++ b/crates/model/src/load.rs
@@ -1,23 +1,23 @@
-//! What a sidecar tells of its server.
+//! Server load reported by sidecars.
 
 use crate::{Incarnation, Millis, Revision, ServerId};
 use serde::{Deserialize, Serialize};
 
-/// A server's load and standing.
+/// Load and state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The server.
     pub server: ServerId,
-    /// The sidecar's life.
+    /// Instance of the sidecar.
     pub incarnation: Incarnation,
-    /// When that life began.
+    /// Start time of the instance.
     pub started_at: Millis,
-    /// Highest configuration revision it has applied.
+    /// Highest configuration revision applied.
     pub revision: Revision,
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u32,
-    /// Slots neither running nor reserved.
+    /// Number of slots neither in use nor reserved.
     pub free: u32,
-    /// Whether it refuses new work.
+    /// Whether the server refuses new requests.
     pub draining: bool,
 }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,27 +1,27 @@
-//! What is known of a request that was asked about.
+//! Request outcomes.
 
 use serde::{Deserialize, Serialize};
 
-/// The truth about one request, as far as it is known.
+/// Outcome of a request, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Waiting for a server; it has not run yet.
+    /// Queued; has not run yet.
     Waiting,
-    /// Started and not ended.
+    /// Started and not completed.
     Running,
-    /// Ran to its end.
+    /// Completed.
     Ran,
-    /// Proved never to have run, and never to run later.
+    /// Has not run and never will.
     NotRun,
-    /// Started, then cut off before its end.
+    /// Started and interrupted.
     Cut,
-    /// Nothing can be proved.
+    /// Indeterminate.
     Unknown,
 }
 
 impl Outcome {
-    /// The word used in headers and answers.
+    /// Name in headers and responses.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/model/src/pool.rs
+++ b/crates/model/src/pool.rs
@@ -1,40 +1,40 @@
-//! Pools of servers that answer the same requests.
+//! Pools of interchangeable servers.
 
 use serde::{Deserialize, Serialize};
 
-/// What stands behind the servers of a pool.
+/// Kind of backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Model engines with the `OpenAI`-compatible interface; cost is counted in tokens.
+    /// Inference engines with an `OpenAI`-compatible API; cost is measured in tokens.
     Model,
-    /// Plain services; cost is declared per route.
+    /// HTTP services; cost is declared per route.
     Service,
 }
 
-/// A method and path prefix of a plain service.
+/// A method and path prefix of an HTTP service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// HTTP method in upper case, or `*` for any.
+    /// HTTP method in uppercase, or `*` for any.
     pub method: String,
-    /// Path prefix, from the first `/`.
+    /// Path prefix, with the leading `/`.
     pub prefix: String,
-    /// Whether a call may be repeated without harm.
+    /// Whether requests are idempotent.
     pub idempotent: bool,
-    /// Cost of one call, in tokens.
+    /// Cost of a request, in tokens.
     pub cost: u32,
 }
 
-/// A pool as configured.
+/// Configuration of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Unique name; for [`Kind::Model`] the model name that callers send.
+    /// Unique name; for [`Kind::Model`], the model name in requests.
     pub name: String,
-    /// What stands behind the servers.
+    /// Kind of backend.
     pub kind: Kind,
-    /// Routes of a plain service; empty for a model.
+    /// Routes of an HTTP service; empty for a model.
     #[serde(default)]
     pub routes: Vec<Route>,
 }
--- a/crates/model/src/saturating.rs
+++ b/crates/model/src/saturating.rs
@@ -1,25 +1,25 @@
-//! Whole numbers of what is counted in parts.
+//! Saturating conversions from floating point.
 
-/// A number without its fraction; out of range, the nearest bound.
+/// Truncates a number toward zero; values out of range saturate.
 #[must_use]
 pub const fn saturating_u64(number: f64) -> u64 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the cast goes to the nearest bound"
+        reason = "float casts saturate"
     )]
-    let whole = number as u64;
-    whole
+    let integer = number as u64;
+    integer
 }
 
-/// As [`saturating_u64`], of 32 bits.
+/// Like [`saturating_u64`], for 32 bits.
 #[must_use]
 pub const fn saturating_u32(number: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the cast goes to the nearest bound"
+        reason = "float casts saturate"
     )]
-    let whole = number as u32;
-    whole
+    let integer = number as u32;
+    integer
 }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -6,25 +6,25 @@
 
 use crate::Millis;
 
-/// Whether a server takes new work.
+/// Administrative state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes new work.
+    /// Accepts new requests.
     Active,
-    /// Leaving: takes no new work, ends what it runs.
+    /// Accepts no new requests and completes those in progress.
     Draining,
-    /// Gone; kept for the key retention time so that former homes are known.
+    /// Removed; the entry is retained for the key retention time to identify former homes.
     Removed,
 }
 
-/// A backend server as configured; the addresses are its sidecar's.
+/// Configuration of a backend server; the addresses are those of its sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
     /// Unique name.
     pub name: String,
-    /// Name of the pool it belongs to.
+    /// Name of its pool.
     pub pool: String,
     /// Region it runs in.
     #[serde(default)]
@@ -35,12 +35,12 @@
     pub control: SocketAddr,
     /// Address of the sidecar's data port (HTTP/2 without TLS).
     pub data: SocketAddr,
-    /// Requests that the backend runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Administrative state.
     pub state: State,
-    /// When it was first added; a removed server that is added again keeps it.
+    /// Time when it was first added; preserved when a removed server is added again.
     pub added_at: Millis,
-    /// When `state` last changed.
+    /// Time of the last change of `state`.
     pub changed_at: Millis,
 }
--- a/crates/model/src/statement.rs
+++ b/crates/model/src/statement.rs
@@ -4,77 +4,77 @@
 
 use crate::{CustomerId, Incarnation, Millis, PoolId};
 
-/// Service of one customer and the pace at which it grows.
+/// Token counter of a customer and its growth rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Flow {
     /// The customer.
     pub customer: CustomerId,
     /// Cumulative tokens.
     pub tokens: u64,
-    /// Tokens a second by which the receiver lets the count grow until it hears more.
+    /// Growth rate in tokens per second, for extrapolation until the next message.
     pub rate: u32,
 }
 
-/// Service of customers in one pool.
+/// Counters of the customers of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolCounters {
     /// The pool.
     pub pool: PoolId,
-    /// Its customers.
+    /// Counters by customer.
     pub flows: Vec<Flow>,
 }
 
-/// What the sender of a statement is to its receiver.
+/// Relation of the sender of a statement to its receiver.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Relation {
-    /// Both exchange with every other peer.
+    /// Peers exchange their counters with each other.
     #[default]
     Peer,
-    /// The sender hands what it counts to the receiver, and is told the totals.
+    /// The sender reports its counters to the receiver and receives the totals.
     Child,
-    /// The sender tells the totals.
+    /// The sender reports the totals.
     Parent,
 }
 
-/// How far an origin's counters are known.
+/// Digest entry: sum of the counters known of an origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginSum {
-    /// The origin's life.
+    /// Instance of the origin.
     pub origin: Incarnation,
-    /// Sum of its counters as held; the largest value when the origin itself was
-    /// heard of late, so that nobody else needs to tell.
+    /// Sum of the known counters; the maximum value if the origin itself was received from
+    /// recently, so that its counters need not be relayed.
     pub sum: u64,
 }
 
-/// Counters of one origin, passed on by another.
+/// Counters of an origin, relayed by another router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginCounters {
-    /// The origin's life.
+    /// Instance of the origin.
     pub origin: Incarnation,
-    /// When that life began.
+    /// Start time of the instance.
     pub started_at: Millis,
-    /// Its counters, or some of them.
+    /// All or some of its counters.
     pub pools: Vec<PoolCounters>,
 }
 
-/// One message of the usage exchange. Every part is idempotent.
+/// A message of the usage exchange. Processing it is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
-    /// What the sender is to the receiver.
+    /// Relation of the sender to the receiver.
     pub relation: Relation,
-    /// The receiver's life that it is meant for; another one ignores it.
+    /// Receiving instance; other instances ignore the message.
     pub to: Incarnation,
-    /// Sequence number on the way from this sender's to this receiver's life.
+    /// Sequence number between the two instances.
     pub sequence: u64,
-    /// The last sequence number that the sender has taken in from the receiver.
+    /// Last sequence number that the sender received from the receiver.
     pub acknowledged: u64,
-    /// How old what the sender counted was, in milliseconds: what its sidecars and
-    /// children told it, or what a parent's totals rest on.
+    /// Age of the data behind the counters in milliseconds: of the reports from sidecars and
+    /// children, or of the inputs of a parent's totals.
     pub age_ms: u32,
-    /// A peer's or child's own counters, or a parent's totals.
+    /// Own counters of a peer or child, or totals of a parent.
     pub pools: Vec<PoolCounters>,
-    /// How far the sender knows each origin; now and then.
+    /// Sums known to the sender by origin; sent periodically.
     pub digest: Vec<OriginSum>,
-    /// What the receiver lacks of other origins.
+    /// Counters of other origins that the receiver lacks.
     pub relayed: Vec<OriginCounters>,
 }
--- a/crates/model/src/ticket.rs
+++ b/crates/model/src/ticket.rs
@@ -1,26 +1,26 @@
-//! What is known of a request besides its body.
+//! Request metadata sent to sidecars.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Attempt, Class, CustomerId, KeyId, Millis};
 
-/// Everything a sidecar needs to know of a request besides its body.
+/// Metadata that a sidecar needs to admit a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// Which attempt this is.
+    /// Identity of the attempt.
     pub attempt: Attempt,
-    /// Whose request it is.
+    /// The customer.
     pub customer: CustomerId,
-    /// Its urgency.
+    /// Priority class.
     pub class: Class,
-    /// When the caller stops waiting.
+    /// Time until which the client waits.
     pub deadline: Millis,
-    /// The caller's rough hint of the cost, in tokens; 0 for none.
+    /// Cost estimate of the client, in tokens; 0 for none.
     pub hint: u32,
-    /// Estimated cost in tokens, charged at the start.
+    /// Estimated cost in tokens, charged when the request starts.
     pub cost: u32,
-    /// The reserved slot it uses, if any.
+    /// Grant of the reserved slot it uses.
     pub grant: Option<u64>,
-    /// Key of a request that must run at most once.
+    /// Idempotency key.
     pub key: Option<KeyId>,
 }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,5 +1,4 @@
-//! Time as the decisions see it.
+//! Time representation.
 
-/// Milliseconds since the Unix epoch. Deadlines are stored as such instants,
-/// never as durations.
+/// Milliseconds since the Unix epoch. Also used for deadlines, which are absolute times.
 pub type Millis = u64;
--- a/crates/model/src/usage.rs
+++ b/crates/model/src/usage.rs
@@ -1,26 +1,25 @@
-//! Service received by customers.
+//! Usage reports.
 
 use crate::{CustomerId, PoolId};
 use serde::{Deserialize, Serialize};
 
-/// Service of one customer in one pool, in tokens. Customers share the capacity
-/// of a pool, so service is counted for each pool by itself: a customer that is
-/// served well in one pool must not wait for that in another.
+/// Usage of a pool by a customer. Counted per pool, so that usage of one pool does not
+/// delay a customer's requests in another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The pool that gave the service.
+    /// The pool.
     pub pool: PoolId,
     /// The customer.
     pub customer: CustomerId,
-    /// Cumulative tokens since the reporter's life began.
+    /// Cumulative tokens since the reporting instance started.
     pub tokens: u64,
 }
 
-/// Cumulative service given by one origin, idempotent to apply.
+/// Cumulative usage reported by an origin. Applying it is idempotent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Sequence number within the origin's life.
+    /// Sequence number within the origin's instance.
     pub sequence: u64,
-    /// Customers whose count has changed since the last acknowledged report.
+    /// Counters that changed since the last acknowledged report.
     pub usage: Vec<Usage>,
 }
--- a/crates/model/tests/digest.rs
+++ b/crates/model/tests/digest.rs
@@ -1,18 +1,18 @@
-//! What makes two requests the same.
+//! Request digests.
 
 use googletest::prelude::*;
 use mulberryyoke_model::Digest;
 
 #[gtest]
-fn only_method_path_customer_and_body_make_a_request() {
-    let one = Digest::of("POST", "/a/b", "noor", b"body");
-    expect_that!(Digest::of("POST", "/a/b", "noor", b"body"), eq(one));
+fn digest_depends_on_method_path_customer_and_body() {
+    let digest = Digest::of("POST", "/a/b", "noor", b"body");
+    expect_that!(Digest::of("POST", "/a/b", "noor", b"body"), eq(digest));
     let others = [
         ("PUT", "/a/b", "noor", "body"),
         ("POST", "/a/c", "noor", "body"),
         ("POST", "/a/b", "lale", "body"),
         ("POST", "/a/b", "noor", "bodz"),
-        // One part's end is not another's beginning.
+        // Guards against ambiguous boundaries between parts.
         ("POST", "/a/bn", "oor", "body"),
         ("POST", "/a/b", "noorb", "ody"),
         ("POST", "/a/b", "", "noorbody"),
@@ -20,15 +20,15 @@
     for (method, path, customer, body) in others {
         expect_that!(
             Digest::of(method, path, customer, body.as_bytes()),
-            not(eq(one))
+            not(eq(digest))
         );
     }
 }
 
 #[gtest]
-fn its_text_is_read_back_and_no_other_is() {
-    let one = Digest::of("POST", "/a/b", "noor", b"body");
-    expect_that!(Digest::parse(&one.to_string()), some(eq(one)));
+fn only_the_displayed_form_is_parsed() {
+    let digest = Digest::of("POST", "/a/b", "noor", b"body");
+    expect_that!(Digest::parse(&digest.to_string()), some(eq(digest)));
     expect_that!(Digest::parse(&Digest(7).to_string()), some(eq(Digest(7))));
     for text in [
         "",
