--- a/crates/gateway/src/cache_report.rs
+++ b/crates/gateway/src/cache_report.rs
@@ -52,12 +52,12 @@
         let fetched = timeout(FETCH_TIMEOUT, fetch(&core, &backend, path)).await;
         match fetched.unwrap_or(Err(Error::Timeout)) {
             Ok(parts) => {
-                log!(core.logger, Event::Listed,
+                log!(core.logger, Event::CacheReported,
                     "server" => &backend.server.name, "parts" => parts.len());
                 backend.engine.lock().cache.set_reported(parts);
             }
             Err(error) => {
-                log!(core.logger, Event::ListFailed,
+                log!(core.logger, Event::CacheReportFailed,
                     "server" => &backend.server.name, "error" => error.to_string());
             }
         }
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -68,7 +68,7 @@
         }
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
             liveness.record_crash(Instant::now());
-            log!(core.logger, Event::ServerEnded, "server" => &backend.server.name);
+            log!(core.logger, Event::ServerCrashed, "server" => &backend.server.name);
             true
         }
         // Other errors do not show whether the server crashed.
--- a/crates/gateway/src/retry_budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use mulberryyoke_decide::retry::Budget;
-use mulberryyoke_model::{PoolId, whole_u32};
+use mulberryyoke_model::{PoolId, saturating_u32};
 use parking_lot::Mutex;
 
 /// Fraction of the configured retry ratio that one gateway uses. The ratio must hold in every
@@ -42,9 +42,9 @@
     /// Sets the limits of the fleet: `ratio` retries per request plus `slack`, which is divided
     /// among `gateways`.
     pub(crate) fn set_limits(&self, ratio: f64, slack: f64, gateways: usize) {
-        let percent = whole_u32(ratio * RATIO_FRACTION * 100.0);
+        let percent = saturating_u32(ratio * RATIO_FRACTION * 100.0);
         let gateways = u32::try_from(gateways).unwrap_or(u32::MAX).max(1);
-        let capacity = u64::from(whole_u32(
+        let capacity = u64::from(saturating_u32(
             slack * SLACK_FRACTION * 100.0 / f64::from(gateways),
         ));
         let mut inner = self.inner.lock();
--- a/crates/gateway/src/stream_relay.rs
+++ b/crates/gateway/src/stream_relay.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use mulberryyoke_event::{Event, log};
-use mulberryyoke_wire::sse::{self, Events};
+use mulberryyoke_wire::sse::{self, EventBuffer};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -60,7 +60,7 @@
     call: Arc<Call>,
     running: InFlight,
     body: Incoming,
-    events: Events,
+    events: EventBuffer,
     chunks: mpsc::Sender<Result<Bytes, BodyError>>,
     relayed: u32,
     relayed_at: Instant,
@@ -86,7 +86,7 @@
         call: Arc::clone(call),
         running,
         body,
-        events: Events::default(),
+        events: EventBuffer::default(),
         chunks,
         relayed: 0,
         relayed_at: Instant::now(),
@@ -212,7 +212,7 @@
             if !is_timer_set {
                 stalled.set(clock::sleep_until_opt(stall_deadline));
             }
-            let events = self.events.read(data);
+            let events = self.events.push(data);
             if events.is_empty() {
                 continue;
             }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,7 @@
-//! The configured things and the identities that every other package speaks of.
+//! Configuration objects, identities and messages shared by all packages.
 //!
-//! The words are those of the users' brief (`docs/GLOSSARY.md` maps them to
-//! standard terms): a *customer* shares capacity, a *server* is a backend
-//! server with a sidecar beside it, a *zone* is an availability zone.
+//! A *customer* shares capacity with others, a *server* is a backend server with a
+//! sidecar, a *zone* is an availability zone. `docs/GLOSSARY.md` defines further terms.
 
 mod attempt;
 mod class;
@@ -13,9 +12,9 @@
 mod id;
 mod interest;
 mod load;
-mod number;
 mod outcome;
 mod pool;
+mod saturating;
 mod server;
 mod statement;
 mod ticket;
@@ -31,11 +30,11 @@
 pub use id::{CustomerId, Incarnation, KeyId, PoolId, ServerId};
 pub use interest::Interest;
 pub use load::Load;
-pub use number::{whole, whole_u32};
 pub use outcome::Outcome;
 pub use pool::{Kind, Pool, Route};
+pub use saturating::{saturating_u32, saturating_u64};
 pub use server::{Server, State};
-pub use statement::{Extract, Flow, Known, Relation, Statement, Tally};
+pub use statement::{Flow, OriginCounters, OriginSum, PoolCounters, Relation, Statement};
 pub use ticket::Ticket;
 pub use time::Millis;
 pub use usage::{Report, Usage};
--- a/crates/wire/src/count.rs
+++ b/crates/wire/src/byte_counter.rs
@@ -1,4 +1,4 @@
-//! Counting of bytes on control links.
+//! Byte counters for control connections.
 
 use std::io;
 use std::pin::Pin;
@@ -8,14 +8,14 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes read and written, shared by every link that counts into it.
+/// Bytes read and written, shared by several connections.
 #[derive(Debug, Default)]
-pub struct Bytes {
+pub struct ByteCounter {
     read: AtomicU64,
     written: AtomicU64,
 }
 
-impl Bytes {
+impl ByteCounter {
     /// Bytes read so far.
     pub fn read(&self) -> u64 {
         self.read.load(Ordering::Relaxed)
@@ -27,47 +27,47 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// A stream that counts the bytes read and written.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountingStream<S> {
     stream: S,
-    bytes: Arc<Bytes>,
+    bytes: Arc<ByteCounter>,
 }
 
-impl<S> Counted<S> {
-    /// Counts what passes through `stream` into `bytes`.
-    pub fn new(stream: S, bytes: Arc<Bytes>) -> Self {
+impl<S> CountingStream<S> {
+    /// Wraps `stream`, counting its traffic in `bytes`.
+    pub fn new(stream: S, bytes: Arc<ByteCounter>) -> Self {
         Self { stream, bytes }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
+        let result = Pin::new(&mut self.stream).poll_read(cx, buf);
         let count = buf.filled().len() - before;
         self.bytes.read.fetch_add(count as u64, Ordering::Relaxed);
-        polled
+        result
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         data: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, data);
-        if let Poll::Ready(Ok(count)) = polled {
+        let result = Pin::new(&mut self.stream).poll_write(cx, data);
+        if let Poll::Ready(Ok(count)) = result {
             self.bytes
                 .written
                 .fetch_add(count as u64, Ordering::Relaxed);
         }
-        polled
+        result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
