--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,18 +1,18 @@
-//! Why a gateway cannot start.
+//! Errors of starting a gateway.
 
 use std::io;
 use std::net::SocketAddr;
 
 use displaydoc::Display;
 
-/// Why a gateway cannot start.
+/// An error that prevents a gateway from starting.
 #[derive(Debug, Display)]
 pub enum Error {
     /// could not listen on {address}: {source}
     Bind {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
 }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,16 +1,16 @@
-//! The steps of a planned stop.
+//! Phases of a graceful shutdown.
 
 use tokio_util::sync::CancellationToken;
 
-/// The steps of a planned stop, each begun once and in this order.
+/// Phases of a graceful shutdown, started in this order.
 #[derive(Debug, Default)]
 pub(crate) struct Shutdown {
-    /// The node is no longer ready; each answer ends its connection.
+    /// Readiness probes fail, and each response closes its connection.
     pub(crate) drain: CancellationToken,
     /// New requests are refused.
     pub(crate) refuse: CancellationToken,
-    /// No connection is accepted, and those without a request are closed.
+    /// No connections are accepted, and idle ones are closed.
     pub(crate) close: CancellationToken,
-    /// Everything ends.
+    /// All tasks terminate.
     pub(crate) terminate: CancellationToken,
 }
