--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,12 +1,12 @@
-//! What gateways tell each other: what each has at the servers, what customers asked of it,
-//! and which shared prompt parts it had servers read.
+//! Load exchange between gateways: load per server, customers' usage, and prompt prefixes that
+//! servers have cached.
 
-mod announce;
+mod fleet_source;
 mod inner;
 mod peers;
-mod reads;
+mod prefix_queue;
+mod registration;
 mod run;
-mod upstream;
 
 use std::net::SocketAddr;
 
@@ -18,14 +18,14 @@
 use mulberryyoke_wire::beat::{Beat, Read};
 use parking_lot::Mutex;
 
-pub(crate) use self::announce::{HANDOFFS_PREFIX, PEERS_PREFIX, announce};
-use self::inner::{Inner, Outgoing, own};
+use self::inner::{Inner, Outgoing, local_state};
 pub(crate) use self::peers::Peer;
+pub(crate) use self::registration::{HANDOFFS_PREFIX, PEERS_PREFIX, register};
 pub(crate) use self::run::run;
 use crate::core::Core;
 use crate::{clock, notice, quarantine};
 
-/// What this gateway exchanges with its peers.
+/// State that this gateway exchanges with its peers.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     origin: Incarnation,
@@ -33,56 +33,59 @@
 }
 
 impl Exchange {
-    pub(crate) fn new(name: &str, place: Placement) -> Self {
+    pub(crate) fn new(name: &str, placement: Placement) -> Self {
         let origin = Incarnation(rand::random());
-        let inner = Inner::new(origin, name, place);
+        let inner = Inner::new(origin, name, placement);
         Self {
             origin,
             inner: Mutex::new(inner),
         }
     }
 
-    /// Notes where a peer is and takes messages, or that it is gone.
+    /// Adds or updates a peer; `None` removes it.
     pub(crate) fn set_peer(&self, name: &str, peer: Option<Peer>) {
         self.inner.lock().set_peer(name, peer);
     }
 
-    /// Notes where a peer takes callers' connections that are handed on, or that it takes none.
+    /// Sets the address at which a peer accepts handed-off connections; `None` removes it.
     pub(crate) fn set_handoff(&self, name: &str, address: Option<SocketAddr>) {
         self.inner.lock().set_handoff(name, address);
     }
 
-    /// Whether a larger gateway of the zone takes connections that are handed on.
-    pub(crate) fn has_larger(&self) -> bool {
-        !self.inner.lock().larger.is_empty()
+    /// Returns whether a larger gateway of the zone accepts handed-off connections.
+    pub(crate) fn has_handoff_target(&self) -> bool {
+        !self.inner.lock().handoff_targets.is_empty()
     }
 
-    /// Where the larger gateways of the zone take connections that are asked for one, in their
-    /// order.
-    pub(crate) fn larger(&self) -> Vec<SocketAddr> {
-        candidates(&self.inner.lock().larger, rand::random_range(0..usize::MAX)).collect()
+    /// Returns the addresses to try for handing off one connection, in order.
+    pub(crate) fn handoff_targets(&self) -> Vec<SocketAddr> {
+        candidates(
+            &self.inner.lock().handoff_targets,
+            rand::random_range(0..usize::MAX),
+        )
+        .collect()
     }
 
-    /// Whether this gateway is one of the few that ask the key-value service, and
-    /// where the others of these are. All gateways that know of each other agree.
+    /// Returns whether this gateway is one of the few that watch the key-value service, and the
+    /// addresses of the others. Gateways that know the same peers choose the same watchers.
     pub(crate) fn watchers(&self) -> (bool, Vec<SocketAddr>) {
         let inner = self.inner.lock();
-        inner.peers.watchers(&inner.name, &inner.place)
+        inner.peers.watchers(&inner.name, &inner.placement)
     }
 
-    /// Where the gateway takes messages that decides whether a copy of a request under suspicion
-    /// may run; `None` if this one does.
+    /// Returns the address of the gateway that decides whether a suspect request may run; `None`
+    /// if it is this one.
     pub(crate) fn arbiter(&self, digest: Digest) -> Option<SocketAddr> {
         let inner = self.inner.lock();
         inner.peers.arbiter(digest, &inner.name)
     }
 
-    /// Number of gateways that are known, this one included.
+    /// Returns the number of known gateways, including this one.
     pub(crate) fn gateway_count(&self) -> usize {
         self.inner.lock().peers.len() + 1
     }
 
-    /// Notes that a server is given a prompt, to tell its shared parts.
+    /// Records that a prompt was sent to a server, so that peers learn of its shared prefixes.
     pub(crate) fn record_prompt(&self, server: ServerId, prompt: &Prompt, is_new: bool) {
         let Some(key) = prompt.affinity_key() else {
             return;
@@ -93,42 +96,45 @@
                 server,
                 shared: prompt.shared.to_vec(),
             };
-            inner.reads.note(key, read, is_new, server, clock::now_ms());
+            inner
+                .prefixes
+                .record(key, read, is_new, server, clock::now_ms());
         }
     }
 
-    /// Time from a round of so many packets to the next, in milliseconds.
+    /// Returns the interval after a round of `packets` packets, in milliseconds.
     fn interval_ms(&self, packets: usize) -> u64 {
         let inner = self.inner.lock();
-        interval_ms(packets, inner.place.cpus(), inner.collects())
+        interval_ms(packets, inner.placement.cpus(), inner.is_collector())
     }
 
-    /// The messages of a round.
-    fn round(&self, core: &Core) -> Vec<Outgoing> {
+    /// Returns the messages of the next round.
+    fn messages(&self, core: &Core) -> Vec<Outgoing> {
         let mut inner = self.inner.lock();
         let now = clock::now_ms();
-        inner.reads.forget(now);
-        let own = own(core);
-        inner.number = inner.number.wrapping_add(1);
-        let number = inner.number;
-        inner.aggregate.record_own(number, own.clone());
-        let mut round = inner.own_messages(self.origin, number, own, now);
-        if inner.collects() {
-            round.extend(inner.sums(self.origin, now));
+        inner.prefixes.expire(now);
+        let state = local_state(core);
+        inner.sequence = inner.sequence.wrapping_add(1);
+        let sequence = inner.sequence;
+        inner.aggregate.record_own(sequence, state.clone());
+        let mut messages = inner.own_messages(self.origin, sequence, state, now);
+        if inner.is_collector() {
+            messages.extend(inner.sum_messages(self.origin, now));
         }
         drop(inner);
         let (suspects, leaving) = (
             core.quarantine.updates(),
             core.registry.instances.announcements(),
         );
-        for (beat, _) in &mut round {
+        for (beat, _) in &mut messages {
             beat.suspects.clone_from(&suspects);
             beat.leaving.clone_from(&leaving);
         }
-        round
+        messages
     }
 
-    fn hear(&self, core: &Core, beat: &Beat, from: SocketAddr) {
+    /// Merges a peer's message and applies what it changes.
+    fn receive(&self, core: &Core, beat: &Beat, from: SocketAddr) {
         if beat.origin == self.origin {
             return;
         }
@@ -137,14 +143,14 @@
         let now = clock::now_ms();
         let mut inner = self.inner.lock();
         let is_known = inner.aggregate.knows(beat.origin);
-        if !inner.take(beat, from, now) {
+        if !inner.receive(beat, from, now) {
             return;
         }
-        inner.is_changed = true;
+        inner.is_dirty = true;
         if !is_known {
             log!(core.logger, Event::PeerUp, "peer" => beat.origin.0, "address" => from.to_string());
         }
-        inner.count_if_due(core, now);
+        inner.apply_if_due(core, now);
         drop(inner);
         for read in &beat.reads {
             if let Some(backend) = core.registry.get_by_id(read.server) {
@@ -153,15 +159,15 @@
         }
     }
 
-    /// Stops counting what peers told that are silent.
+    /// Removes the state of peers that have been silent for too long.
     fn expire(&self, core: &Core) {
         let now = clock::now_ms();
         let mut inner = self.inner.lock();
         for origin in inner.aggregate.expire(now) {
-            inner.is_changed = true;
+            inner.is_dirty = true;
             log!(core.logger, Event::PeerDown, "peer" => origin.0);
         }
-        inner.forget();
-        inner.count_if_due(core, now);
+        inner.expire();
+        inner.apply_if_due(core, now);
     }
 }
--- a/crates/gateway/src/exchange/inner.rs
+++ b/crates/gateway/src/exchange/inner.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of its peers, and the messages that it makes of it.
+//! State received from peers, and the messages derived from it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,217 +9,223 @@
 use mulberryyoke_model::Incarnation;
 use mulberryyoke_wire::beat::{Beat, Scope};
 
+use super::fleet_source::FleetSource;
 use super::peers::{Peer, Peers};
-use super::reads::Reads;
-use super::upstream::Upstream;
+use super::prefix_queue::PrefixQueue;
 use crate::core::Core;
 
-/// Least time between two additions of all that was heard, in milliseconds: with few
-/// gateways what one tells counts at once, and with many each costs a bounded part of the
-/// processor.
-const COUNT_MS: u64 = 5;
+/// Minimum interval at which received state is applied to the servers, in milliseconds. Bounds
+/// the processor time spent on it in large fleets.
+const APPLY_INTERVAL_MS: u64 = 5;
 
-/// A message and where it goes.
+/// A message and its destinations.
 pub(super) type Outgoing = (Beat, Vec<SocketAddr>);
 
-/// What a gateway knows of its peers, and what it has to tell them.
+/// Peers, their state, and the queue of prefixes to send.
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) name: String,
-    pub(super) place: Placement,
+    pub(super) placement: Placement,
     pub(super) peers: Peers,
-    /// Where larger gateways of the zone take connections that are handed on; found when peers
-    /// change, as each connection and answer of a node that is behind asks for it.
-    pub(super) larger: Vec<SocketAddr>,
+    /// Addresses at which larger gateways of the zone accept handed-off connections. Cached,
+    /// because an overloaded node needs them for each connection and response.
+    pub(super) handoff_targets: Vec<SocketAddr>,
     pub(super) aggregate: Aggregate,
-    pub(super) reads: Reads,
-    upstream: Upstream,
-    /// Gateways of the zone that want the fleet's sum.
-    wanting: HashMap<Incarnation, SocketAddr>,
-    /// Collectors of other zones, as they were heard.
-    collectors: HashMap<Incarnation, SocketAddr>,
-    pub(super) number: u32,
-    /// When what was heard was last added up, in milliseconds of this process's clock.
-    counted_ms: u64,
-    pub(super) is_changed: bool,
-    is_alone: bool,
+    pub(super) prefixes: PrefixQueue,
+    fleet_source: FleetSource,
+    /// Gateways of the zone that request the fleet sum from this one.
+    subscribers: HashMap<Incarnation, SocketAddr>,
+    /// Collectors of other zones from which messages were received.
+    remote_collectors: HashMap<Incarnation, SocketAddr>,
+    pub(super) sequence: u32,
+    /// When received state was last applied, in milliseconds of the boot clock.
+    applied_ms: u64,
+    /// Whether received state has changed since then.
+    pub(super) is_dirty: bool,
+    /// Whether peers are registered but none has been heard from.
+    is_isolated: bool,
 }
 
 impl Inner {
-    /// That of a gateway which has heard of nobody.
-    pub(super) fn new(origin: Incarnation, name: &str, place: Placement) -> Self {
+    pub(super) fn new(origin: Incarnation, name: &str, placement: Placement) -> Self {
         Self {
             name: name.to_owned(),
-            aggregate: Aggregate::new(origin, &place.zone),
-            place,
+            aggregate: Aggregate::new(origin, &placement.zone),
+            placement,
             peers: Peers::default(),
-            larger: Vec::new(),
-            reads: Reads::default(),
-            upstream: Upstream::default(),
-            wanting: HashMap::new(),
-            collectors: HashMap::new(),
-            number: 0,
-            counted_ms: 0,
-            is_changed: false,
-            is_alone: false,
+            handoff_targets: Vec::new(),
+            prefixes: PrefixQueue::default(),
+            fleet_source: FleetSource::default(),
+            subscribers: HashMap::new(),
+            remote_collectors: HashMap::new(),
+            sequence: 0,
+            applied_ms: 0,
+            is_dirty: false,
+            is_isolated: false,
         }
     }
 
     pub(super) fn set_peer(&mut self, name: &str, peer: Option<Peer>) {
         self.peers.set(name, peer);
-        self.larger = self.peers.larger(&self.place);
+        self.handoff_targets = self.peers.handoff_targets(&self.placement);
     }
 
     pub(super) fn set_handoff(&mut self, name: &str, address: Option<SocketAddr>) {
         self.peers.set_handoff(name, address);
-        self.larger = self.peers.larger(&self.place);
+        self.handoff_targets = self.peers.handoff_targets(&self.placement);
     }
 
-    /// Whether this gateway adds up what those of its zone have: as one of the zone's
-    /// collectors, or because others found none of them.
-    pub(super) fn collects(&self) -> bool {
-        let own = (self.name.as_str(), &self.place);
+    /// Returns whether this gateway aggregates the state of its zone: as one of the zone's
+    /// collectors, or because other gateways could not reach those.
+    pub(super) fn is_collector(&self) -> bool {
+        let own = (self.name.as_str(), &self.placement);
         self.aggregate.is_collecting() || self.peers.is_collector(own)
     }
 
-    /// Where the collectors of the zone take messages, this gateway left out, and those asked
-    /// in place of the ones that are passed over.
-    fn collectors_of_zone(&self, passed: usize) -> Vec<SocketAddr> {
-        let own = (self.name.as_str(), &self.place);
-        self.peers.collectors(own, passed)
+    /// Returns the addresses of the zone's collectors other than this gateway, followed by their
+    /// replacements if `skipped` gateways do not respond.
+    fn zone_collectors(&self, skipped: usize) -> Vec<SocketAddr> {
+        let own = (self.name.as_str(), &self.placement);
+        self.peers.collectors(own, skipped)
     }
 
-    /// Where those of the other zones take them: as they are known, and as they were heard.
-    pub(super) fn zones(&self) -> Vec<SocketAddr> {
-        let mut zones = self.peers.collectors_elsewhere(&self.place.zone);
-        zones.extend(self.collectors.values());
-        zones.sort_unstable();
-        zones.dedup();
-        zones
+    /// Returns the addresses of other zones' collectors, both registered and heard from.
+    pub(super) fn remote_collectors(&self) -> Vec<SocketAddr> {
+        let mut addresses = self.peers.remote_collectors(&self.placement.zone);
+        addresses.extend(self.remote_collectors.values());
+        addresses.sort_unstable();
+        addresses.dedup();
+        addresses
     }
 
-    /// What this gateway tells the collectors of its zone.
+    /// Returns this gateway's messages to the collectors of its zone.
     pub(super) fn own_messages(
         &mut self,
         origin: Incarnation,
-        number: u32,
+        sequence: u32,
         state: State,
         now: u64,
     ) -> Vec<Outgoing> {
-        let reads = self.reads.take_own();
-        let collects = self.collects();
+        let prefixes = self.prefixes.take_own();
+        let is_collector = self.is_collector();
         let sum = Sum {
             gateways: 1,
             members: Vec::new(),
             state,
         };
         let node = name_hash(&self.name);
-        let from = MessageId {
-            origin,
-            sequence: number,
+        let from = MessageId { origin, sequence };
+        let skipped = if is_collector {
+            0
+        } else {
+            self.fleet_source.skipped()
         };
-        let passed = if collects { 0 } else { self.upstream.passed() };
-        let to = self.collectors_of_zone(passed);
-        if !collects {
-            self.upstream.choose(&to, now);
+        let to = self.zone_collectors(skipped);
+        if !is_collector {
+            self.fleet_source.update(&to, now);
         }
         let messages = to.into_iter().map(|address| {
-            let wants_fleet = !collects && self.upstream.is_asked(address, now);
+            let wants_fleet = !is_collector && self.fleet_source.is_requested(address, now);
             let scope = Scope::Node { node, wants_fleet };
-            (Beat::new(from, scope, &sum, reads.clone()), vec![address])
+            (
+                Beat::new(from, scope, &sum, prefixes.clone()),
+                vec![address],
+            )
         });
         messages.collect()
     }
 
-    /// What this gateway tells other zones and the gateways of its own.
-    pub(super) fn sums(&mut self, origin: Incarnation, now: u64) -> Vec<Outgoing> {
-        let mut sums = Vec::new();
-        let zone_reads = self.reads.take_zone();
-        let fleet_reads = self.reads.take_fleet();
-        let zones = self.zones();
-        if !zones.is_empty() {
+    /// Returns the zone sum for other zones' collectors and the fleet sum for the subscribers.
+    pub(super) fn sum_messages(&mut self, origin: Incarnation, now: u64) -> Vec<Outgoing> {
+        let mut messages = Vec::new();
+        let zone_prefixes = self.prefixes.take_zone();
+        let fleet_prefixes = self.prefixes.take_fleet();
+        let collectors = self.remote_collectors();
+        if !collectors.is_empty() {
             let scope = Scope::Zone {
-                zone: name_hash(&self.place.zone),
+                zone: name_hash(&self.placement.zone),
             };
-            let from = self.next(origin);
+            let from = self.next_id(origin);
             let sum = self.aggregate.zone_sum();
-            sums.push((Beat::new(from, scope, &sum, zone_reads), zones));
+            messages.push((Beat::new(from, scope, &sum, zone_prefixes), collectors));
         }
-        if !self.wanting.is_empty() {
-            let from = self.next(origin);
+        if !self.subscribers.is_empty() {
+            let from = self.next_id(origin);
             let sum = self.aggregate.fleet_sum(now);
-            let to = self.wanting.values().copied().collect();
-            sums.push((Beat::new(from, Scope::Fleet, &sum, fleet_reads), to));
+            let to = self.subscribers.values().copied().collect();
+            messages.push((Beat::new(from, Scope::Fleet, &sum, fleet_prefixes), to));
         }
-        sums
+        messages
     }
 
-    fn next(&mut self, origin: Incarnation) -> MessageId {
-        self.number = self.number.wrapping_add(1);
+    fn next_id(&mut self, origin: Incarnation) -> MessageId {
+        self.sequence = self.sequence.wrapping_add(1);
         MessageId {
             origin,
-            sequence: self.number,
+            sequence: self.sequence,
         }
     }
 
-    /// Takes in a message; `false` if a later one came before it.
-    pub(super) fn take(&mut self, beat: &Beat, from: SocketAddr, now: u64) -> bool {
+    /// Merges a message; returns `false` if a later one was received before it.
+    pub(super) fn receive(&mut self, beat: &Beat, from: SocketAddr, now: u64) -> bool {
         let sum = beat.sum();
         match beat.scope {
             Scope::Node { node, wants_fleet } => {
-                self.reads.pass(&beat.reads, true, now);
+                self.prefixes.forward(&beat.reads, true, now);
                 if wants_fleet {
-                    self.wanting.insert(beat.origin, from);
+                    self.subscribers.insert(beat.origin, from);
                 } else {
-                    self.wanting.remove(&beat.origin);
+                    self.subscribers.remove(&beat.origin);
                 }
                 self.aggregate
                     .receive_gateway(node, beat.member(), sum.state, now)
             }
             Scope::Zone { zone } => {
-                self.reads.pass(&beat.reads, false, now);
-                self.collectors.insert(beat.origin, from);
+                self.prefixes.forward(&beat.reads, false, now);
+                self.remote_collectors.insert(beat.origin, from);
                 self.aggregate.receive_zone(zone, beat.member(), sum, now)
             }
             Scope::Fleet => {
-                let is_collector = self.collectors_of_zone(0).contains(&from);
-                self.upstream.hear(from, is_collector, now);
+                let is_collector = self.zone_collectors(0).contains(&from);
+                self.fleet_source.receive(from, is_collector, now);
                 self.aggregate.receive_fleet(beat.member(), sum, now)
             }
         }
     }
 
-    /// Forgets where lives take messages that are not heard any more.
-    pub(super) fn forget(&mut self) {
+    /// Removes the addresses of instances whose state has expired.
+    pub(super) fn expire(&mut self) {
         let aggregate = &self.aggregate;
-        self.wanting.retain(|origin, _| aggregate.knows(*origin));
-        self.collectors.retain(|origin, _| aggregate.knows(*origin));
-        // An estimate follows what this gateway itself has.
-        self.is_changed |= !aggregate.has_peers() && self.peers.len() > 0;
+        self.subscribers
+            .retain(|origin, _| aggregate.knows(*origin));
+        self.remote_collectors
+            .retain(|origin, _| aggregate.knows(*origin));
+        // Without messages, the peers' load is extrapolated from local state, which changes.
+        self.is_dirty |= !aggregate.has_peers() && self.peers.len() > 0;
     }
 
-    /// Adds up what was heard, unless that was done just now or nothing has changed.
-    pub(super) fn count_if_due(&mut self, core: &Core, now: u64) {
-        if self.is_changed && now.saturating_sub(self.counted_ms) >= COUNT_MS {
-            self.is_changed = false;
-            self.counted_ms = now;
-            self.count(core, now);
+    /// Applies received state to the servers, if it has changed and the interval has elapsed.
+    pub(super) fn apply_if_due(&mut self, core: &Core, now: u64) {
+        if self.is_dirty && now.saturating_sub(self.applied_ms) >= APPLY_INTERVAL_MS {
+            self.is_dirty = false;
+            self.applied_ms = now;
+            self.apply(core, now);
         }
     }
 
-    fn count(&mut self, core: &Core, now: u64) {
-        let told = self.aggregate.others(now);
-        let is_alone = told.is_none() && self.peers.len() > 0;
-        if is_alone != self.is_alone {
-            self.is_alone = is_alone;
-            log!(core.logger, Event::Alone, "alone" => is_alone, "peers" => self.peers.len());
+    fn apply(&mut self, core: &Core, now: u64) {
+        let received = self.aggregate.others(now);
+        let is_isolated = received.is_none() && self.peers.len() > 0;
+        if is_isolated != self.is_isolated {
+            self.is_isolated = is_isolated;
+            log!(core.logger, Event::Alone, "alone" => is_isolated, "peers" => self.peers.len());
         }
-        let used = core.registry.subset();
-        let others = told.unwrap_or_else(|| {
+        let backends = core.registry.subset();
+        let others = received.unwrap_or_else(|| {
             let peers = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
-            own(core).extrapolate(peers, &core.registry.pool_subsets())
+            local_state(core).extrapolate(peers, &core.registry.pool_subsets())
         });
-        for backend in &used {
+        for backend in &backends {
             let load = others.loads.get(&backend.server.id);
             backend.engine.lock().others = load.copied().unwrap_or_default();
         }
@@ -227,10 +233,10 @@
     }
 }
 
-/// What this gateway has at the servers, and what customers asked of it and were given.
-pub(super) fn own(core: &Core) -> State {
-    let used = core.registry.subset();
-    let loads = used.iter().filter_map(|backend| {
+/// Returns this gateway's load on the servers and its customers' usage.
+pub(super) fn local_state(core: &Core) -> State {
+    let backends = core.registry.subset();
+    let loads = backends.iter().filter_map(|backend| {
         let load = backend.engine.lock().own;
         (load != Load::default()).then_some((backend.server.id, load))
     });
--- a/crates/gateway/src/exchange/peers.rs
+++ b/crates/gateway/src/exchange/peers.rs
@@ -1,4 +1,4 @@
-//! The gateways that are registered.
+//! Registered gateways and the roles derived from their registrations.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,48 +8,45 @@
 use mulberryyoke_decide::quarantine::arbiter;
 use mulberryyoke_model::Digest;
 
-/// Gateways that ask the key-value service: any two may be gone or cut off.
+/// Number of gateways that watch the key-value service; tolerates the failure of any two.
 const WATCHERS: usize = 3;
 
-/// Where a gateway takes messages, and what it runs on.
+/// A gateway's registration: the address at which it receives messages, and its placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
-    pub(crate) place: Placement,
+    pub(crate) placement: Placement,
 }
 
 impl Peer {
-    /// Reads a registration: address, thousandths of a processor, and zone. One that has the
-    /// address alone is of a gateway which takes no messages of this version's form.
+    /// Parses `ADDRESS MILLICPUS ZONE`. Earlier releases, which do not understand this release's
+    /// messages, register the address alone.
     pub(crate) fn parse(value: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(value).ok()?;
         let mut fields = text.splitn(3, ' ');
         let address = fields.next()?.parse().ok()?;
-        let thousandths = fields.next().and_then(|field| field.parse().ok());
-        let place = Placement {
+        let millicpus = fields.next().and_then(|field| field.parse().ok());
+        let placement = Placement {
             zone: fields.next().unwrap_or_default().to_owned(),
-            millicpus: thousandths.unwrap_or(0),
+            millicpus: millicpus.unwrap_or(0),
         };
-        Some(Self { address, place })
+        Some(Self { address, placement })
     }
 
-    /// Writes it as [`Peer::parse`] reads it.
+    /// Formats the registration for [`Peer::parse`].
     pub(crate) fn encode(&self) -> String {
-        let Placement {
-            zone,
-            millicpus: thousandths,
-        } = &self.place;
-        format!("{} {thousandths} {zone}", self.address)
+        let Placement { zone, millicpus } = &self.placement;
+        format!("{} {millicpus} {zone}", self.address)
     }
 }
 
-/// The gateways that are registered, but for this one.
+/// Registered gateways other than this one.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     by_name: HashMap<String, Peer>,
-    /// Where connections are taken that are handed on, by name.
+    /// Addresses that accept handed-off connections, by name.
     handoffs: HashMap<String, SocketAddr>,
-    /// Names by zone, those that collect first.
+    /// Names by zone, collectors first.
     zones: BTreeMap<String, Vec<String>>,
 }
 
@@ -62,8 +59,8 @@
         self.zones.clear();
         let mut zones: BTreeMap<&str, Vec<(&str, &Placement)>> = BTreeMap::new();
         for (name, peer) in &self.by_name {
-            let of_zone = zones.entry(&peer.place.zone).or_default();
-            of_zone.push((name, &peer.place));
+            let zone_peers = zones.entry(&peer.placement.zone).or_default();
+            zone_peers.push((name, &peer.placement));
         }
         for (zone, peers) in zones {
             let names = rank_by_cpu(peers.into_iter());
@@ -79,14 +76,14 @@
         };
     }
 
-    /// Where gateways of a zone take connections from one that is behind with its work.
-    pub(super) fn larger(&self, own: &Placement) -> Vec<SocketAddr> {
+    /// Returns the addresses at which larger gateways of the zone accept handed-off connections.
+    pub(super) fn handoff_targets(&self, own: &Placement) -> Vec<SocketAddr> {
         let names = self.zones.get(&own.zone).into_iter().flatten();
         let known = names.filter_map(|name| {
             let address = *self.handoffs.get(name)?;
             Some((
                 name_hash(name),
-                (self.by_name.get(name)?.place.millicpus, address),
+                (self.by_name.get(name)?.placement.millicpus, address),
             ))
         });
         let known: HashMap<u64, (u32, SocketAddr)> = known.collect();
@@ -100,69 +97,69 @@
         self.by_name.len()
     }
 
-    /// Whether a gateway, this one, is among the collectors of its zone.
-    pub(super) fn is_collector(&self, (name, place): (&str, &Placement)) -> bool {
-        let ranked = self.ranked((name, place));
+    /// Returns whether this gateway, given by name and placement, is a collector of its zone.
+    pub(super) fn is_collector(&self, (name, placement): (&str, &Placement)) -> bool {
+        let ranked = self.ranked((name, placement));
         ranked
             .into_iter()
             .take(COLLECTORS_PER_ZONE)
-            .any(|of| of == name)
+            .any(|collector| collector == name)
     }
 
-    /// Where the collectors of a gateway's zone take messages, that gateway left out. If some
-    /// are passed over, as they did not answer, those after them are named as well.
-    pub(super) fn collectors(&self, own: (&str, &Placement), passed: usize) -> Vec<SocketAddr> {
+    /// Returns the addresses of the collectors of this gateway's zone other than itself. If
+    /// `skipped` gateways did not respond, the next ones are included.
+    pub(super) fn collectors(&self, own: (&str, &Placement), skipped: usize) -> Vec<SocketAddr> {
         let ranked = self.ranked(own);
         let first = ranked.iter().take(COLLECTORS_PER_ZONE);
-        let after = match passed % ranked.len() {
+        let replacements = match skipped % ranked.len() {
             0 => &[],
-            passed => &ranked[passed..ranked.len().min(passed + COLLECTORS_PER_ZONE)],
+            skipped => &ranked[skipped..ranked.len().min(skipped + COLLECTORS_PER_ZONE)],
         };
-        let named = first
-            .chain(after)
+        let peers = first
+            .chain(replacements)
             .filter_map(|name| self.by_name.get(*name));
-        let mut addresses: Vec<SocketAddr> = named.map(|peer| peer.address).collect();
+        let mut addresses: Vec<SocketAddr> = peers.map(|peer| peer.address).collect();
         addresses.dedup();
         addresses
     }
 
-    /// Where the collectors of all zones but one take messages.
-    pub(super) fn collectors_elsewhere(&self, zone: &str) -> Vec<SocketAddr> {
-        let zones = self.zones.iter().filter(|(of, _)| *of != zone);
+    /// Returns the addresses of the collectors of all zones other than `zone`.
+    pub(super) fn remote_collectors(&self, zone: &str) -> Vec<SocketAddr> {
+        let zones = self.zones.iter().filter(|(name, _)| *name != zone);
         let names = zones.flat_map(|(_, names)| names.iter().take(COLLECTORS_PER_ZONE));
         let peers = names.filter_map(|name| self.by_name.get(name));
         peers.map(|peer| peer.address).collect()
     }
 
-    /// Whether a gateway, this one, is one of the few that ask the key-value service, and
-    /// where the others of these are.
-    pub(super) fn watchers(&self, name: &str, place: &Placement) -> (bool, Vec<SocketAddr>) {
+    /// Returns whether this gateway watches the key-value service, and the addresses of the other
+    /// watchers.
+    pub(super) fn watchers(&self, name: &str, placement: &Placement) -> (bool, Vec<SocketAddr>) {
         let all = self.by_name.iter();
-        let all = all.map(|(name, peer)| (name.as_str(), &peer.place));
-        let mut ranked = rank_by_cpu(all.chain([(name, place)]));
+        let all = all.map(|(name, peer)| (name.as_str(), &peer.placement));
+        let mut ranked = rank_by_cpu(all.chain([(name, placement)]));
         ranked.truncate(WATCHERS);
         let is_watcher = ranked.contains(&name);
         let peers = ranked.into_iter().filter_map(|name| self.by_name.get(name));
         let mut peers: Vec<SocketAddr> = peers.map(|peer| peer.address).collect();
-        // The others spread over the watchers.
+        // Rotated by the name's hash, so that other gateways spread over the watchers.
         let first = usize::try_from(name_hash(name) % WATCHERS as u64).unwrap_or(0);
         let first = first.min(peers.len());
         peers.rotate_left(first);
         (is_watcher, peers)
     }
 
-    /// Where the gateway takes messages that decides about a request; `None` if that is this one.
+    /// Returns the address of a request's arbiter; `None` if it is this gateway.
     pub(super) fn arbiter(&self, digest: Digest, own: &str) -> Option<SocketAddr> {
         let names = self.by_name.keys().map(String::as_str);
         let arbiter = arbiter(digest, names.chain([own]))?;
         self.by_name.get(arbiter).map(|peer| peer.address)
     }
 
-    /// The names of a gateway's zone, its own included, those that collect first.
-    fn ranked<'a>(&'a self, (name, place): (&'a str, &'a Placement)) -> Vec<&'a str> {
-        let names = self.zones.get(&place.zone);
+    /// Returns the names of the gateways of this one's zone, itself included, collectors first.
+    fn ranked<'a>(&'a self, (name, placement): (&'a str, &'a Placement)) -> Vec<&'a str> {
+        let names = self.zones.get(&placement.zone);
         let names = names.into_iter().flatten().map(String::as_str);
-        let peers = names.filter_map(|name| Some((name, &self.by_name.get(name)?.place)));
-        rank_by_cpu(peers.chain([(name, place)]))
+        let peers = names.filter_map(|name| Some((name, &self.by_name.get(name)?.placement)));
+        rank_by_cpu(peers.chain([(name, placement)]))
     }
 }
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -1,4 +1,4 @@
-//! Sending and taking beats.
+//! Exchange loop: sends this gateway's messages and receives those of peers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use crate::clock;
 use crate::core::Core;
 
-/// Time between looks at what is due, in milliseconds: the least time between two rounds.
+/// Timer resolution, and the minimum interval between two rounds, in milliseconds.
 const TICK_MS: u64 = 20;
 
-/// Tells peers and hears them until the gateway ends.
+/// Sends and receives messages until the gateway terminates.
 pub(crate) async fn run(core: Arc<Core>, socket: UdpSocket) {
     let mut buffer = vec![0; 2 * beat::MAX_BYTES];
     let mut assembler = Assembler::default();
@@ -26,32 +26,31 @@
         tokio::select! {
             () = core.shutdown.terminate.cancelled() => return,
             _ = ticks.tick() => {
-                // Those that wait for the boot clock learn here that the machine has woken.
+                // Detects a suspension and wakes tasks that wait for the boot clock.
                 clock::last_resume_ms();
                 core.exchange.expire(&core);
                 core.quarantine.expire();
-                settle(&core);
+                rebalance(&core);
                 let now = Instant::now();
                 if now >= due {
-                    let packets = tell(&core, &socket).await;
-                    // A timer is late by a millisecond at least.
+                    let packets = send_round(&core, &socket).await;
+                    // Timers fire at least one millisecond late.
                     due = clock::after(now, core.exchange.interval_ms(packets) - 1);
                 }
             }
             received = socket.recv_from(&mut buffer) => {
-                hear(&core, &mut assembler, &buffer, &received);
+                receive(&core, &mut assembler, &buffer, &received);
             }
         }
     }
 }
 
-/// Finds the level to which the servers' capacity is shared out, and the retries
-/// that this node may make.
-fn settle(core: &Core) {
+/// Updates the customers' shares of the capacity, and this node's retry budgets.
+fn rebalance(core: &Core) {
     let plan = core.view.plan();
     let capacity = plan.and_then(|plan| plan.limits().tokens_per_s);
     let capacity = capacity.map_or(f64::INFINITY, f64::from);
-    // What the others bear is not there to be shared out.
+    // Servers that do not accept requests contribute no capacity.
     let models = core.registry.model_stats();
     core.shares.lock().rebalance(
         capacity * models.accepting_ratio,
@@ -59,15 +58,15 @@
         clock::now_ms(),
     );
     let settings = core.settings.load();
-    let nodes = core.exchange.gateway_count();
+    let gateways = core.exchange.gateway_count();
     core.retry_budgets
-        .set_limits(settings.retry_ratio, settings.retry_slack, nodes);
+        .set_limits(settings.retry_ratio, settings.retry_slack, gateways);
 }
 
-/// Sends a round of messages, and returns the number of packets.
-async fn tell(core: &Core, socket: &UdpSocket) -> usize {
+/// Sends a round of messages; returns the number of packets.
+async fn send_round(core: &Core, socket: &UdpSocket) -> usize {
     let mut sent = 0;
-    for (mut beat, addresses) in core.exchange.round(core) {
+    for (mut beat, addresses) in core.exchange.messages(core) {
         let packets = beat.encode();
         sent += packets.len() * addresses.len();
         for address in addresses {
@@ -83,21 +82,21 @@
     sent
 }
 
-fn hear(
+fn receive(
     core: &Core,
     assembler: &mut Assembler,
     buffer: &[u8],
     received: &io::Result<(usize, SocketAddr)>,
 ) {
-    // An error tells that an earlier datagram met no listener.
+    // An error reports that an earlier datagram was sent to a closed port.
     let Ok((length, from)) = received else {
         return;
     };
     match assembler.take(&buffer[..*length]) {
-        Ok(Some(beat)) => core.exchange.hear(core, &beat, *from),
+        Ok(Some(beat)) => core.exchange.receive(core, &beat, *from),
         Ok(None) => {}
-        Err(unreadable) => {
-            metrics::counter!("beats_unreadable_total", "why" => unreadable.word()).increment(1);
+        Err(error) => {
+            metrics::counter!("beats_unreadable_total", "why" => error.word()).increment(1);
         }
     }
 }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -94,7 +94,7 @@
             (settings.retry_ratio, settings.retry_slack)
         };
         core.retry_budgets.set_limits(ratio, slack, 1);
-        tokio::spawn(exchange::announce(Arc::clone(&core)));
+        tokio::spawn(exchange::register(Arc::clone(&core)));
         tokio::spawn(strain::measure(Arc::clone(&core)));
         tokio::spawn(exchange::run(Arc::clone(&core), beats));
         tokio::spawn(follow::run(Arc::clone(&core)));
--- a/crates/gateway/src/handoff.rs
+++ b/crates/gateway/src/handoff.rs
@@ -28,7 +28,7 @@
 
 /// A connection to a gateway that takes over one of a caller; `None` if there is none.
 pub(crate) async fn open(core: &Core) -> Option<TcpStream> {
-    for target in core.exchange.larger() {
+    for target in core.exchange.handoff_targets() {
         match timeout(AGREE, ask(core, target)).await {
             Ok(Ok(stream)) => {
                 metrics::counter!("handed_on_total").increment(1);
--- a/crates/gateway/src/listen/connection.rs
+++ b/crates/gateway/src/listen/connection.rs
@@ -112,7 +112,7 @@
     ];
     let is_refusal = refusals.contains(&status);
     let is_leaving = core.shutdown.drain.is_cancelled();
-    let is_handed_on = core.strain.is_behind() && core.exchange.has_larger();
+    let is_handed_on = core.strain.is_behind() && core.exchange.has_handoff_target();
     is_leaving || is_handed_on || core.strain.sends_away() || (is_refusal && is_crowded(core))
 }
 
--- a/crates/gateway/src/listen/port.rs
+++ b/crates/gateway/src/listen/port.rs
@@ -103,7 +103,7 @@
 async fn overloaded(core: &Core, way: Way) {
     loop {
         core.strain.wait(true).await;
-        if way == Way::HandedOn || !core.exchange.has_larger() {
+        if way == Way::HandedOn || !core.exchange.has_handoff_target() {
             return;
         }
         sleep(LOOK).await;
