--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! What every task of a gateway shares.
+//! State shared by the tasks of a gateway.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,15 +14,15 @@
 
 use crate::exchange::Exchange;
 use crate::mirror::Mirror;
+use crate::overload::Overload;
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
 use crate::registry::Registry;
 use crate::retry_budgets::RetryBudgets;
 use crate::shutdown::Shutdown;
-use crate::strain::Strain;
 use crate::view::View;
 
-/// The state of a gateway.
+/// State of a gateway.
 pub(crate) struct Core {
     pub(crate) settings: ArcSwap<settings::Gateway>,
     pub(crate) protocol: Arc<dyn Protocol>,
@@ -35,11 +35,11 @@
     pub(crate) shares: Mutex<Shares>,
     pub(crate) quarantine: Quarantine,
     pub(crate) retry_budgets: RetryBudgets,
-    /// Callers' open connections.
+    /// Number of callers' open connections.
     pub(crate) connections: AtomicU32,
-    pub(crate) strain: Strain,
-    /// Connections of callers that others serve.
-    pub(crate) handed_on: TaskTracker,
+    pub(crate) overload: Overload,
+    /// Tasks that forward handed-off connections.
+    pub(crate) handoffs: TaskTracker,
     pub(crate) shutdown: Shutdown,
 }
 
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A running gateway.
+//! Start, reload and shutdown of a gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,25 +20,24 @@
 use crate::error::Error;
 use crate::exchange::{self, Exchange};
 use crate::mirror::Mirror;
+use crate::overload::Overload;
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
 use crate::registry::Registry;
 use crate::retry_budgets::RetryBudgets;
 use crate::shutdown::Shutdown;
-use crate::strain::Strain;
 use crate::view::View;
-use crate::{control, follow, listen, ready, strain};
+use crate::{control, follow, listen, overload, readiness};
 
-/// Time after the node said that it leaves in which requests are still taken:
-/// callers are sent to it until two questions for readiness, a second apart, have
-/// failed. Later ones could not end in time.
-const TAKE: Duration = Duration::from_millis(2_500);
+/// Time after the start of a shutdown in which requests are still accepted: the balancer keeps
+/// sending callers until two readiness probes, a second apart, have failed.
+const DRAIN: Duration = Duration::from_millis(2_500);
 
-/// Time after that in which connections are still accepted, to refuse what comes on them.
-const ACCEPT: Duration = Duration::from_secs(1);
+/// Time after [`DRAIN`] in which connections are still accepted and their requests refused.
+const REFUSE: Duration = Duration::from_secs(1);
 
-/// Time kept of a planned stop for ending the process.
-const END_MS: u64 = 700;
+/// Part of the grace period reserved for terminating the process, in milliseconds.
+const TERMINATION_MS: u64 = 700;
 
 /// A running gateway.
 #[derive(Debug)]
@@ -47,18 +46,18 @@
 }
 
 impl Gateway {
-    /// Starts a gateway. It answers nothing before it knows a configuration.
+    /// Starts a gateway. Requests are refused until a configuration has been loaded.
     ///
     /// # Errors
     ///
-    /// [`Error::Bind`] when a port cannot be had.
+    /// Returns [`Error::Bind`] if it cannot listen on one of its addresses.
     pub async fn spawn(
         settings: settings::Gateway,
         protocol: Arc<dyn Protocol>,
         feed: Arc<dyn Feed>,
         logger: Logger,
     ) -> Result<Self, Error> {
-        ready::install();
+        readiness::install_metrics();
         let callers = bind(settings.callers).await?;
         let health = bind(settings.health).await?;
         let control = bind(settings.control).await?;
@@ -67,10 +66,10 @@
             None => None,
         };
         let address = settings.control;
-        let beats = UdpSocket::bind(address).await;
-        let beats = beats.map_err(|source| Error::Bind { address, source })?;
-        let place = Placement::new(&settings.zone, settings.processors);
-        let exchange = Exchange::new(&settings.name, place);
+        let exchange_socket = UdpSocket::bind(address).await;
+        let exchange_socket = exchange_socket.map_err(|source| Error::Bind { address, source })?;
+        let placement = Placement::new(&settings.zone, settings.processors);
+        let exchange = Exchange::new(&settings.name, placement);
         let registry = Registry::new(&settings.name);
         let core = Arc::new(Core {
             retry_budgets: RetryBudgets::default(),
@@ -85,8 +84,8 @@
             shares: Mutex::default(),
             quarantine: Quarantine::new(),
             connections: AtomicU32::new(0),
-            strain: Strain::default(),
-            handed_on: TaskTracker::new(),
+            overload: Overload::default(),
+            handoffs: TaskTracker::new(),
             shutdown: Shutdown::default(),
         });
         let (ratio, slack) = {
@@ -95,44 +94,56 @@
         };
         core.retry_budgets.set_limits(ratio, slack, 1);
         tokio::spawn(exchange::register(Arc::clone(&core)));
-        tokio::spawn(strain::measure(Arc::clone(&core)));
-        tokio::spawn(exchange::run(Arc::clone(&core), beats));
+        tokio::spawn(overload::monitor(Arc::clone(&core)));
+        tokio::spawn(exchange::run(Arc::clone(&core), exchange_socket));
         tokio::spawn(follow::run(Arc::clone(&core)));
-        tokio::spawn(ready::serve(Arc::clone(&core), health, ready::answer));
-        tokio::spawn(ready::serve(Arc::clone(&core), control, control::answer));
+        tokio::spawn(readiness::serve(
+            Arc::clone(&core),
+            health,
+            readiness::handle,
+        ));
+        tokio::spawn(readiness::serve(
+            Arc::clone(&core),
+            control,
+            control::handle,
+        ));
         tokio::spawn(listen::serve(Arc::clone(&core), callers, handoff));
         log!(core.logger, Event::Ready, "role" => "gateway");
         Ok(Self { core })
     }
 
-    /// Puts changed settings in force. Names and addresses stay as they were until
-    /// the next start.
+    /// Applies changed settings. Names and addresses take effect at the next start.
     pub fn reload(&self, settings: settings::Gateway) {
         let core = &self.core;
-        let before = core.settings.load_full();
-        let needs_restart = before.place() != settings.place();
+        let previous = core.settings.load_full();
+        let needs_restart = previous.place() != settings.place();
         log!(core.logger, Event::Reloaded, "needs_restart" => needs_restart);
-        let settings = settings.at(&before);
+        let settings = settings.at(&previous);
         core.settings.store(Arc::new(settings));
     }
 
-    /// Stops as planned: callers are sent elsewhere, requests that run are
-    /// answered as long as there is time.
+    /// Shuts down gracefully: fails readiness probes, then refuses requests, and terminates once
+    /// running requests have completed or the grace period is over.
     pub async fn stop(self) {
         let shutdown = &self.core.shutdown;
         log!(self.core.logger, Event::Stopping);
         shutdown.drain.cancel();
-        let grace =
-            Duration::from_millis(self.core.settings.load().grace_ms.saturating_sub(END_MS));
-        let closing = async {
-            sleep(TAKE).await;
+        let grace = Duration::from_millis(
+            self.core
+                .settings
+                .load()
+                .grace_ms
+                .saturating_sub(TERMINATION_MS),
+        );
+        let graceful = async {
+            sleep(DRAIN).await;
             shutdown.refuse.cancel();
-            sleep(ACCEPT).await;
+            sleep(REFUSE).await;
             shutdown.close.cancel();
             shutdown.terminate.cancelled().await;
         };
         tokio::select! {
-            () = closing => {}
+            () = graceful => {}
             () = sleep(grace) => shutdown.terminate.cancel(),
         }
         log!(self.core.logger, Event::Stopped);
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/inbound.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: route, customer, bounds and body.
+//! Receiving a caller's request: route, customer, limits and body.
 
 use std::sync::{Arc, OnceLock};
 
@@ -20,41 +20,41 @@
 use crate::refusal::Refusal;
 use crate::{clock, header};
 
-/// Age of the configuration beyond which it is not enough to deny a request, in
-/// milliseconds: a newer one may allow it.
-const DENY_MS: u64 = 2_500;
+/// Configuration age above which a request is not denied on its basis, in milliseconds: a newer
+/// configuration may allow the request.
+const MAX_DENY_AGE_MS: u64 = 2_500;
 
-/// A request and what its head says.
-pub(crate) struct Intake {
-    pub(crate) ask: RequestHead,
-    since: Instant,
-    /// The same by the boot clock, in milliseconds.
-    since_ms: u64,
+/// A request whose head has been parsed and whose body has not been read.
+pub(crate) struct Inbound {
+    pub(crate) head: RequestHead,
+    received_at: Instant,
+    /// The same time on the boot clock, in milliseconds.
+    received_ms: u64,
     parts: Parts,
     body: Incoming,
 }
 
-impl Intake {
-    /// Reads a request's head.
-    pub(crate) fn open(core: &Core, request: Request<Incoming>) -> Result<Self, Refusal> {
-        let since = Instant::now();
+impl Inbound {
+    /// Parses a request's head.
+    pub(crate) fn parse(core: &Core, request: Request<Incoming>) -> Result<Self, Refusal> {
+        let received_at = Instant::now();
         let (parts, body) = request.into_parts();
-        let ask = core.protocol.parse_request(&parts);
-        let ask = ask.map_err(|error| {
+        let head = core.protocol.parse_request(&parts);
+        let head = head.map_err(|error| {
             log!(core.logger, Event::Malformed, "error" => error.to_string());
             Refusal::Malformed
         })?;
         Ok(Self {
-            ask,
-            since,
-            since_ms: clock::now_ms(),
+            head,
+            received_at,
+            received_ms: clock::now_ms(),
             parts,
             body,
         })
     }
 
-    /// Finds route and customer, then reads the body.
-    pub(crate) async fn read(mut self, core: &Core) -> Result<Call, Refusal> {
+    /// Determines route and customer, then reads the body.
+    pub(crate) async fn into_call(mut self, core: &Core) -> Result<Call, Refusal> {
         if core.view.predates_suspension() || core.view.is_superseded() {
             return Err(Refusal::NoConfiguration);
         }
@@ -64,24 +64,24 @@
         let pool = route
             .select_pool(rand::rng().random())
             .ok_or(Refusal::NoServer)?;
-        let patience_ms = self.ask.timeout_ms.unwrap_or(u64::MAX);
-        let deadline = self
-            .since_ms
-            .saturating_add(patience_ms.min(route.timeout_ms));
+        let timeout_ms = self.head.timeout_ms.unwrap_or(u64::MAX);
+        let deadline_ms = self
+            .received_ms
+            .saturating_add(timeout_ms.min(route.timeout_ms));
         let body = read_body(self.body, plan.limits().max_body_bytes);
         let body = tokio::select! {
             body = body => body,
-            () = clock::wait_until(deadline) => Err(Refusal::BodyTimeout),
+            () = clock::wait_until(deadline_ms) => Err(Refusal::BodyTimeout),
         }?;
         header::strip_hop_by_hop(&mut self.parts.headers);
         Ok(Call {
-            id: self.ask.id,
+            id: self.head.id,
             pool,
             customer,
-            prompt: self.ask.prompt,
-            resume_after: self.ask.resume_after,
-            received_at: self.since,
-            deadline_ms: deadline,
+            prompt: self.head.prompt,
+            resume_after: self.head.resume_after,
+            received_at: self.received_at,
+            deadline_ms,
             method: self.parts.method,
             path: path(&self.parts.uri),
             headers: self.parts.headers,
@@ -92,10 +92,12 @@
     }
 
     fn route<'a>(&self, core: &Core, plan: &'a Plan) -> Result<&'a Arc<Route>, Refusal> {
-        let named = self.parts.headers.get(HOST);
+        let host_header = self.parts.headers.get(HOST);
         let host = match self.parts.uri.authority() {
             Some(authority) => authority.as_str(),
-            None => named.and_then(|host| host.to_str().ok()).unwrap_or(""),
+            None => host_header
+                .and_then(|host| host.to_str().ok())
+                .unwrap_or(""),
         };
         let route = plan.route(host, self.parts.uri.path());
         route.ok_or_else(|| deny(core, Refusal::NoRoute))
@@ -114,7 +116,7 @@
         if fresh_ms.is_some_and(|fresh_ms| core.view.age_ms() >= fresh_ms) {
             return Err(Refusal::NoConfiguration);
         }
-        let key = self.ask.key.as_deref();
+        let key = self.head.key.as_deref();
         let customer = key.and_then(|key| plan.customer(key));
         match customer {
             Some(customer) => Ok(Some(Arc::clone(customer))),
@@ -123,10 +125,9 @@
     }
 }
 
-/// The refusal of what the configuration does not allow, or, when that is old,
-/// of what a newer one may allow.
+/// Returns `refusal`, or [`Refusal::NoConfiguration`] if the configuration is too old to deny requests.
 fn deny(core: &Core, refusal: Refusal) -> Refusal {
-    if core.view.age_ms() > DENY_MS {
+    if core.view.age_ms() > MAX_DENY_AGE_MS {
         return Refusal::NoConfiguration;
     }
     refusal
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,7 @@
-//! A gateway: a router on an entry VM that talks straight to backend servers.
+//! Gateway: a router on an entry VM that connects directly to backend servers.
 //!
-//! It follows a key-value service for configuration and servers, chooses a server
-//! for each request by what the server is believed to keep and to have waiting,
-//! and passes answers on as they come.
+//! It watches a key-value service for configuration and servers, chooses a server for each request
+//! by estimated prefix cache and queue, and streams responses to the caller.
 
 mod backend;
 mod balance;
@@ -18,18 +17,19 @@
 mod exchange;
 mod failure;
 mod follow;
-mod handle;
+mod gateway;
 mod handoff;
 mod header;
-mod intake;
+mod inbound;
 mod listen;
 mod mirror;
 mod notice;
 mod outcome;
+mod overload;
 pub mod plan;
 pub mod protocol;
 mod quarantine;
-mod ready;
+mod readiness;
 mod refusal;
 mod registry;
 mod response_body;
@@ -37,10 +37,9 @@
 mod server;
 mod shutdown;
 mod socket;
-mod strain;
 mod stream_relay;
 mod view;
 
 pub use self::error::Error;
-pub use self::handle::Gateway;
+pub use self::gateway::Gateway;
 pub use self::server::Server;
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -1,31 +1,31 @@
-//! Callers' connections, from the ports at which they are taken to their ends.
+//! Accepting and serving callers' connections.
 
+mod acceptor;
 mod connection;
-mod port;
-mod way;
+mod origin;
 
 use std::sync::Arc;
 
 use hyper_util::server::graceful::GracefulShutdown;
 use tokio::net::TcpListener;
 
-pub(crate) use self::port::ACCEPT_PAUSE;
-use self::port::take;
-use self::way::Way;
+pub(crate) use self::acceptor::ACCEPT_RETRY_DELAY;
+use self::acceptor::run;
+use self::origin::Origin;
 use crate::core::Core;
 
-/// Takes callers' connections, directly and as others hand them on, until the ports are closed,
-/// then lets the open ones end.
+/// Serves callers' connections, both direct and handed off, until the ports are closed and the open
+/// connections have ended.
 pub(crate) async fn serve(core: Arc<Core>, callers: TcpListener, handoff: Option<TcpListener>) {
-    let shutdown = GracefulShutdown::new();
+    let connections = GracefulShutdown::new();
     tokio::join!(
-        take(&core, &shutdown, Some(callers), Way::Direct),
-        take(&core, &shutdown, handoff, Way::HandedOn),
+        run(&core, &connections, Some(callers), Origin::Direct),
+        run(&core, &connections, handoff, Origin::HandedOff),
     );
     let ended = async {
-        shutdown.shutdown().await;
-        core.handed_on.close();
-        core.handed_on.wait().await;
+        connections.shutdown().await;
+        core.handoffs.close();
+        core.handoffs.wait().await;
     };
     tokio::select! {
         () = core.shutdown.terminate.cancelled() => {}
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether callers should be sent to this node.
+//! Readiness probes and metrics.
 
 use std::convert::Infallible;
 use std::sync::atomic::Ordering;
@@ -20,60 +20,60 @@
 use crate::core::Core;
 use crate::listen;
 
-/// Age of the configuration from which a node is not ready, in milliseconds: a call
-/// to the key-value service has failed by then, and its repetition.
-const FRESH_MS: u64 = 3_600;
+/// Configuration age from which a node is not ready, in milliseconds: a call to the key-value
+/// service and its retry have failed.
+const MAX_AGE_MS: u64 = 3_600;
 
-/// Time since this node itself last reached the key-value service from which it is
-/// not ready, in milliseconds: two renewals of its lease have failed by then.
-const REACH_MS: u64 = 3_600;
+/// Time since the last contact with the key-value service from which a node is not ready, in
+/// milliseconds: two renewals of its lease have failed.
+const MAX_CONTACT_AGE_MS: u64 = 3_600;
 
-/// Upper bounds of the latency histograms, in seconds: from a short answer of a plain
-/// service to the longest time that callers wait.
+/// Upper bounds of the latency histograms' buckets, in seconds.
 const BUCKETS_S: [f64; 10] = [0.02, 0.05, 0.1, 0.15, 0.3, 0.5, 0.8, 1.5, 5.0, 15.0];
 
-static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
+static RECORDER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Begins the recording of metrics, unless it has begun.
-pub(crate) fn install() {
-    handle();
+/// Installs the process-wide metrics recorder, unless it is installed.
+pub(crate) fn install_metrics() {
+    recorder();
 }
 
-/// Every metric of this process.
-pub(crate) fn metrics(core: &Core) -> String {
+/// Renders the metrics of this process.
+pub(crate) fn render_metrics(core: &Core) -> String {
     let age_s = Duration::from_millis(core.view.age_ms()).as_secs_f64();
     metrics::gauge!("configuration_age_seconds").set(age_s);
-    let reach_s = Duration::from_millis(core.view.kv_contact_age_ms()).as_secs_f64();
-    metrics::gauge!("kv_reached_age_seconds").set(reach_s);
+    let contact_age_s = Duration::from_millis(core.view.kv_contact_age_ms()).as_secs_f64();
+    metrics::gauge!("kv_reached_age_seconds").set(contact_age_s);
     metrics::gauge!("callers_connections").set(core.connections.load(Ordering::Relaxed));
     let plan = core.view.plan();
     let version = plan.map_or(0, |plan| plan.version());
-    #[expect(clippy::cast_precision_loss, reason = "a gauge is a floating number")]
+    #[expect(clippy::cast_precision_loss, reason = "gauges are floating-point")]
     metrics::gauge!("configuration_version").set(version as f64);
-    handle().map_or_else(String::new, |handle| {
-        handle.run_upkeep();
-        handle.render()
+    recorder().map_or_else(String::new, |recorder| {
+        recorder.run_upkeep();
+        recorder.render()
     })
 }
 
-fn handle() -> Option<&'static PrometheusHandle> {
-    let handle = HANDLE.get_or_init(|| {
+fn recorder() -> Option<&'static PrometheusHandle> {
+    let recorder = RECORDER.get_or_init(|| {
         let builder = PrometheusBuilder::new().set_buckets(&BUCKETS_S).ok()?;
         builder.install_recorder().ok()
     });
-    handle.as_ref()
+    recorder.as_ref()
 }
 
-/// Whether callers should be sent to this node.
+/// Returns whether the balancer should send callers to this node.
 pub(crate) fn is_ready(core: &Core) -> bool {
     let has_plan = core.view.plan().is_some();
-    let is_fresh = core.view.age_ms() < FRESH_MS && core.view.kv_contact_age_ms() < REACH_MS;
+    let is_fresh =
+        core.view.age_ms() < MAX_AGE_MS && core.view.kv_contact_age_ms() < MAX_CONTACT_AGE_MS;
     let is_fresh = is_fresh && !core.view.predates_suspension();
-    has_plan && is_fresh && !core.strain.is_away() && !core.shutdown.drain.is_cancelled()
+    has_plan && is_fresh && !core.overload.is_backing_off() && !core.shutdown.drain.is_cancelled()
 }
 
-/// Answers one question for readiness.
-pub(crate) async fn answer(
+/// Handles a readiness probe.
+pub(crate) async fn handle(
     core: Arc<Core>,
     _: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -84,11 +84,11 @@
     Ok(response)
 }
 
-/// Serves a port with short answers until the gateway ends.
+/// Serves HTTP on a listener until the gateway terminates.
 pub(crate) async fn serve<F>(
     core: Arc<Core>,
     listener: TcpListener,
-    answer: impl Fn(Arc<Core>, Request<Incoming>) -> F + Copy + Send + 'static,
+    handle: impl Fn(Arc<Core>, Request<Incoming>) -> F + Copy + Send + 'static,
 ) where
     F: Future<Output = Result<Response<Full<Bytes>>, Infallible>> + Send + 'static,
 {
@@ -101,14 +101,14 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log!(core.logger, Event::AcceptFailed, "error" => error.to_string());
-                sleep(listen::ACCEPT_PAUSE).await;
+                sleep(listen::ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let core = Arc::clone(&core);
-        let service = service_fn(move |request| answer(Arc::clone(&core), request));
+        let service = service_fn(move |request| handle(Arc::clone(&core), request));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-        // One who asks and goes is of no concern.
+        // Clients may disconnect at any time.
         tokio::spawn(async move { drop(connection.await) });
     }
 }
