--- a/crates/gateway/tests/gateway/exchange.rs
+++ b/crates/gateway/tests/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other of their load.
+//! Load exchange between gateways.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use crate::fleet::{Node, register};
 use crate::protocol::LONG_PROMPT;
 
-/// Time until a gateway knows what another has at a server; the long prompt lasts longer.
-const KNOWN: Duration = Duration::from_millis(500);
+/// Time for load to reach all gateways; shorter than the long prompt runs.
+const PROPAGATION: Duration = Duration::from_millis(500);
 
-/// Time until collectors that never answer are passed over.
-const PASSED_OVER: Duration = Duration::from_secs(3);
+/// Time until the failover from silent collectors is complete.
+const FAILOVER: Duration = Duration::from_secs(3);
 
-/// Gateways of one zone before one model server that never answers.
-async fn zone(service: &Arc<Service>, nodes: usize) -> (Vec<Node>, Backend) {
+/// Spawns gateways of one zone and a model server that never responds.
+async fn spawn_zone(service: &Arc<Service>, nodes: usize) -> (Vec<Node>, Backend) {
     let backend = Backend::spawn(Behavior::Hang).await;
     service.set("config", Some("5 secret"));
     register(service, 0, &backend, "ready");
     let mut zone = Vec::new();
     for index in 0..nodes {
-        // The first are the largest of the zone, so that they collect.
+        // The two largest are the zone's collectors.
         let processors = if index < 2 { 2.0 } else { 0.5 };
         zone.push(Node::spawn_with_cpus(service, &format!("g{index}"), processors).await);
     }
@@ -37,36 +37,36 @@
     (zone, backend)
 }
 
-/// Has the server be given a long prompt by a node; it ends when the connection does.
-async fn occupy(node: &Node) -> TcpStream {
+/// Sends a long prompt through a node. It runs until the connection is dropped.
+async fn open_long_prompt(node: &Node) -> TcpStream {
     let fields = format!("x-tokens: {LONG_PROMPT}\r\n");
     caller::open(node.callers, &caller::request("/stream/", &fields)).await
 }
 
-/// Whether a node refuses another prompt, as it knows of the long one. It is asked once: what
-/// it had sent itself would have it refuse as well.
-async fn refuses(node: &Node) -> bool {
+/// Returns whether a node refuses a prompt because of the long one. Call it once per node: a prompt
+/// that the node has sent itself leads to a refusal as well.
+async fn refuses_prompt(node: &Node) -> bool {
     let request = caller::request("/stream/", "x-tokens: 2000\r\n");
-    let asked = caller::send(node.callers, &request);
-    let asked = timeout(Duration::from_millis(80), asked).await;
-    asked.is_ok_and(|reply| reply.status == 503)
+    let reply = caller::send(node.callers, &request);
+    let reply = timeout(Duration::from_millis(80), reply).await;
+    reply.is_ok_and(|reply| reply.status == 503)
 }
 
 #[gtest]
 #[tokio::test]
-async fn all_know_within_a_moment_what_one_has_at_a_server() {
+async fn load_of_one_gateway_propagates_to_all_others() {
     let service = Service::new();
-    let (zone, _backend) = zone(&service, 8).await;
-    let _long = occupy(&zone[7]).await;
-    sleep(KNOWN).await;
+    let (zone, _backend) = spawn_zone(&service, 8).await;
+    let _long = open_long_prompt(&zone[7]).await;
+    sleep(PROPAGATION).await;
     for node in &zone[..7] {
-        expect_that!(refuses(node).await, eq(true));
+        expect_that!(refuses_prompt(node).await, eq(true));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn others_collect_where_those_that_should_are_silent() {
+async fn load_propagates_although_registered_collectors_are_silent() {
     let service = Service::new();
     let mut silent = Vec::new();
     for index in 0..2 {
@@ -76,22 +76,22 @@
         service.set(&format!("mulberryyoke/gateways/s{index}"), Some(&value));
         silent.push(socket);
     }
-    let (zone, _backend) = zone(&service, 6).await;
-    sleep(PASSED_OVER).await;
-    let _long = occupy(&zone[5]).await;
-    sleep(KNOWN).await;
+    let (zone, _backend) = spawn_zone(&service, 6).await;
+    sleep(FAILOVER).await;
+    let _long = open_long_prompt(&zone[5]).await;
+    sleep(PROPAGATION).await;
     for node in &zone[..5] {
-        expect_that!(refuses(node).await, eq(true));
+        expect_that!(refuses_prompt(node).await, eq(true));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_gateway_that_hears_of_nobody_takes_its_peers_to_do_as_it_does() {
+async fn an_isolated_gateway_assumes_its_own_load_for_each_peer() {
     for (peers, status) in [(0, None), (9, Some(503))] {
         let service = Service::new();
         for index in 0..peers {
-            // Nothing listens at the discard port.
+            // Nothing listens on the discard port.
             let key = format!("mulberryyoke/gateways/s{index}");
             service.set(&key, Some("127.0.0.1:9 100 b"));
         }
@@ -110,7 +110,7 @@
         sleep(Duration::from_millis(200)).await;
         let second = caller::send(node.callers, &request);
         let second = tokio::time::timeout(Duration::from_millis(300), second).await;
-        let told = second.ok().map(|reply| reply.status);
-        expect_that!(told, eq(status), "{peers} peers");
+        let refusal = second.ok().map(|reply| reply.status);
+        expect_that!(refusal, eq(status), "{peers} peers");
     }
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,5 +1,4 @@
-//! A gateway between callers, backend servers, peers and a key-value service that
-//! are all played by the test.
+//! Tests of gateways against simulated callers, backend servers, peers and key-value service.
 
 mod admission;
 mod backend;
@@ -19,11 +18,11 @@
 mod lagging;
 mod leaving;
 mod notices;
+mod overload;
 mod peers;
 mod protocol;
 mod responses;
 mod restore;
 mod retries;
-mod stop;
-mod strain;
+mod shutdown;
 mod streams;
--- a/crates/gateway/tests/gateway/strain.rs
+++ b/crates/gateway/tests/gateway/overload.rs
@@ -1,4 +1,4 @@
-//! A node that has more to do than its processor can.
+//! An overloaded node.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use crate::backend::{Backend, Behavior};
 use crate::fleet::ready;
 
-/// Time for which the runtime that the gateway shares with the test is held up, each time.
-const HELD_UP: Duration = Duration::from_millis(300);
+/// Time for which the runtime that the gateway shares with the test is blocked, each time.
+const BLOCKED: Duration = Duration::from_millis(300);
 
 #[gtest]
 #[tokio::test]
-async fn an_overloaded_node_tells_new_connections_at_once_to_go_elsewhere() {
+async fn an_overloaded_node_refuses_connections_until_it_has_recovered() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     expect_that!(node.ask("/once/", "").await.status, eq(200));
     for _ in 0..5 {
-        std::thread::sleep(HELD_UP);
+        std::thread::sleep(BLOCKED);
         sleep(Duration::from_millis(60)).await;
     }
     expect_that!(TcpStream::connect(node.callers).await, err(anything()));
@@ -28,6 +28,6 @@
     expect_that!(
         node.ask("/once/", "").await.status,
         eq(200),
-        "it has caught up"
+        "it has recovered"
     );
 }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Gateways among themselves.
+//! Configuration relayed between gateways, and failures of the key-value service.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 use crate::feed::Service;
 use crate::fleet::{KEYS_FRESH_MS, Node, register};
 
-/// Time after which a change is taken not to come into force.
-const LATE: Duration = Duration::from_secs(5);
+/// Timeout for a change to take effect.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 const KEY: &str = "Authorization: Bearer secret\r\n";
 
-/// Eight gateways that are ready.
-async fn eight(service: &Arc<Service>) -> Vec<Node> {
+/// Spawns eight gateways and waits until they are ready.
+async fn spawn_eight(service: &Arc<Service>) -> Vec<Node> {
     let mut nodes = Vec::new();
     for index in 0..8 {
         nodes.push(Node::spawn(service, &format!("g{index}")).await);
@@ -29,33 +29,33 @@
     nodes
 }
 
-/// Waits until a node serves a key, or it is too late for that.
-async fn serves(node: &Node, key: &str, since: Instant) {
-    while node.ask("/keyed/", key).await.status != 200 && since.elapsed() < LATE {
+/// Waits until a node accepts a key, or the timeout has elapsed.
+async fn wait_accepted(node: &Node, key: &str, since: Instant) {
+    while node.ask("/keyed/", key).await.status != 200 && since.elapsed() < CHANGE_TIMEOUT {
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// The longest time until a new key is served by all of these nodes, over some versions.
-async fn slowest_change(service: &Service, nodes: &[&Node], versions: Range<u64>) -> Duration {
-    let mut slowest = Duration::ZERO;
+/// Returns the maximum time, over some versions, until all of these nodes accept a new key.
+async fn max_change_delay(service: &Service, nodes: &[&Node], versions: Range<u64>) -> Duration {
+    let mut max_delay = Duration::ZERO;
     for version in versions {
         let key = format!("key{version}");
         service.set("config", Some(&format!("{version} {key}")));
         let since = Instant::now();
         let key = format!("Authorization: Bearer {key}\r\n");
         for node in nodes {
-            serves(node, &key, since).await;
+            wait_accepted(node, &key, since).await;
         }
-        slowest = slowest.max(since.elapsed());
+        max_delay = max_delay.max(since.elapsed());
         sleep(Duration::from_millis(130 * (version % 5))).await;
     }
-    slowest
+    max_delay
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_node_without_the_service_goes_by_what_its_peers_know() {
+async fn a_node_cut_off_from_the_service_gets_configuration_from_its_peers() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let backend = Backend::spawn(Behavior::Answer).await;
@@ -70,12 +70,12 @@
     expect_that!(
         two.ask("/keyed/", KEY).await.status,
         eq(200),
-        "its view is fresh"
+        "its configuration is fresh"
     );
     expect_that!(
         two.ready().await,
         eq(503),
-        "callers are better served elsewhere"
+        "not ready without contact to the service"
     );
     service.set("config", Some("8 other"));
     sleep(Duration::from_millis(1_500)).await;
@@ -86,27 +86,27 @@
     expect_that!(
         two.ask("/keyed/", other).await.status,
         eq(503),
-        "neither knows anything new"
+        "neither has a fresh configuration"
     );
 }
 
 #[gtest]
 #[tokio::test]
-async fn most_gateways_leave_the_service_alone() {
+async fn only_watchers_poll_the_service() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
-    let _nodes = eight(&service).await;
+    let _nodes = spawn_eight(&service).await;
     sleep(Duration::from_secs(3)).await;
     let before = service.calls();
     sleep(Duration::from_secs(4)).await;
     let calls = service.calls() - before;
-    // Each renews its lease every 1.5 s; three wait 0.7 s a call for changes.
+    // All renew their leases every 1.5 s; three long-poll for changes, 0.7 s per call.
     expect_that!(calls, le(8 * 3 + 3 * 2 * 7));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_change_is_in_force_in_time_though_the_peers_asked_are_silent() {
+async fn a_change_takes_effect_in_time_although_registered_peers_are_silent() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let mut silent = Vec::new();
@@ -119,18 +119,18 @@
     let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
     let node = Node::spawn(&service, "g0").await;
-    let slowest = slowest_change(&service, &[&node], 6..14).await;
-    expect_that!(slowest, lt(Duration::from_millis(2_600)));
+    let max_delay = max_change_delay(&service, &[&node], 6..14).await;
+    expect_that!(max_delay, lt(Duration::from_millis(2_600)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn after_an_outage_requests_with_a_key_are_served_within_two_seconds() {
+async fn requests_with_a_key_are_served_soon_after_an_outage() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
-    let nodes = eight(&service).await;
+    let nodes = spawn_eight(&service).await;
     sleep(Duration::from_secs(1)).await;
     for node in &nodes {
         node.kv.set_hanging(true);
@@ -141,74 +141,73 @@
     }
     let since = Instant::now();
     for node in &nodes {
-        serves(node, KEY, since).await;
+        wait_accepted(node, KEY, since).await;
     }
-    // 0.7 to 1.5 s in six runs; 2.5 to 3.3 s where calls wait while the service is down and
-    // peers that were out of touch are left alone for three seconds.
+    // Fails if calls to the service outlast its outage, or if peers that were cut off are avoided
+    // for long.
     expect_that!(since.elapsed(), lt(Duration::from_millis(2_200)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_change_is_in_force_in_time_though_the_peers_asked_are_cut_off() {
+async fn a_change_takes_effect_in_time_although_all_watchers_are_cut_off() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
-    let nodes = eight(&service).await;
-    // The three whose names have the lowest hashes ask the service for the others.
+    let nodes = spawn_eight(&service).await;
+    // The three watchers, whose names have the lowest hashes.
     for watcher in [2, 5, 6] {
         nodes[watcher].kv.set_hanging(true);
     }
     sleep(Duration::from_secs(1)).await;
     let others = [1, 3, 4].map(|index| &nodes[index]);
-    let slowest = slowest_change(&service, &others, 6..12).await;
-    // 1.6 s; it was not in force within ten minutes where a peer that is out of touch was asked
-    // again before the service.
-    expect_that!(slowest, lt(Duration::from_millis(2_600)));
+    let max_delay = max_change_delay(&service, &others, 6..12).await;
+    // Fails if a peer that is cut off is asked again before the service.
+    expect_that!(max_delay, lt(Duration::from_millis(2_600)));
 }
 
-/// Time in which a node that is in touch stops using a server whose registration ended.
-const STOPS: Duration = Duration::from_millis(1_200);
+/// Time for a node with contact to the service to stop using a server whose registration ended.
+const REMOVAL: Duration = Duration::from_millis(1_200);
 
 #[gtest]
 #[tokio::test]
-async fn an_ended_registration_counts_at_once_though_the_service_had_failed_long_before() {
+async fn an_ended_registration_takes_effect_at_once_after_an_earlier_outage() {
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let backend = Backend::spawn(Behavior::Answer).await;
     register(&service, 0, &backend, "ready");
     let mut nodes = Vec::new();
     for index in 0..4 {
-        // The first three ask the service, the last one asks these.
+        // The first three are the watchers, from which the last one gets its configuration.
         let processors = if index < 3 { 2.0 } else { 0.5 };
         nodes.push(Node::spawn_with_cpus(&service, &format!("g{index}"), processors).await);
     }
     for node in &nodes {
         node.wait_ready().await;
     }
-    for is_cut in [true, false] {
+    for is_failing in [true, false] {
         for node in &nodes {
-            node.kv.set_failing(is_cut);
+            node.kv.set_failing(is_failing);
         }
         sleep(Duration::from_secs(4)).await;
     }
-    // Those that the last one asks are turned away by the service, it is not.
-    let (asked, last) = nodes.split_at(3);
-    for node in asked {
+    // The service fails for the watchers only.
+    let (watchers, last) = nodes.split_at(3);
+    for node in watchers {
         node.kv.set_failing(true);
     }
     for _ in 0..2 {
         register(&service, 0, &backend, "ready");
-        let until = Instant::now() + LATE;
-        while last[0].ask("/idempotent/", "").await.status != 200 && Instant::now() < until {
+        let deadline = Instant::now() + CHANGE_TIMEOUT;
+        while last[0].ask("/idempotent/", "").await.status != 200 && Instant::now() < deadline {
             sleep(Duration::from_millis(20)).await;
         }
         sleep(Duration::from_secs(2)).await;
         for pool in ["plain", "model"] {
             service.set(&format!("servers/{pool}-0"), None);
         }
-        sleep(STOPS).await;
+        sleep(REMOVAL).await;
         expect_that!(last[0].ask("/idempotent/", "").await.status, eq(503));
     }
 }
--- a/crates/gateway/tests/suspension/main.rs
+++ b/crates/gateway/tests/suspension/main.rs
@@ -1,11 +1,12 @@
-//! A gateway whose machine is suspended: the boot clock goes on, the steady clock stands still.
+//! Tests of gateways whose machine is suspended: the boot clock advances, the monotonic clock does
+//! not.
 //!
-//! The clock is the process's, so that these tests have a process of their own and run one
-//! after another.
+//! The simulated suspension affects the whole process, so these tests have their own binary and run
+//! one at a time.
 
 #![allow(
     dead_code,
-    reason = "what it needs is shared with the tests of gateways that are never suspended"
+    reason = "the modules are shared with the other integration tests"
 )]
 
 #[path = "../gateway/backend.rs"]
@@ -34,36 +35,36 @@
 use crate::fleet::{Node, ready};
 use crate::protocol::TIMEOUT_MS;
 
-/// One test at a time.
-static ONE: Mutex<()> = Mutex::const_new(());
+/// Serializes the tests.
+static SERIAL: Mutex<()> = Mutex::const_new(());
 
-/// A suspension, in milliseconds: longer than a view, a peer or a server's registration lasts.
+/// A suspension that outlasts configurations, peers and registrations, in milliseconds.
 const LONG_MS: u64 = 10_000;
 
-/// A suspension that is shorter than callers wait, in milliseconds.
+/// A suspension shorter than the callers' timeout, in milliseconds.
 const SHORT_MS: u64 = 800;
 
-/// Time for which a server stays in use whose registration ended while the service failed.
-const LAPSE: Duration = Duration::from_secs(2);
+/// Grace period of a server whose registration ended during an outage of the service.
+const REGISTRATION_GRACE: Duration = Duration::from_secs(2);
 
-/// Time for which a request is first kept from servers that has ended three, in milliseconds.
-const SENTENCE_MS: u64 = 60_000;
+/// First quarantine of a request that has crashed three servers, in milliseconds.
+const QUARANTINE_MS: u64 = 60_000;
 
-/// Time that one copy under suspicion has for itself, and a little more.
+/// Time for which a suspect request runs exclusively, with a margin.
 const TRIAL: Duration = Duration::from_millis(1_100);
 
 const KEY: &str = "Authorization: Bearer secret\r\n";
 
 #[gtest]
 #[tokio::test]
-async fn a_woken_gateway_serves_nothing_by_what_it_knew_before() {
-    let _one = ONE.lock().await;
+async fn a_resumed_gateway_does_not_use_its_old_configuration() {
+    let _serial = SERIAL.lock().await;
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
     node.kv.set_failing(true);
     sleep(Duration::from_millis(100)).await;
-    // Meanwhile the key is taken away and the server leaves.
+    // During the suspension, the key is revoked and the server deregistered.
     service.set("config", Some("6 other"));
     service.set("servers/plain-0", None);
     clock::simulate_suspension(LONG_MS);
@@ -76,8 +77,8 @@
     node.kv.set_failing(false);
     node.wait_ready().await;
     expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
-    // A registration that ends while the service fails has time to come back.
-    sleep(LAPSE).await;
+    // Registrations that end during an outage have a grace period.
+    sleep(REGISTRATION_GRACE).await;
     expect_that!(
         node.ask("/idempotent/", "").await.body,
         contains_substring("no_server")
@@ -87,19 +88,19 @@
 
 #[gtest]
 #[tokio::test]
-async fn servers_are_handed_no_more_time_than_the_caller_has_left() {
-    let _one = ONE.lock().await;
+async fn servers_get_at_most_the_callers_remaining_time() {
+    let _serial = SERIAL.lock().await;
     let (silent, other) = (
         Backend::spawn(Behavior::Hang).await,
         Backend::spawn(Behavior::Hang).await,
     );
     let (_service, node) = ready(&[&silent, &other]).await;
-    let asked = node.ask("/idempotent/", "");
-    let suspended = async {
+    let reply = node.ask("/idempotent/", "");
+    let suspension = async {
         sleep(Duration::from_millis(50)).await;
         clock::simulate_suspension(SHORT_MS);
     };
-    tokio::join!(asked, suspended);
+    tokio::join!(reply, suspension);
     let heads = [silent.state.heads(), other.state.heads()].concat();
     let left = heads
         .iter()
@@ -112,40 +113,40 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_caller_whose_time_ended_meanwhile_is_told_at_once() {
-    let _one = ONE.lock().await;
+async fn requests_that_time_out_during_a_suspension_fail_at_once() {
+    let _serial = SERIAL.lock().await;
     for path in ["/once/", "/stream/", "/idempotent/"] {
         let backend = Backend::spawn(Behavior::Hang).await;
         let (_service, node) = ready(&[&backend]).await;
-        let begun = Instant::now();
-        let asked = node.ask(path, "x-tokens: 10\r\n");
-        let suspended = async {
+        let started = Instant::now();
+        let reply = node.ask(path, "x-tokens: 10\r\n");
+        let suspension = async {
             sleep(Duration::from_millis(50)).await;
             clock::simulate_suspension(LONG_MS);
         };
-        let (reply, ()) = tokio::join!(asked, suspended);
+        let (reply, ()) = tokio::join!(reply, suspension);
         expect_that!(reply.status, eq(504), "{path}");
-        expect_that!(begun.elapsed(), lt(Duration::from_millis(500)), "{path}");
+        expect_that!(started.elapsed(), lt(Duration::from_millis(500)), "{path}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_woken_gateway_renews_its_lease_at_once() {
-    let _one = ONE.lock().await;
+async fn a_resumed_gateway_renews_its_lease_at_once() {
+    let _serial = SERIAL.lock().await;
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, _node) = ready(&[&backend]).await;
     sleep(Duration::from_millis(200)).await;
-    let before = service.renewals();
+    let renewals = service.renewals();
     clock::simulate_suspension(LONG_MS);
     sleep(Duration::from_millis(300)).await;
-    expect_that!(service.renewals(), gt(before));
+    expect_that!(service.renewals(), gt(renewals));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_quarantine_ends_by_the_time_that_has_gone_by() {
-    let _one = ONE.lock().await;
+async fn quarantine_time_includes_suspensions() {
+    let _serial = SERIAL.lock().await;
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let mut servers = Vec::new();
@@ -163,7 +164,7 @@
         sleep(TRIAL).await;
     }
     expect_that!(crash_count(&servers), eq(3));
-    clock::simulate_suspension(SENTENCE_MS);
+    clock::simulate_suspension(QUARANTINE_MS);
     sleep(Duration::from_millis(100)).await;
     node.wait_ready().await;
     for _ in 0..2 {
