--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -9,7 +9,7 @@
 use std::future::Future;
 
 use mulberryyoke_event::Form;
-use mulberryyoke_settings::Log;
+use mulberryyoke_settings::LogFormat;
 use tokio::runtime::Builder;
 
 use crate::args::{Args, Role};
@@ -46,9 +46,9 @@
 }
 
 /// The log form that settings ask for.
-const fn form(log: Log) -> Form {
+const fn form(log: LogFormat) -> Form {
     match log {
-        Log::Json => Form::Json,
-        Log::Terminal => Form::Terminal,
+        LogFormat::Json => Form::Json,
+        LogFormat::Terminal => Form::Terminal,
     }
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -112,7 +112,7 @@
             ..decide_member::Limits::default()
         };
         let options = kv::Options {
-            silence_ms: SILENCE_MS,
+            watch_idle_timeout_ms: SILENCE_MS,
             ..kv::Options::default()
         };
         let fleet = Arc::new(Self {
@@ -133,8 +133,8 @@
             stop: CancellationToken::new(),
             tasks: TaskTracker::new(),
         });
-        let kv = kv::Etcd::open(settings.kv.clone(), options);
-        let vms = vm::Http::open(settings.vms);
+        let kv = kv::Etcd::new(settings.kv.clone(), options);
+        let vms = vm::Http::new(settings.vms);
         fleet.run(service::accept(Arc::clone(&fleet), listener));
         fleet.run(source::follow(Arc::clone(&fleet), Arc::new(kv)));
         fleet.run(vms::follow(Arc::clone(&fleet), Arc::new(vms)));
--- a/crates/daemon/src/fleet/source.rs
+++ b/crates/daemon/src/fleet/source.rs
@@ -13,7 +13,7 @@
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Change, Revision};
 use mulberryyoke_platform::kv::{self, Kv, Listing, Watch};
-use mulberryyoke_platform::{Backoff, Cause};
+use mulberryyoke_platform::{Backoff, HttpError};
 use tokio::time::{interval, sleep, sleep_until, timeout};
 
 use super::Fleet;
@@ -217,7 +217,7 @@
         self.fleet.accept(changes, "kv");
         match failed {
             None => Ok(()),
-            Some(kv::Error::Unknown(Cause::Late)) => Err(End::Silent),
+            Some(kv::Error::Unknown(HttpError::TimedOut)) => Err(End::Silent),
             Some(error) => Err(error.into()),
         }
     }
--- a/crates/daemon/src/router/operators.rs
+++ b/crates/daemon/src/router/operators.rs
@@ -19,7 +19,7 @@
 /// Binds the operators' port.
 pub(crate) async fn bind(core: &Arc<Core>) -> Result<Operator, Error> {
     let settings = &core.settings;
-    let kv = kv::Etcd::open(settings.kv.clone(), kv::Options::default());
+    let kv = kv::Etcd::new(settings.kv.clone(), kv::Options::default());
     let setup = Setup {
         address: settings.operators,
         operators: settings.operator_keys.clone(),
--- a/crates/daemon/src/sidecar/role.rs
+++ b/crates/daemon/src/sidecar/role.rs
@@ -40,7 +40,7 @@
     ///
     /// See [`Error`].
     pub async fn spawn(settings: settings::Sidecar, logger: Logger) -> Result<Self, Error> {
-        let kv = kv::Etcd::open(settings.kv.clone(), kv::Options::default());
+        let kv = kv::Etcd::new(settings.kv.clone(), kv::Options::default());
         Self::spawn_on(settings, Arc::new(kv), logger).await
     }
 
--- a/crates/daemon/tests/operator/kv.rs
+++ b/crates/daemon/tests/operator/kv.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use mulberryyoke_model::{Entry, Object};
-use mulberryyoke_platform::Cause;
+use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::kv::{
     Call, Error, Expect, Kv, Lease, LeaseId, Listing, Pair, Swap, Watch,
 };
@@ -82,8 +82,8 @@
 
     fn write(&self, key: &str, expected: Expect, value: Vec<u8>) -> Result<Swap, Error> {
         let mut state = self.state.lock();
-        let lost = || Error::Unknown(Cause::Cut("answer lost".to_owned()));
-        let unsent = || Error::Unsent(Cause::Connect("refused".to_owned()));
+        let lost = || Error::Unknown(HttpError::Disconnected("answer lost".to_owned()));
+        let unsent = || Error::Unsent(HttpError::Connect("refused".to_owned()));
         if state.down {
             return Err(unsent());
         }
@@ -169,7 +169,7 @@
     fn range<'a>(&'a self, prefix: &'a str) -> Call<'a, Listing> {
         let state = self.state.lock();
         if state.down {
-            let error = Error::Unsent(Cause::Connect("refused".to_owned()));
+            let error = Error::Unsent(HttpError::Connect("refused".to_owned()));
             return Box::pin(std::future::ready(Err(error)));
         }
         let within = state.pairs.range(prefix.to_owned()..);
@@ -208,7 +208,7 @@
         unreachable!("the operators' port takes no lease")
     }
 
-    fn lease_keep(&self, _id: LeaseId) -> Call<'_, Lease> {
+    fn lease_keep_alive(&self, _id: LeaseId) -> Call<'_, Lease> {
         unreachable!("the operators' port takes no lease")
     }
 
--- a/crates/daemon/tests/router/fleet.rs
+++ b/crates/daemon/tests/router/fleet.rs
@@ -62,7 +62,7 @@
 
     /// Accepts an object as operators do.
     pub(crate) async fn configure(&self, object: Object) {
-        let kv = Etcd::open(vec![self.kv.address()], Options::default());
+        let kv = Etcd::new(vec![self.kv.address()], Options::default());
         let key = format!("/mulberryyoke/config/{}", object.key());
         let entry = Entry {
             object: Some(object),
--- a/crates/daemon/tests/sidecar/kv.rs
+++ b/crates/daemon/tests/sidecar/kv.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use mulberryyoke_platform::Cause;
+use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::kv::{
     Call, Error, Expect, Kv, Lease, LeaseId, Listing, Pair, Revision, Swap, Watch,
 };
@@ -23,8 +23,8 @@
     state: Arc<Mutex<State>>,
 }
 
-fn failed() -> Cause {
-    Cause::Unreadable("switched off by the test".to_owned())
+fn failed() -> HttpError {
+    HttpError::Malformed("switched off by the test".to_owned())
 }
 
 impl Memory {
@@ -114,7 +114,7 @@
         unimplemented!("sidecars hold no lease")
     }
 
-    fn lease_keep(&self, _id: LeaseId) -> Call<'_, Lease> {
+    fn lease_keep_alive(&self, _id: LeaseId) -> Call<'_, Lease> {
         unimplemented!("sidecars hold no lease")
     }
 
--- a/crates/daemon/tests/sidecar/node.rs
+++ b/crates/daemon/tests/sidecar/node.rs
@@ -48,7 +48,7 @@
         drain_ms: PATIENCE,
         retention_ms: 600_000,
         policy: settings::Policy::Fair,
-        log: settings::Log::Json,
+        log: settings::LogFormat::Json,
     }
 }
 
--- a/crates/gateway/src/exchange/announce.rs
+++ b/crates/gateway/src/exchange/announce.rs
@@ -51,7 +51,7 @@
                 clock::wait_until(clock::now_ms() + RENEW_MS).await;
             }
             Err(error) => {
-                if matches!(error, Error::Lapsed) {
+                if matches!(error, Error::LeaseExpired) {
                     held = None;
                 }
                 log!(core.logger, Event::AnnounceFailed, "error" => error.to_string());
@@ -78,7 +78,7 @@
 async fn renew(core: &Core, held: Option<Held>) -> Result<Held, Error> {
     let feed = &core.feed;
     if let Some(held) = held {
-        feed.keep(held.id).await?;
+        feed.keep_alive(held.id).await?;
         return Ok(held);
     }
     let id = feed.grant(LEASE_MS).await?.id;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -11,7 +11,7 @@
 
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_platform::kv::{Error, Position};
-use mulberryyoke_platform::{Backoff, Cause};
+use mulberryyoke_platform::{Backoff, HttpError};
 use mulberryyoke_wire::relay::Relayed;
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -117,7 +117,7 @@
         };
         if is_stale {
             let why = format!("response at {received} is older than the known {known}");
-            return Err(Error::Unknown(Cause::Unreadable(why)));
+            return Err(Error::Unknown(HttpError::Malformed(why)));
         }
         Ok(relayed)
     }
--- a/crates/gateway/src/follow/source.rs
+++ b/crates/gateway/src/follow/source.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
-use mulberryyoke_platform::Cause;
+use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::http::{self, Http};
 use mulberryyoke_platform::kv::{Error, Feed, Position};
 use mulberryyoke_wire::relay::{CHANGES, LIST, Relayed, Write};
@@ -81,7 +81,7 @@
     pub(super) fn new(feed: Arc<dyn Feed>) -> Self {
         Self {
             feed,
-            http: Http::open(CONNECT_TIMEOUT_MS),
+            http: Http::new(CONNECT_TIMEOUT_MS),
             backoffs: Vec::new(),
             is_store_down: false,
         }
@@ -111,7 +111,7 @@
     /// Records that a call to a source failed.
     pub(super) fn record_failure(&mut self, source: Source, error: &Error) {
         self.is_store_down |= source == Source::Store;
-        let is_stale = matches!(error, Error::Unknown(Cause::Unreadable(_)));
+        let is_stale = matches!(error, Error::Unknown(HttpError::Malformed(_)));
         let is_short = source == Source::Store || (self.is_store_down && is_stale);
         let backoff_ms = if is_short {
             SHORT_BACKOFF_MS
@@ -192,7 +192,7 @@
         if response.status() == StatusCode::GONE {
             return Err(Error::Compacted(0));
         }
-        let body = http::read(response, MAX_RESPONSE_BYTES, deadline).await;
+        let body = http::read_body(response, MAX_RESPONSE_BYTES, deadline).await;
         let body = body.map_err(|failure| Error::Unknown(failure.cause))?;
         let relayed = Relayed::decode(&body);
         let now_ms = clock::now_ms();
@@ -201,7 +201,7 @@
             now_ms.saturating_sub(known_ms) < STALE_MS
         });
         relayed.ok_or_else(|| {
-            Error::Unknown(Cause::Unreadable(
+            Error::Unknown(HttpError::Malformed(
                 "peer's data is stale or malformed".to_owned(),
             ))
         })
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -110,9 +110,9 @@
     pub fn reload(&self, settings: settings::Gateway) {
         let core = &self.core;
         let before = core.settings.load_full();
-        let needs_restart = before.place() != settings.place();
+        let needs_restart = before.identity() != settings.identity();
         log!(core.logger, Event::Reloaded, "needs_restart" => needs_restart);
-        let settings = settings.at(&before);
+        let settings = settings.with_identity_of(&before);
         core.settings.store(Arc::new(settings));
     }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -44,7 +44,7 @@
             records: Mutex::default(),
             record_count: AtomicUsize::new(0),
             last_expiry_ms: AtomicU64::new(0),
-            http: Http::open(CONNECT_TIMEOUT_MS),
+            http: Http::new(CONNECT_TIMEOUT_MS),
             pending_writes: AtomicUsize::new(0),
         }
     }
--- a/crates/gateway/src/quarantine/admit.rs
+++ b/crates/gateway/src/quarantine/admit.rs
@@ -79,7 +79,7 @@
     let call = async {
         let response = core.quarantine.http.send(request, deadline).await?;
         let status = response.status();
-        let body = http::read(response, MAX_MESSAGE_BYTES, deadline).await?;
+        let body = http::read_body(response, MAX_MESSAGE_BYTES, deadline).await?;
         Ok::<_, http::Failure>((status, body))
     };
     match call.await {
--- a/crates/gateway/tests/gateway/feed.rs
+++ b/crates/gateway/tests/gateway/feed.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use mulberryyoke_platform::Cause;
+use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::kv::{
     Call, Changes, Contents, Era, Error, Event, Feed, Lease, LeaseId, Pair, Position, Revision,
 };
@@ -178,10 +178,12 @@
                 pending::<()>(),
             )
             .await;
-            return Err(Error::Unknown(Cause::Late));
+            return Err(Error::Unknown(HttpError::TimedOut));
         }
         if self.is_failing.load(Ordering::Relaxed) {
-            return Err(Error::Unsent(Cause::Connect("injected failure".to_owned())));
+            return Err(Error::Unsent(HttpError::Connect(
+                "injected failure".to_owned(),
+            )));
         }
         Ok(())
     }
@@ -238,7 +240,7 @@
         })
     }
 
-    fn keep(&self, id: LeaseId) -> Call<'_, Lease> {
+    fn keep_alive(&self, id: LeaseId) -> Call<'_, Lease> {
         Box::pin(async move {
             self.start_call(0).await?;
             self.service.renewals.fetch_add(1, Ordering::Relaxed);
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -14,7 +14,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::timeout_at;
 
-use crate::Cause;
+use crate::HttpError;
 
 /// Longest text of an error answer that is kept, in characters.
 const MESSAGE_CHARS: usize = 200;
@@ -31,18 +31,18 @@
     /// Whether the request may have reached the service.
     pub sent: bool,
     /// What went wrong.
-    pub cause: Cause,
+    pub cause: HttpError,
 }
 
 impl Failure {
     const fn before_sending(text: String) -> Self {
         Self {
             sent: false,
-            cause: Cause::Connect(text),
+            cause: HttpError::Connect(text),
         }
     }
 
-    pub(crate) const fn after_sending(cause: Cause) -> Self {
+    pub(crate) const fn after_sending(cause: HttpError) -> Self {
         Self { sent: true, cause }
     }
 }
@@ -54,12 +54,12 @@
 }
 
 impl Http {
-    /// Opens a client that gives up connecting after `connect_ms` milliseconds.
+    /// Opens a client that gives up connecting after `connect_timeout_ms` milliseconds.
     #[must_use]
-    pub fn open(connect_ms: u64) -> Self {
+    pub fn new(connect_timeout_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_millis(connect_ms)));
+        connector.set_connect_timeout(Some(Duration::from_millis(connect_timeout_ms)));
         connector.set_keepalive(Some(Duration::from_millis(KEEPALIVE_MS)));
         connector.set_keepalive_interval(Some(Duration::from_millis(KEEPALIVE_MS)));
         let client = Client::builder(TokioExecutor::new())
@@ -80,14 +80,14 @@
         deadline: Instant,
     ) -> Result<Response<Incoming>, Failure> {
         let Ok(answer) = timeout_at(deadline.into(), self.client.request(request)).await else {
-            return Err(Failure::after_sending(Cause::Late));
+            return Err(Failure::after_sending(HttpError::TimedOut));
         };
         answer.map_err(|error| {
             let text = error.source().map_or(error.to_string(), chain);
             if error.is_connect() {
                 return Failure::before_sending(text);
             }
-            Failure::after_sending(Cause::Cut(text))
+            Failure::after_sending(HttpError::Disconnected(text))
         })
     }
 
@@ -104,11 +104,11 @@
     ) -> Result<Bytes, Failure> {
         let answer = self.send(request, deadline).await?;
         let status = answer.status();
-        let whole = read(answer, limit, deadline).await?;
+        let whole = read_body(answer, limit, deadline).await?;
         if status == StatusCode::OK {
             return Ok(whole);
         }
-        Err(Failure::after_sending(refusal(status, &whole)))
+        Err(Failure::after_sending(status_error(status, &whole)))
     }
 }
 
@@ -138,26 +138,28 @@
 /// # Errors
 ///
 /// [`Failure`] when the body does not end by the deadline or is larger.
-pub async fn read(
+pub async fn read_body(
     answer: Response<Incoming>,
     limit: usize,
     deadline: Instant,
 ) -> Result<Bytes, Failure> {
     let body = Limited::new(answer.into_body(), limit);
     let Ok(collected) = timeout_at(deadline.into(), body.collect()).await else {
-        return Err(Failure::after_sending(Cause::Late));
+        return Err(Failure::after_sending(HttpError::TimedOut));
     };
     match collected {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) => Err(Failure::after_sending(Cause::Cut(chain(error.as_ref())))),
+        Err(error) => Err(Failure::after_sending(HttpError::Disconnected(chain(
+            error.as_ref(),
+        )))),
     }
 }
 
 /// Describes an answer that is not a success.
 #[must_use]
-pub fn refusal(status: StatusCode, body: &[u8]) -> Cause {
+pub fn status_error(status: StatusCode, body: &[u8]) -> HttpError {
     let text = String::from_utf8_lossy(body);
-    Cause::Status {
+    HttpError::Status {
         status: status.as_u16(),
         message: text.trim().chars().take(MESSAGE_CHARS).collect(),
     }
--- a/crates/platform/src/cause.rs
+++ b/crates/platform/src/http_error.rs
@@ -4,13 +4,13 @@
 
 /// What went wrong with a call over HTTP.
 #[derive(Debug, Display)]
-pub enum Cause {
+pub enum HttpError {
     /// could not connect: {0}
     Connect(String),
     /// connection was cut: {0}
-    Cut(String),
+    Disconnected(String),
     /// no answer before the deadline
-    Late,
+    TimedOut,
     /// status {status}: {message}
     Status {
         /// HTTP status code.
@@ -19,7 +19,7 @@
         message: String,
     },
     /// unreadable answer: {0}
-    Unreadable(String),
+    Malformed(String),
 }
 
-impl std::error::Error for Cause {}
+impl std::error::Error for HttpError {}
--- a/crates/platform/src/kv.rs
+++ b/crates/platform/src/kv.rs
@@ -33,7 +33,7 @@
 pub type Call<'a, T> = crate::Call<'a, T, Error>;
 
 /// Largest value that the service holds, in bytes.
-pub const VALUE_BYTES: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// The key-value service, usable as `Arc<dyn Kv>`.
 pub trait Kv: Send + Sync {
@@ -62,7 +62,7 @@
     fn lease_grant(&self, ttl_ms: u64) -> Call<'_, Lease>;
 
     /// Renews a lease.
-    fn lease_keep(&self, id: LeaseId) -> Call<'_, Lease>;
+    fn lease_keep_alive(&self, id: LeaseId) -> Call<'_, Lease>;
 
     /// Ends a lease and deletes the keys written with it.
     fn lease_revoke(&self, id: LeaseId) -> Call<'_, ()>;
--- a/crates/platform/src/kv/error.rs
+++ b/crates/platform/src/kv/error.rs
@@ -2,22 +2,22 @@
 
 use displaydoc::Display;
 
-use crate::Cause;
+use crate::HttpError;
 use crate::kv::Revision;
 
 /// Why a call to the key-value service failed.
 #[derive(Debug, Display)]
 pub enum Error {
     /// could not reach key-value service: {0}
-    Unsent(Cause),
+    Unsent(HttpError),
     /// could not tell whether key-value service carried the call out: {0}
-    Unknown(Cause),
+    Unknown(HttpError),
     /// could not have call accepted by key-value service: {0}
-    Refused(Cause),
+    Refused(HttpError),
     /// could not read from revision: compacted up to {0}
     Compacted(Revision),
     /// could not keep lease: it has lapsed
-    Lapsed,
+    LeaseExpired,
     /// could not write value: {bytes} bytes are over the limit of {limit}
     TooLarge {
         /// Size of the value, in bytes.
@@ -41,7 +41,7 @@
             Self::Unknown(_) => "unknown",
             Self::Refused(_) => "refused",
             Self::Compacted(_) => "compacted",
-            Self::Lapsed => "lapsed",
+            Self::LeaseExpired => "lapsed",
             Self::TooLarge { .. } => "too_large",
         }
     }
--- a/crates/platform/src/kv/etcd.rs
+++ b/crates/platform/src/kv/etcd.rs
@@ -13,10 +13,10 @@
 
 use self::link::Link;
 use self::method::Method;
-use crate::Cause;
+use crate::HttpError;
 use crate::kv::{
-    Call, Error, Expect, Kv, Lease, LeaseId, Listing, Options, Pair, Revision, Swap, VALUE_BYTES,
-    Watch,
+    Call, Error, Expect, Kv, Lease, LeaseId, Listing, MAX_VALUE_BYTES, Options, Pair, Revision,
+    Swap, Watch,
 };
 
 /// A client of the JSON gateway of etcd v3.
@@ -30,9 +30,9 @@
     /// Opens a client. It connects when the first call is made, and tries the
     /// endpoints in turn.
     #[must_use]
-    pub fn open(endpoints: Vec<SocketAddr>, options: Options) -> Self {
+    pub fn new(endpoints: Vec<SocketAddr>, options: Options) -> Self {
         Self {
-            link: Arc::new(Link::open(endpoints, options)),
+            link: Arc::new(Link::new(endpoints, options)),
             options,
         }
     }
@@ -42,7 +42,7 @@
         let mut listing = Listing::default();
         let mut first = prefix.to_owned();
         loop {
-            let limit = self.options.page_keys;
+            let limit = self.options.page_size;
             let body = request::range(&first, prefix, listing.revision, limit);
             let page: answer::Range = self.link.call(Method::Range, body, deadline).await?;
             if listing.revision == 0 {
@@ -71,10 +71,10 @@
         lease: Option<LeaseId>,
     ) -> Result<Swap, Error> {
         let bytes = value.as_ref().map_or(0, Vec::len);
-        if bytes > VALUE_BYTES {
+        if bytes > MAX_VALUE_BYTES {
             return Err(Error::TooLarge {
                 bytes,
-                limit: VALUE_BYTES,
+                limit: MAX_VALUE_BYTES,
             });
         }
         let deadline = self.link.deadline();
@@ -85,7 +85,7 @@
         }
         let found = answer.responses.into_iter().next();
         let Some(found) = found.and_then(|response| response.response_range) else {
-            let cause = Cause::Unreadable("transaction without what is there now".to_owned());
+            let cause = HttpError::Malformed("transaction without what is there now".to_owned());
             return Err(Error::Unknown(cause));
         };
         Ok(Swap::Conflict(found.kvs.into_iter().next().map(Pair::from)))
@@ -115,7 +115,7 @@
             self.link.call(Method::LeaseKeep, body, deadline).await?;
         let Some(lease) = kept.result else {
             let text = kept.error.map_or(String::new(), |error| error.to_string());
-            return Err(Error::Unknown(Cause::Unreadable(text)));
+            return Err(Error::Unknown(HttpError::Malformed(text)));
         };
         held(begun, &lease)
     }
@@ -131,7 +131,7 @@
 /// The lease that an answer speaks of; one without time left has lapsed.
 fn held(begun: Instant, lease: &answer::Lease) -> Result<Lease, Error> {
     if lease.ttl_s == 0 {
-        return Err(Error::Lapsed);
+        return Err(Error::LeaseExpired);
     }
     Ok(Lease {
         id: LeaseId(lease.id),
@@ -166,7 +166,7 @@
         Box::pin(self.grant(ttl_ms))
     }
 
-    fn lease_keep(&self, id: LeaseId) -> Call<'_, Lease> {
+    fn lease_keep_alive(&self, id: LeaseId) -> Call<'_, Lease> {
         Box::pin(self.keep(id))
     }
 
--- a/crates/platform/src/kv/etcd/link.rs
+++ b/crates/platform/src/kv/etcd/link.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-use crate::Cause;
+use crate::HttpError;
 use crate::http::{self, Failure, Http};
 use crate::kv::etcd::method::Method;
 use crate::kv::{Error, Options};
@@ -45,9 +45,9 @@
 }
 
 impl Link {
-    pub(crate) fn open(endpoints: Vec<SocketAddr>, options: Options) -> Self {
+    pub(crate) fn new(endpoints: Vec<SocketAddr>, options: Options) -> Self {
         Self {
-            http: Http::open(options.connect_ms),
+            http: Http::new(options.connect_timeout_ms),
             endpoints,
             preferred: AtomicUsize::new(0),
             options,
@@ -56,7 +56,7 @@
 
     /// When a call that begins now has to have ended.
     pub(crate) fn deadline(&self) -> Instant {
-        Instant::now() + Duration::from_millis(self.options.call_ms)
+        Instant::now() + Duration::from_millis(self.options.call_timeout_ms)
     }
 
     /// Makes a call and reads its whole answer.
@@ -67,10 +67,10 @@
         deadline: Instant,
     ) -> Result<T, Error> {
         let answered = self.send(method, body, deadline).await?;
-        let whole = http::read(answered, self.options.answer_bytes, deadline).await;
+        let whole = http::read_body(answered, self.options.max_response_bytes, deadline).await;
         let whole = whole.map_err(|failure| self.fail(method, Error::Unknown(failure.cause)))?;
         serde_json::from_slice(&whole).map_err(|error| {
-            let cause = Cause::Unreadable(error.to_string());
+            let cause = HttpError::Malformed(error.to_string());
             self.fail(method, Error::Unknown(cause))
         })
     }
@@ -94,7 +94,7 @@
     ) -> Result<Response<Incoming>, Error> {
         let first = self.preferred.load(Ordering::Relaxed);
         let count = self.endpoints.len();
-        let mut last = Error::Unsent(Cause::Connect("no endpoint".to_owned()));
+        let mut last = Error::Unsent(HttpError::Connect("no endpoint".to_owned()));
         for tried in 0..count {
             let index = (first + tried) % count;
             let until = if method.is_idempotent() {
@@ -138,7 +138,7 @@
         if status == StatusCode::OK {
             return Ok(answer);
         }
-        let body = http::read(answer, self.options.answer_bytes, deadline)
+        let body = http::read_body(answer, self.options.max_response_bytes, deadline)
             .await
             .map_err(classify)?;
         Err(refused(status, &body))
@@ -171,7 +171,7 @@
 
 /// Reads an answer that is not a success.
 fn refused(status: StatusCode, body: &[u8]) -> Error {
-    let cause = http::refusal(status, body);
+    let cause = http::status_error(status, body);
     let Ok(fault) = serde_json::from_slice::<Fault>(body) else {
         return Error::Unknown(cause);
     };
--- a/crates/platform/src/kv/etcd/stream.rs
+++ b/crates/platform/src/kv/etcd/stream.rs
@@ -12,7 +12,7 @@
 use tokio_util::codec::{FramedRead, LinesCodec, LinesCodecError};
 use tokio_util::io::StreamReader;
 
-use crate::Cause;
+use crate::HttpError;
 use crate::kv::etcd::answer::{self, Streamed, Watched};
 use crate::kv::{Error, Event, Options, Watch};
 
@@ -21,7 +21,7 @@
 /// A watch whose next message has not been read.
 struct Reader {
     lines: Lines,
-    silence_ms: u64,
+    watch_idle_timeout_ms: u64,
     events: VecDeque<Event>,
     ended: bool,
 }
@@ -33,14 +33,14 @@
     options: Options,
 ) -> Result<Watch, Error> {
     let mut reader = Reader {
-        lines: lines(answer, options.answer_bytes),
-        silence_ms: options.silence_ms,
+        lines: lines(answer, options.max_response_bytes),
+        watch_idle_timeout_ms: options.watch_idle_timeout_ms,
         events: VecDeque::new(),
         ended: false,
     };
     let first = reader.message(deadline).await?;
     if !first.created {
-        let cause = Cause::Unreadable("watch does not begin with its creation".to_owned());
+        let cause = HttpError::Malformed("watch does not begin with its creation".to_owned());
         return Err(Error::Unknown(cause));
     }
     reader.take(first.events);
@@ -60,7 +60,7 @@
             if self.ended {
                 return None;
             }
-            let deadline = Instant::now() + Duration::from_millis(self.silence_ms);
+            let deadline = Instant::now() + Duration::from_millis(self.watch_idle_timeout_ms);
             match self.message(deadline).await {
                 Ok(message) => self.take(message.events),
                 Err(error) => {
@@ -77,19 +77,25 @@
 
     async fn message(&mut self, deadline: Instant) -> Result<Watched, Error> {
         let Ok(line) = timeout_at(deadline.into(), self.lines.next()).await else {
-            return Err(Error::Unknown(Cause::Late));
+            return Err(Error::Unknown(HttpError::TimedOut));
         };
         let line = match line {
             Some(Ok(line)) => line,
-            Some(Err(error)) => return Err(Error::Unknown(Cause::Cut(error.to_string()))),
-            None => return Err(Error::Unknown(Cause::Cut("watch ended".to_owned()))),
+            Some(Err(error)) => {
+                return Err(Error::Unknown(HttpError::Disconnected(error.to_string())));
+            }
+            None => {
+                return Err(Error::Unknown(HttpError::Disconnected(
+                    "watch ended".to_owned(),
+                )));
+            }
         };
         parse(&line)
     }
 }
 
 fn parse(line: &str) -> Result<Watched, Error> {
-    let unreadable = |text| Error::Unknown(Cause::Unreadable(text));
+    let unreadable = |text| Error::Unknown(HttpError::Malformed(text));
     let message: Streamed<Watched> =
         serde_json::from_str(line).map_err(|error| unreadable(error.to_string()))?;
     if let Some(error) = message.error {
@@ -102,7 +108,9 @@
         return Err(Error::Compacted(watched.compact_revision));
     }
     if watched.canceled {
-        return Err(Error::Unknown(Cause::Cut(watched.cancel_reason)));
+        return Err(Error::Unknown(HttpError::Disconnected(
+            watched.cancel_reason,
+        )));
     }
     Ok(watched)
 }
--- a/crates/platform/src/kv/feed.rs
+++ b/crates/platform/src/kv/feed.rs
@@ -35,8 +35,8 @@
     /// Opens a lease of at least `ttl_ms` milliseconds.
     fn grant(&self, ttl_ms: u64) -> Call<'_, Lease>;
 
-    /// Renews a lease; [`crate::kv::Error::Lapsed`] when it has ended.
-    fn keep(&self, id: LeaseId) -> Call<'_, Lease>;
+    /// Renews a lease; [`crate::kv::Error::LeaseExpired`] when it has ended.
+    fn keep_alive(&self, id: LeaseId) -> Call<'_, Lease>;
 
     /// Writes a key that goes when the lease ends.
     fn put<'a>(&'a self, key: &'a str, value: &'a [u8], lease: LeaseId) -> Call<'a, ()>;
--- a/crates/platform/src/vm/error.rs
+++ b/crates/platform/src/vm/error.rs
@@ -2,13 +2,13 @@
 
 use displaydoc::Display;
 
-use crate::Cause;
+use crate::HttpError;
 
 /// Why the VM list could not be read.
 #[derive(Debug, Display)]
 pub enum Error {
     /// could not read VM list: {0}
-    Read(Cause),
+    Read(HttpError),
 }
 
 impl std::error::Error for Error {}
--- a/crates/platform/src/vm/http.rs
+++ b/crates/platform/src/vm/http.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 use crate::vm::{Call, Error, Vm, Vms};
-use crate::{Cause, http};
+use crate::{HttpError, http};
 
 /// Path of the list.
 const PATH: &str = "/vms";
@@ -38,9 +38,9 @@
 impl Http {
     /// Opens a client. It connects when the first call is made.
     #[must_use]
-    pub fn open(endpoint: SocketAddr) -> Self {
+    pub fn new(endpoint: SocketAddr) -> Self {
         Self {
-            http: http::Http::open(CONNECT_MS),
+            http: http::Http::new(CONNECT_MS),
             endpoint,
         }
     }
@@ -51,7 +51,7 @@
         let answered = self.http.call(request, LIST_BYTES, deadline).await;
         let body = answered.map_err(|failure| Error::Read(failure.cause))?;
         let list: List = serde_json::from_slice(&body)
-            .map_err(|error| Error::Read(Cause::Unreadable(error.to_string())))?;
+            .map_err(|error| Error::Read(HttpError::Malformed(error.to_string())))?;
         Ok(list.vms)
     }
 
--- a/crates/platform/tests/counters.rs
+++ b/crates/platform/tests/counters.rs
@@ -21,10 +21,10 @@
         .expect("runtime");
     metrics::with_local_recorder(&recorder, || {
         runtime.block_on(async {
-            let client = Etcd::open(vec![nowhere(), nowhere()], Options::default());
+            let client = Etcd::new(vec![nowhere(), nowhere()], Options::default());
             let swap = client.swap("k", Expect::Any, None, None).await;
             expect_that!(swap, err(anything()));
-            let list = vm::Http::open(nowhere()).list().await;
+            let list = vm::Http::new(nowhere()).list().await;
             expect_that!(list, err(anything()));
         });
     });
--- a/crates/platform/tests/edge.rs
+++ b/crates/platform/tests/edge.rs
@@ -4,18 +4,18 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use googletest::prelude::*;
-use mulberryyoke_platform::Cause;
+use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::kv::{self, Etcd, Expect, Kv, Options};
 use mulberryyoke_platform::vm::{self, Vms};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
 const OPTIONS: Options = Options {
-    connect_ms: 10_000,
-    call_ms: 500,
-    silence_ms: 10_000,
-    answer_bytes: 1_000,
-    page_keys: 10,
+    connect_timeout_ms: 10_000,
+    call_timeout_ms: 500,
+    watch_idle_timeout_ms: 10_000,
+    max_response_bytes: 1_000,
+    page_size: 10,
 };
 
 /// What an endpoint does once it has read something.
@@ -65,10 +65,10 @@
 
 fn told(error: &kv::Error) -> Option<Told> {
     match error {
-        kv::Error::Unknown(Cause::Cut(_)) => Some(Told::Cut),
-        kv::Error::Unknown(Cause::Late) => Some(Told::Late),
-        kv::Error::Unknown(Cause::Status { status, .. }) => Some(Told::Status(*status)),
-        kv::Error::Unknown(Cause::Unreadable(_)) => Some(Told::Unreadable),
+        kv::Error::Unknown(HttpError::Disconnected(_)) => Some(Told::Cut),
+        kv::Error::Unknown(HttpError::TimedOut) => Some(Told::Late),
+        kv::Error::Unknown(HttpError::Status { status, .. }) => Some(Told::Status(*status)),
+        kv::Error::Unknown(HttpError::Malformed(_)) => Some(Told::Unreadable),
         _ => None,
     }
 }
@@ -104,7 +104,7 @@
     let silence = [(Reaction::Silence, Told::Late)];
     for (reaction, expected) in cases.into_iter().chain(silence) {
         let address = endpoint(reaction).await;
-        let client = Etcd::open(vec![address], OPTIONS);
+        let client = Etcd::new(vec![address], OPTIONS);
         let swap = client.swap("k", Expect::Any, None, None).await;
         let swap = swap.expect_err("failure");
         expect_true!(swap.may_have_taken_effect());
@@ -113,7 +113,7 @@
         expect_that!(told(&get), some(eq(expected)), "{reaction:?}: {get}");
         let watch = client.watch("k", 0).await;
         expect_that!(watch, err(pat!(kv::Error::Unknown(_))), "{reaction:?}");
-        let list = vm::Http::open(address).list().await;
+        let list = vm::Http::new(address).list().await;
         expect_that!(list, err(pat!(vm::Error::Read(_))), "{reaction:?}");
     }
 }
@@ -123,7 +123,7 @@
 async fn a_refusal_by_the_service_had_no_effect() {
     let answer = "HTTP/1.1 400 Bad Request\r\ncontent-length: 25\r\n\r\n\
         {\"code\":3,\"message\":\"no\"}";
-    let client = Etcd::open(vec![endpoint(Reaction::Write(answer)).await], OPTIONS);
+    let client = Etcd::new(vec![endpoint(Reaction::Write(answer)).await], OPTIONS);
     let swap = client.swap("k", Expect::Any, None, None).await;
     let error = swap.expect_err("refusal");
     expect_that!(error, pat!(kv::Error::Refused(_)));
@@ -133,11 +133,11 @@
 #[gtest]
 #[tokio::test]
 async fn what_was_not_sent_is_told() {
-    let none = Etcd::open(Vec::new(), OPTIONS);
-    let refused = Etcd::open(vec![nowhere().await, nowhere().await], OPTIONS);
+    let none = Etcd::new(Vec::new(), OPTIONS);
+    let refused = Etcd::new(vec![nowhere().await, nowhere().await], OPTIONS);
     for client in [none, refused] {
         let swap = client.swap("k", Expect::Absent, None, None).await;
-        let unsent = pat!(kv::Error::Unsent(pat!(Cause::Connect(_))));
+        let unsent = pat!(kv::Error::Unsent(pat!(HttpError::Connect(_))));
         expect_that!(swap, err(unsent));
         let get = client.get("k").await;
         expect_that!(get, err(pat!(kv::Error::Unsent(_))));
@@ -146,8 +146,11 @@
         let lease = client.lease_grant(1_000).await;
         expect_that!(lease, err(pat!(kv::Error::Unsent(_))));
     }
-    let list = vm::Http::open(nowhere().await).list().await;
-    expect_that!(list, err(pat!(vm::Error::Read(pat!(Cause::Connect(_))))));
+    let list = vm::Http::new(nowhere().await).list().await;
+    expect_that!(
+        list,
+        err(pat!(vm::Error::Read(pat!(HttpError::Connect(_)))))
+    );
 }
 
 #[gtest]
@@ -158,9 +161,9 @@
     let answers = endpoint(Reaction::Write(found)).await;
     for reaction in [Reaction::Silence, Reaction::Write("")] {
         let endpoints = vec![nowhere().await, endpoint(reaction).await, answers];
-        let reader = Etcd::open(endpoints.clone(), OPTIONS);
+        let reader = Etcd::new(endpoints.clone(), OPTIONS);
         expect_that!(reader.get("k").await, ok(none()), "{reaction:?}");
-        let writer = Etcd::open(endpoints, OPTIONS);
+        let writer = Etcd::new(endpoints, OPTIONS);
         let swap = writer.swap("k", Expect::Any, None, None).await;
         expect_that!(swap, err(pat!(kv::Error::Unknown(_))), "{reaction:?}");
         // A write that failed has the next call begin at another endpoint.
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -55,7 +55,7 @@
 impl Gateway {
     /// What is fixed for the life of a process: name, zone and addresses.
     #[must_use]
-    pub fn place(&self) -> (&str, &str, [Option<SocketAddr>; 5]) {
+    pub fn identity(&self) -> (&str, &str, [Option<SocketAddr>; 5]) {
         let addresses = [
             Some(self.callers),
             Some(self.health),
@@ -68,15 +68,15 @@
 
     /// These settings at the place of others.
     #[must_use]
-    pub fn at(self, place: &Self) -> Self {
+    pub fn with_identity_of(self, other: &Self) -> Self {
         Self {
-            name: place.name.clone(),
-            zone: place.zone.clone(),
-            callers: place.callers,
-            health: place.health,
-            control: place.control,
-            handoff: place.handoff,
-            store: place.store,
+            name: other.name.clone(),
+            zone: other.zone.clone(),
+            callers: other.callers,
+            health: other.health,
+            control: other.control,
+            handoff: other.handoff,
+            store: other.store,
             ..self
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,5 +17,5 @@
 pub use operator::Operator;
 pub use read::{check, read_gateway, read_router, read_sidecar};
 pub use role::Role;
-pub use router::{Log, Policy, Router};
+pub use router::{LogFormat, Policy, Router};
 pub use sidecar::Sidecar;
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -53,7 +53,7 @@
     pub policy: Policy,
     /// Log form: `json` or `terminal`.
     #[serde(default)]
-    pub log: Log,
+    pub log: LogFormat,
 }
 
 /// How requests are ordered and placed.
@@ -70,7 +70,7 @@
 /// Form of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Log {
+pub enum LogFormat {
     /// One JSON object a line.
     #[default]
     Json,
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_model::Kind;
 use serde::Deserialize;
 
-use crate::router::{Log, Policy};
+use crate::router::{LogFormat, Policy};
 
 /// Settings of a sidecar.
 #[derive(Clone, Debug, Deserialize)]
@@ -48,7 +48,7 @@
     pub policy: Policy,
     /// Log form: `json` or `terminal`.
     #[serde(default)]
-    pub log: Log,
+    pub log: LogFormat,
 }
 
 fn prefix() -> String {
--- a/crates/standin/tests/conformance.rs
+++ b/crates/standin/tests/conformance.rs
@@ -14,10 +14,10 @@
 
 fn client(endpoint: SocketAddr) -> Etcd {
     let options = Options {
-        page_keys: 2,
+        page_size: 2,
         ..Options::default()
     };
-    Etcd::open(vec![endpoint], options)
+    Etcd::new(vec![endpoint], options)
 }
 
 async fn put(client: &Etcd, key: &str, value: &str, lease: Option<LeaseId>) -> u64 {
@@ -109,7 +109,7 @@
 
 async fn leases(client: &Etcd) {
     let lease = client.lease_grant(59_500).await.expect("lease");
-    let kept = client.lease_keep(lease.id).await.expect("kept");
+    let kept = client.lease_keep_alive(lease.id).await.expect("kept");
     expect_that!(kept.id, eq(lease.id));
     expect_that!(kept.deadline, ge(lease.deadline));
     let revision = put(client, KEY, "leased", Some(lease.id)).await;
@@ -121,7 +121,10 @@
         next(&mut watch).await,
         eq(&(KEY.to_owned(), None, revision + 1))
     );
-    expect_that!(client.lease_keep(lease.id).await, err(pat!(Error::Lapsed)));
+    expect_that!(
+        client.lease_keep_alive(lease.id).await,
+        err(pat!(Error::LeaseExpired))
+    );
     expect_that!(
         client.lease_revoke(lease.id).await,
         err(pat!(Error::Refused(_)))
--- a/crates/standin/tests/fleet/configuration.rs
+++ b/crates/standin/tests/fleet/configuration.rs
@@ -148,7 +148,7 @@
     let store = std::mem::replace(&mut world.kv, elsewhere).stop();
     // The router cannot see what happens meanwhile.
     let aside = Store::bind_again(store, LOOPBACK).await.unwrap();
-    let client = Etcd::open(vec![aside.address()], Options::default());
+    let client = Etcd::new(vec![aside.address()], Options::default());
     put(&client, "one", None).await;
     // What the service still remembers goes on from here.
     let revision = put(&client, "three", Some(value("three"))).await;
--- a/crates/standin/tests/fleet/world.rs
+++ b/crates/standin/tests/fleet/world.rs
@@ -42,7 +42,7 @@
     pub async fn open() -> Self {
         let kv = Store::bind(LOOPBACK).await.unwrap();
         let vms = vms::Registry::bind(LOOPBACK, Vec::new()).await.unwrap();
-        let client = Etcd::open(vec![kv.address()], Options::default());
+        let client = Etcd::new(vec![kv.address()], Options::default());
         Self { kv, vms, client }
     }
 
@@ -97,7 +97,7 @@
 
     pub async fn put(&self, name: &str, value: Vec<u8>) -> Revision {
         // A new connection, since a test may have cut the others.
-        let client = Etcd::open(vec![self.kv.address()], Options::default());
+        let client = Etcd::new(vec![self.kv.address()], Options::default());
         put(&client, name, Some(value)).await
     }
 }
--- a/crates/standin/tests/kv.rs
+++ b/crates/standin/tests/kv.rs
@@ -5,9 +5,9 @@
 
 use futures::StreamExt;
 use googletest::prelude::*;
-use mulberryyoke_platform::Cause;
+use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::kv::{
-    Error, Etcd, Event, Expect, Kv, LeaseId, Options, Pair, Swap, VALUE_BYTES, Watch,
+    Error, Etcd, Event, Expect, Kv, LeaseId, MAX_VALUE_BYTES, Options, Pair, Swap, Watch,
 };
 use mulberryyoke_standin::kv::{Failure, Handle, Order, Store, Switch};
 
@@ -21,7 +21,7 @@
 }
 
 fn client(handle: &Handle) -> Etcd {
-    Etcd::open(vec![handle.address()], Options::default())
+    Etcd::new(vec![handle.address()], Options::default())
 }
 
 fn once(handle: &Handle, order: Order) {
@@ -154,7 +154,10 @@
     let lost = client
         .swap("k", Expect::Absent, Some("v".into()), None)
         .await;
-    expect_that!(lost, err(pat!(Error::Unknown(pat!(Cause::Cut(_))))));
+    expect_that!(
+        lost,
+        err(pat!(Error::Unknown(pat!(HttpError::Disconnected(_)))))
+    );
     expect_that!(client.get("k").await, ok(some(eq(&pair("k", "v", 2)))));
     let again = client
         .swap("k", Expect::Absent, Some("v".into()), None)
@@ -178,7 +181,10 @@
     let refused = client.swap("k", Expect::Any, Some("3".into()), None).await;
     expect_that!(refused, err(anything()));
     let refused = client.swap("k", Expect::Any, Some("3".into()), None).await;
-    expect_that!(refused, err(pat!(Error::Unsent(pat!(Cause::Connect(_))))));
+    expect_that!(
+        refused,
+        err(pat!(Error::Unsent(pat!(HttpError::Connect(_)))))
+    );
     let handle = store.bind_again(address).await.expect("port");
     expect_that!(client.get("k").await, ok(some(eq(&pair("k", "1", 2)))));
     drop(handle);
@@ -191,7 +197,7 @@
     let (down, _) = open().await;
     let endpoints = vec![down.address(), handle.address()];
     drop(down);
-    let client = Etcd::open(endpoints, Options::default());
+    let client = Etcd::new(endpoints, Options::default());
     expect_that!(put(&client, "k", "v").await, eq(2));
     expect_that!(client.get("k").await, ok(some(eq(&pair("k", "v", 2)))));
 }
@@ -202,10 +208,10 @@
     let (handle, client) = open().await;
     let mut watch = client.watch("", 0).await.expect("watch");
     let options = Options {
-        call_ms: 1_000,
+        call_timeout_ms: 1_000,
         ..Options::default()
     };
-    let hasty = Etcd::open(vec![handle.address()], options);
+    let hasty = Etcd::new(vec![handle.address()], options);
     handle.switch(&Switch {
         delay_ms: Some(3_600_000),
         ..Switch::default()
@@ -213,7 +219,7 @@
     let late = hasty
         .swap("k", Expect::Absent, Some("v".into()), None)
         .await;
-    expect_that!(late, err(pat!(Error::Unknown(pat!(Cause::Late)))));
+    expect_that!(late, err(pat!(Error::Unknown(pat!(HttpError::TimedOut)))));
     expect_that!(hasty.range("").await, err(pat!(Error::Unknown(_))));
     handle.switch(&Switch {
         delay_ms: Some(0),
@@ -316,12 +322,15 @@
     expect_that!(swap, ok(eq(&Swap::Done(2))));
     let held = client.get("k").await.expect("read").expect("there");
     expect_that!(held.lease, some(eq(lease.id)));
-    let kept = client.lease_keep(lease.id).await.expect("kept");
+    let kept = client.lease_keep_alive(lease.id).await.expect("kept");
     expect_that!(kept.deadline, ge(lease.deadline));
     let mut watch = client.watch("", 0).await.expect("watch");
     once(&handle, Order::LapseLeases);
     expect_that!(next(&mut watch).await, eq(&event("k", None, 3)));
-    expect_that!(client.lease_keep(lease.id).await, err(pat!(Error::Lapsed)));
+    expect_that!(
+        client.lease_keep_alive(lease.id).await,
+        err(pat!(Error::LeaseExpired))
+    );
 }
 
 #[gtest]
@@ -350,15 +359,15 @@
     let gone = Some(LeaseId(77));
     let refused = client.swap("k", Expect::Any, Some("v".into()), gone).await;
     expect_that!(refused, err(pat!(Error::Refused(_))));
-    let large = vec![0; VALUE_BYTES + 1];
+    let large = vec![0; MAX_VALUE_BYTES + 1];
     let refused = client.swap("k", Expect::Any, Some(large), None).await;
     let limit = pat!(Error::TooLarge {
-        bytes: eq(&(VALUE_BYTES + 1)),
-        limit: eq(&VALUE_BYTES)
+        bytes: eq(&(MAX_VALUE_BYTES + 1)),
+        limit: eq(&MAX_VALUE_BYTES)
     });
     expect_that!(refused, err(limit));
     expect_that!(handle.stats().calls["txn"], eq(1));
-    let largest = vec![0; VALUE_BYTES];
+    let largest = vec![0; MAX_VALUE_BYTES];
     let done = client.swap("k", Expect::Absent, Some(largest), None).await;
     expect_that!(done, ok(eq(&Swap::Done(2))));
 }
@@ -457,12 +466,12 @@
 async fn a_silent_watch_ends_with_an_error() {
     let (handle, _) = open().await;
     let options = Options {
-        silence_ms: 50,
+        watch_idle_timeout_ms: 50,
         ..Options::default()
     };
-    let client = Etcd::open(vec![handle.address()], options);
+    let client = Etcd::new(vec![handle.address()], options);
     let mut watch = client.watch("k", 0).await.expect("watch");
-    let late = pat!(Error::Unknown(pat!(Cause::Late)));
+    let late = pat!(Error::Unknown(pat!(HttpError::TimedOut)));
     expect_that!(watch.next().await, some(err(late)));
     expect_that!(watch.next().await, none());
     drop(watch);
@@ -478,10 +487,10 @@
         put(&client, key, "v").await;
     }
     let options = Options {
-        page_keys: 2,
+        page_size: 2,
         ..Options::default()
     };
-    let client = Etcd::open(vec![handle.address()], options);
+    let client = Etcd::new(vec![handle.address()], options);
     let listing = client.range("").await.expect("listing");
     let held: Vec<String> = listing.entries.into_iter().map(|pair| pair.key).collect();
     expect_that!(held, eq(&keys));
--- a/crates/standin/tests/vms.rs
+++ b/crates/standin/tests/vms.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use googletest::prelude::*;
-use mulberryyoke_platform::Cause;
+use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::vm::{Error, Http, Role, State, Vm, Vms};
 use mulberryyoke_standin::vms::{Handle, Registry, Switch};
 
@@ -23,7 +23,7 @@
     let vms = vec![vm("router-1", Role::Router), vm("model-1", Role::Sidecar)];
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let handle = Registry::bind(address, vms).await.expect("port");
-    let client = Http::open(handle.address());
+    let client = Http::new(handle.address());
     (handle, client)
 }
 
@@ -96,7 +96,7 @@
     handle.switch(outage(true));
     expect_that!(
         client.list().await,
-        err(pat!(Error::Read(pat!(Cause::Cut(_)))))
+        err(pat!(Error::Read(pat!(HttpError::Disconnected(_)))))
     );
     handle.switch(outage(false));
     expect_that!(states(&client).await, eq(&shown(State::Live)));
