--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -16,21 +16,21 @@
 
 use crate::HttpError;
 
-/// Longest text of an error answer that is kept, in characters.
-const MESSAGE_CHARS: usize = 200;
+/// Maximum length of an error message taken from a response body, in characters.
+const MAX_MESSAGE_CHARS: usize = 200;
 
-/// Time after which an unused connection is closed, in milliseconds.
-const IDLE_MS: u64 = 30_000;
+/// Idle timeout of pooled connections, in milliseconds.
+const IDLE_TIMEOUT_MS: u64 = 30_000;
 
-/// Time without traffic after which the system probes a connection, in milliseconds.
-const KEEPALIVE_MS: u64 = 10_000;
+/// Idle time before TCP keepalive probes and interval between them, in milliseconds.
+const KEEPALIVE_INTERVAL_MS: u64 = 10_000;
 
 /// Why a call failed.
 #[derive(Debug)]
 pub struct Failure {
-    /// Whether the request may have reached the service.
+    /// Whether the request may have reached the server.
     pub sent: bool,
-    /// What went wrong.
+    /// The error.
     pub cause: HttpError,
 }
 
@@ -47,43 +47,43 @@
     }
 }
 
-/// An HTTP/1.1 client with a pool of connections.
+/// HTTP/1.1 client with a connection pool.
 #[derive(Debug)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Http {
-    /// Opens a client that gives up connecting after `connect_timeout_ms` milliseconds.
+    /// Creates a client with a connect timeout in milliseconds.
     #[must_use]
     pub fn new(connect_timeout_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_millis(connect_timeout_ms)));
-        connector.set_keepalive(Some(Duration::from_millis(KEEPALIVE_MS)));
-        connector.set_keepalive_interval(Some(Duration::from_millis(KEEPALIVE_MS)));
+        connector.set_keepalive(Some(Duration::from_millis(KEEPALIVE_INTERVAL_MS)));
+        connector.set_keepalive_interval(Some(Duration::from_millis(KEEPALIVE_INTERVAL_MS)));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_millis(IDLE_MS))
+            .pool_idle_timeout(Duration::from_millis(IDLE_TIMEOUT_MS))
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and returns the answer's head and unread body.
+    /// Sends a request and returns the response with its body unread.
     ///
     /// # Errors
     ///
-    /// [`Failure`] when no answer has begun by the deadline.
+    /// [`Failure`] when no response starts before the deadline.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
         deadline: Instant,
     ) -> Result<Response<Incoming>, Failure> {
-        let Ok(answer) = timeout_at(deadline.into(), self.client.request(request)).await else {
+        let Ok(response) = timeout_at(deadline.into(), self.client.request(request)).await else {
             return Err(Failure::after_sending(HttpError::TimedOut));
         };
-        answer.map_err(|error| {
-            let text = error.source().map_or(error.to_string(), chain);
+        response.map_err(|error| {
+            let text = error.source().map_or(error.to_string(), error_chain);
             if error.is_connect() {
                 return Failure::before_sending(text);
             }
@@ -91,32 +91,32 @@
         })
     }
 
-    /// Sends a request and returns the whole body of a successful answer.
+    /// Sends a request and returns the body of a response with status 200.
     ///
     /// # Errors
     ///
-    /// [`Failure`] when no whole answer has come by the deadline, or it is no success.
+    /// [`Failure`] when the response is incomplete at the deadline or has another status.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
         limit: usize,
         deadline: Instant,
     ) -> Result<Bytes, Failure> {
-        let answer = self.send(request, deadline).await?;
-        let status = answer.status();
-        let whole = read_body(answer, limit, deadline).await?;
+        let response = self.send(request, deadline).await?;
+        let status = response.status();
+        let body = read_body(response, limit, deadline).await?;
         if status == StatusCode::OK {
-            return Ok(whole);
+            return Ok(body);
         }
-        Err(Failure::after_sending(status_error(status, &whole)))
+        Err(Failure::after_sending(status_error(status, &body)))
     }
 }
 
-/// A request to an endpoint.
+/// Builds a request to an endpoint, with content type JSON.
 ///
 /// # Panics
 ///
-/// When `path` is no path of a URI.
+/// If `path` is not a valid URI path.
 #[must_use]
 pub fn request(
     method: Method,
@@ -133,40 +133,40 @@
     request
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a response body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// [`Failure`] when the body does not end by the deadline or is larger.
+/// [`Failure`] when the body is incomplete at the deadline or exceeds `limit`.
 pub async fn read_body(
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     limit: usize,
     deadline: Instant,
 ) -> Result<Bytes, Failure> {
-    let body = Limited::new(answer.into_body(), limit);
+    let body = Limited::new(response.into_body(), limit);
     let Ok(collected) = timeout_at(deadline.into(), body.collect()).await else {
         return Err(Failure::after_sending(HttpError::TimedOut));
     };
     match collected {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) => Err(Failure::after_sending(HttpError::Disconnected(chain(
-            error.as_ref(),
-        )))),
+        Err(error) => Err(Failure::after_sending(HttpError::Disconnected(
+            error_chain(error.as_ref()),
+        ))),
     }
 }
 
-/// Describes an answer that is not a success.
+/// Builds the error for a response that is not a success.
 #[must_use]
 pub fn status_error(status: StatusCode, body: &[u8]) -> HttpError {
     let text = String::from_utf8_lossy(body);
     HttpError::Status {
         status: status.as_u16(),
-        message: text.trim().chars().take(MESSAGE_CHARS).collect(),
+        message: text.trim().chars().take(MAX_MESSAGE_CHARS).collect(),
     }
 }
 
-/// An error with those that caused it.
-fn chain(error: &(dyn std::error::Error + 'static)) -> String {
+/// Formats an error followed by its sources.
+fn error_chain(error: &(dyn std::error::Error + 'static)) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(error) = source {
--- a/crates/platform/src/http_error.rs
+++ b/crates/platform/src/http_error.rs
@@ -1,24 +1,24 @@
-//! What went wrong with a call over HTTP.
+//! Errors of HTTP calls.
 
 use displaydoc::Display;
 
-/// What went wrong with a call over HTTP.
+/// Why an HTTP call failed.
 #[derive(Debug, Display)]
 pub enum HttpError {
     /// could not connect: {0}
     Connect(String),
-    /// connection was cut: {0}
+    /// connection lost: {0}
     Disconnected(String),
-    /// no answer before the deadline
+    /// no response before the deadline
     TimedOut,
     /// status {status}: {message}
     Status {
         /// HTTP status code.
         status: u16,
-        /// What the service said.
+        /// Start of the response body.
         message: String,
     },
-    /// unreadable answer: {0}
+    /// unreadable response: {0}
     Malformed(String),
 }
 
--- a/crates/platform/src/kv.rs
+++ b/crates/platform/src/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service: compare-and-swap, leases and watches.
+//! Client of the key-value service: compare-and-swap, leases and watches.
 
 mod error;
 mod etcd;
@@ -26,25 +26,25 @@
 pub use self::swap::Swap;
 pub use self::watch::Watch;
 
-/// Revision of the service; every write raises it.
+/// Revision of the key-value service, increased by every write.
 pub type Revision = u64;
 
-/// A call to the service.
+/// A call to the key-value service.
 pub type Call<'a, T> = crate::Call<'a, T, Error>;
 
-/// Largest value that the service holds, in bytes.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// The key-value service, usable as `Arc<dyn Kv>`.
+/// Client of the key-value service, usable as `Arc<dyn Kv>`.
 pub trait Kv: Send + Sync {
-    /// Reads all keys that start with `prefix`, as of one revision.
+    /// Reads all keys that start with `prefix` at a single revision.
     fn range<'a>(&'a self, prefix: &'a str) -> Call<'a, Listing>;
 
     /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> Call<'a, Option<Pair>>;
 
-    /// Writes `value` under `key`, or deletes the key when `value` is `None`, if the
-    /// key is as expected. A key written with a lease goes when the lease lapses.
+    /// Writes `value` under `key`, or deletes the key when `value` is `None`, if the key
+    /// matches `expected`. A key written with a lease is deleted when the lease expires.
     fn swap<'a>(
         &'a self,
         key: &'a str,
@@ -53,17 +53,17 @@
         lease: Option<LeaseId>,
     ) -> Call<'a, Swap>;
 
-    /// Opens a watch of all keys that start with `prefix`, beginning with the write
-    /// of revision `from` (0 for only new ones). A watch that was cut ends after an
-    /// error; the caller opens another, from the revision after the last one seen.
+    /// Watches all keys that start with `prefix`, from revision `from` on (0 for new writes
+    /// only). A watch that fails yields the error and ends; the caller opens another from
+    /// the revision after the last one received.
     fn watch<'a>(&'a self, prefix: &'a str, from: Revision) -> Call<'a, Watch>;
 
-    /// Opens a lease of at least `ttl_ms` milliseconds, rounded up to whole seconds.
+    /// Grants a lease of at least `ttl_ms` milliseconds, rounded up to whole seconds.
     fn lease_grant(&self, ttl_ms: u64) -> Call<'_, Lease>;
 
     /// Renews a lease.
     fn lease_keep_alive(&self, id: LeaseId) -> Call<'_, Lease>;
 
-    /// Ends a lease and deletes the keys written with it.
+    /// Revokes a lease and deletes the keys attached to it.
     fn lease_revoke(&self, id: LeaseId) -> Call<'_, ()>;
 }
--- a/crates/platform/src/kv/error.rs
+++ b/crates/platform/src/kv/error.rs
@@ -10,31 +10,31 @@
 pub enum Error {
     /// could not reach key-value service: {0}
     Unsent(HttpError),
-    /// could not tell whether key-value service carried the call out: {0}
+    /// could not determine whether key-value service executed the call: {0}
     Unknown(HttpError),
-    /// could not have call accepted by key-value service: {0}
+    /// could not make call: key-value service refused it: {0}
     Refused(HttpError),
-    /// could not read from revision: compacted up to {0}
+    /// could not read from revision: compacted up to revision {0}
     Compacted(Revision),
-    /// could not keep lease: it has lapsed
+    /// could not renew lease: it has lapsed
     LeaseExpired,
-    /// could not write value: {bytes} bytes are over the limit of {limit}
+    /// could not write value: {bytes} bytes exceed the limit of {limit}
     TooLarge {
         /// Size of the value, in bytes.
         bytes: usize,
-        /// Largest size, in bytes.
+        /// Maximum size, in bytes.
         limit: usize,
     },
 }
 
 impl Error {
-    /// Whether a write that failed like this may still have taken effect.
+    /// Whether a write that failed with this error may have taken effect.
     #[must_use]
     pub const fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Unknown(_))
     }
 
-    /// Its name in metrics.
+    /// Value of the metric label `kind`.
     pub(crate) const fn kind(&self) -> &'static str {
         match self {
             Self::Unsent(_) => "unsent",
--- a/crates/platform/src/kv/etcd.rs
+++ b/crates/platform/src/kv/etcd.rs
@@ -1,50 +1,49 @@
-//! The key-value service met by the JSON gateway of etcd v3.
+//! The key-value service through the JSON gateway of etcd v3.
 
-mod answer;
-mod link;
+mod encoding;
 mod method;
 mod request;
+mod response;
 mod stream;
-mod text;
+mod transport;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use self::link::Link;
 use self::method::Method;
+use self::transport::Transport;
 use crate::HttpError;
 use crate::kv::{
     Call, Error, Expect, Kv, Lease, LeaseId, Listing, MAX_VALUE_BYTES, Options, Pair, Revision,
     Swap, Watch,
 };
 
-/// A client of the JSON gateway of etcd v3.
+/// Client of the JSON gateway of etcd v3.
 #[derive(Clone, Debug)]
 pub struct Etcd {
-    link: Arc<Link>,
+    transport: Arc<Transport>,
     options: Options,
 }
 
 impl Etcd {
-    /// Opens a client. It connects when the first call is made, and tries the
-    /// endpoints in turn.
+    /// Creates a client, which connects on the first call and tries the endpoints in turn.
     #[must_use]
     pub fn new(endpoints: Vec<SocketAddr>, options: Options) -> Self {
         Self {
-            link: Arc::new(Link::new(endpoints, options)),
+            transport: Arc::new(Transport::new(endpoints, options)),
             options,
         }
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        let deadline = self.link.deadline();
+        let deadline = self.transport.deadline();
         let mut listing = Listing::default();
         let mut first = prefix.to_owned();
         loop {
             let limit = self.options.page_size;
             let body = request::range(&first, prefix, listing.revision, limit);
-            let page: answer::Range = self.link.call(Method::Range, body, deadline).await?;
+            let page: response::Range = self.transport.call(Method::Range, body, deadline).await?;
             if listing.revision == 0 {
                 listing.revision = page.header.revision;
             }
@@ -57,13 +56,13 @@
     }
 
     async fn read(&self, key: &str) -> Result<Option<Pair>, Error> {
-        let deadline = self.link.deadline();
+        let deadline = self.transport.deadline();
         let body = request::get(key);
-        let found: answer::Range = self.link.call(Method::Range, body, deadline).await?;
+        let found: response::Range = self.transport.call(Method::Range, body, deadline).await?;
         Ok(found.kvs.into_iter().next().map(Pair::from))
     }
 
-    async fn write(
+    async fn compare_and_swap(
         &self,
         key: &str,
         expected: Expect,
@@ -77,65 +76,76 @@
                 limit: MAX_VALUE_BYTES,
             });
         }
-        let deadline = self.link.deadline();
+        let deadline = self.transport.deadline();
         let body = request::swap(key, expected, value.as_deref(), lease);
-        let answer: answer::Txn = self.link.call(Method::Txn, body, deadline).await?;
-        if answer.succeeded {
-            return Ok(Swap::Done(answer.header.revision));
+        let txn: response::Txn = self.transport.call(Method::Txn, body, deadline).await?;
+        if txn.succeeded {
+            return Ok(Swap::Done(txn.header.revision));
         }
-        let found = answer.responses.into_iter().next();
-        let Some(found) = found.and_then(|response| response.response_range) else {
-            let cause = HttpError::Malformed("transaction without what is there now".to_owned());
+        let found = txn.responses.into_iter().next();
+        let Some(found) = found.and_then(|operation| operation.response_range) else {
+            let cause =
+                HttpError::Malformed("transaction response lacks the current entry".to_owned());
             return Err(Error::Unknown(cause));
         };
         Ok(Swap::Conflict(found.kvs.into_iter().next().map(Pair::from)))
     }
 
     async fn open_watch(&self, prefix: &str, from: Revision) -> Result<Watch, Error> {
-        let deadline = self.link.deadline();
+        let deadline = self.transport.deadline();
         let body = request::watch(prefix, from);
-        let answer = self.link.send(Method::Watch, body, deadline).await?;
-        let opened = stream::open(answer, deadline, self.options).await;
-        opened.map_err(|error| self.link.fail(Method::Watch, error))
+        let response = self.transport.send(Method::Watch, body, deadline).await?;
+        let opened = stream::open(response, deadline, self.options).await;
+        opened.map_err(|error| self.transport.record_failure(Method::Watch, error))
     }
 
     async fn grant(&self, ttl_ms: u64) -> Result<Lease, Error> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let body = request::grant(ttl_ms.div_ceil(1_000));
-        let deadline = self.link.deadline();
-        let lease: answer::Lease = self.link.call(Method::LeaseGrant, body, deadline).await?;
-        held(begun, &lease)
+        let deadline = self.transport.deadline();
+        let lease: response::Lease = self
+            .transport
+            .call(Method::LeaseGrant, body, deadline)
+            .await?;
+        granted_lease(started, &lease)
     }
 
-    async fn keep(&self, id: LeaseId) -> Result<Lease, Error> {
-        let begun = Instant::now();
+    async fn keep_alive(&self, id: LeaseId) -> Result<Lease, Error> {
+        let started = Instant::now();
         let body = request::lease(id);
-        let deadline = self.link.deadline();
-        let kept: answer::Streamed<answer::Lease> =
-            self.link.call(Method::LeaseKeep, body, deadline).await?;
-        let Some(lease) = kept.result else {
-            let text = kept.error.map_or(String::new(), |error| error.to_string());
+        let deadline = self.transport.deadline();
+        let renewed: response::StreamItem<response::Lease> = self
+            .transport
+            .call(Method::LeaseKeepAlive, body, deadline)
+            .await?;
+        let Some(lease) = renewed.result else {
+            let text = renewed
+                .error
+                .map_or(String::new(), |error| error.to_string());
             return Err(Error::Unknown(HttpError::Malformed(text)));
         };
-        held(begun, &lease)
+        granted_lease(started, &lease)
     }
 
     async fn revoke(&self, id: LeaseId) -> Result<(), Error> {
-        let deadline = self.link.deadline();
+        let deadline = self.transport.deadline();
         let body = request::lease(id);
-        let _: serde_json::Value = self.link.call(Method::LeaseRevoke, body, deadline).await?;
+        let _: serde_json::Value = self
+            .transport
+            .call(Method::LeaseRevoke, body, deadline)
+            .await?;
         Ok(())
     }
 }
 
-/// The lease that an answer speaks of; one without time left has lapsed.
-fn held(begun: Instant, lease: &answer::Lease) -> Result<Lease, Error> {
+/// Converts a lease response. A TTL of 0 means that the lease has expired.
+fn granted_lease(started: Instant, lease: &response::Lease) -> Result<Lease, Error> {
     if lease.ttl_s == 0 {
         return Err(Error::LeaseExpired);
     }
     Ok(Lease {
         id: LeaseId(lease.id),
-        deadline: begun + Duration::from_secs(lease.ttl_s),
+        deadline: started + Duration::from_secs(lease.ttl_s),
     })
 }
 
@@ -155,7 +165,7 @@
         value: Option<Vec<u8>>,
         lease: Option<LeaseId>,
     ) -> Call<'a, Swap> {
-        Box::pin(self.write(key, expected, value, lease))
+        Box::pin(self.compare_and_swap(key, expected, value, lease))
     }
 
     fn watch<'a>(&'a self, prefix: &'a str, from: Revision) -> Call<'a, Watch> {
@@ -167,7 +177,7 @@
     }
 
     fn lease_keep_alive(&self, id: LeaseId) -> Call<'_, Lease> {
-        Box::pin(self.keep(id))
+        Box::pin(self.keep_alive(id))
     }
 
     fn lease_revoke(&self, id: LeaseId) -> Call<'_, ()> {
--- a/crates/platform/src/kv/etcd/text.rs
+++ b/crates/platform/src/kv/etcd/encoding.rs
@@ -1,11 +1,11 @@
-//! Forms of the gateway's JSON: bytes in base64 and 64-bit numbers as strings.
+//! JSON encoding of the gateway: bytes in base64 and 64-bit integers as strings.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-/// A 64-bit number, which the gateway writes as a string.
+/// 64-bit integer, which the gateway may encode as a string.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Number {
@@ -13,23 +13,23 @@
     Plain(u64),
 }
 
-/// Writes bytes in base64.
+/// Encodes bytes in base64.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     STANDARD.encode(bytes)
 }
 
-/// Reads bytes in base64.
+/// Decodes bytes from base64.
 pub(crate) fn bytes<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
     let text = String::deserialize(deserializer)?;
     STANDARD.decode(text).map_err(D::Error::custom)
 }
 
-/// Reads a key.
+/// Decodes a key.
 pub(crate) fn key<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
     String::from_utf8(bytes(deserializer)?).map_err(D::Error::custom)
 }
 
-/// Reads a 64-bit number.
+/// Decodes a 64-bit integer.
 pub(crate) fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     match Number::deserialize(deserializer)? {
         Number::Text(text) => text.parse().map_err(D::Error::custom),
--- a/crates/platform/src/kv/etcd/request.rs
+++ b/crates/platform/src/kv/etcd/request.rs
@@ -1,62 +1,62 @@
-//! Bodies of requests to the gateway.
+//! Request bodies of the gateway.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-use crate::kv::etcd::text;
+use crate::kv::etcd::encoding;
 use crate::kv::{Expect, LeaseId, Revision};
 
-/// Reads one key.
+/// Reads a single key.
 pub(crate) fn get(key: &str) -> Bytes {
-    body(&json!({ "key": text::encode(key.as_bytes()) }))
+    encode_body(&json!({ "key": encoding::encode(key.as_bytes()) }))
 }
 
-/// Reads at most `limit` keys, from `first` up to the last one that starts with
-/// `prefix`, as of a revision (0 for the newest).
+/// Reads at most `limit` keys from `first` to the last key that starts with `prefix`, at a
+/// revision (0 for the latest).
 pub(crate) fn range(first: &str, prefix: &str, revision: Revision, limit: u32) -> Bytes {
-    body(&json!({
-        "key": text::encode(begin(first)),
-        "range_end": text::encode(&end(prefix)),
+    encode_body(&json!({
+        "key": encoding::encode(range_start(first)),
+        "range_end": encoding::encode(&range_end(prefix)),
         "limit": limit.to_string(),
         "revision": revision.to_string(),
     }))
 }
 
-/// Writes or deletes a key if it is as expected, else reads it.
+/// Writes or deletes a key if it matches `expected`, otherwise reads it.
 pub(crate) fn swap(
     key: &str,
     expected: Expect,
     value: Option<&[u8]>,
     lease: Option<LeaseId>,
 ) -> Bytes {
-    let key = text::encode(key.as_bytes());
-    body(&json!({
+    let key = encoding::encode(key.as_bytes());
+    encode_body(&json!({
         "compare": compare(&key, expected),
-        "success": [write(&key, value, lease)],
+        "success": [put_or_delete(&key, value, lease)],
         "failure": [{ "request_range": { "key": key } }],
     }))
 }
 
-/// Opens a watch of the keys that start with `prefix`.
+/// Watches the keys that start with `prefix`.
 pub(crate) fn watch(prefix: &str, from: Revision) -> Bytes {
-    body(&json!({
+    encode_body(&json!({
         "create_request": {
-            "key": text::encode(begin(prefix)),
-            "range_end": text::encode(&end(prefix)),
+            "key": encoding::encode(range_start(prefix)),
+            "range_end": encoding::encode(&range_end(prefix)),
             "start_revision": from.to_string(),
             "progress_notify": true,
         }
     }))
 }
 
-/// Opens a lease.
+/// Grants a lease.
 pub(crate) fn grant(ttl_s: u64) -> Bytes {
-    body(&json!({ "TTL": ttl_s.to_string() }))
+    encode_body(&json!({ "TTL": ttl_s.to_string() }))
 }
 
-/// Renews or ends a lease.
+/// Renews or revokes a lease.
 pub(crate) fn lease(id: LeaseId) -> Bytes {
-    body(&json!({ "ID": id.to_string() }))
+    encode_body(&json!({ "ID": id.to_string() }))
 }
 
 fn compare(key: &str, expected: Expect) -> Value {
@@ -71,26 +71,26 @@
     }
 }
 
-fn write(key: &str, value: Option<&[u8]>, lease: Option<LeaseId>) -> Value {
+fn put_or_delete(key: &str, value: Option<&[u8]>, lease: Option<LeaseId>) -> Value {
     let Some(value) = value else {
         return json!({ "request_delete_range": { "key": key } });
     };
     let lease = lease.map_or(0, |lease| lease.0);
     json!({
-        "request_put": { "key": key, "value": text::encode(value), "lease": lease.to_string() }
+        "request_put": { "key": key, "value": encoding::encode(value), "lease": lease.to_string() }
     })
 }
 
-/// First key of a range; the service takes no empty one.
-const fn begin(first: &str) -> &[u8] {
+/// First key of a range. The service rejects an empty key.
+const fn range_start(first: &str) -> &[u8] {
     if first.is_empty() {
         return &[0];
     }
     first.as_bytes()
 }
 
-/// First key after all that start with `prefix`. A single zero byte means no end.
-fn end(prefix: &str) -> Vec<u8> {
+/// Exclusive end of the keys that start with `prefix`. A single zero byte means no end.
+fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
         if last < u8::MAX {
@@ -101,6 +101,6 @@
     vec![0]
 }
 
-fn body(value: &Value) -> Bytes {
+fn encode_body(value: &Value) -> Bytes {
     Bytes::from(value.to_string())
 }
--- a/crates/platform/src/kv/etcd/answer.rs
+++ b/crates/platform/src/kv/etcd/response.rs
@@ -1,49 +1,49 @@
-//! The gateway's answers. Fields at their zero value are left out.
+//! Response bodies of the gateway, which omits fields with a zero value.
 
 use serde::Deserialize;
 
-use crate::kv::etcd::text;
+use crate::kv::etcd::encoding;
 use crate::kv::{LeaseId, Pair};
 
-/// What every answer begins with.
+/// Header of all responses except watch messages.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Header {
-    #[serde(deserialize_with = "text::number")]
+    #[serde(deserialize_with = "encoding::number")]
     pub revision: u64,
 }
 
-/// What every message of a watch begins with. One that ends the watch has no revision.
+/// Header of watch messages. A message that cancels the watch has no revision.
 #[derive(Debug, Default, Deserialize)]
 pub(crate) struct WatchHeader {
-    #[serde(default, deserialize_with = "text::number")]
+    #[serde(default, deserialize_with = "encoding::number")]
     pub revision: u64,
 }
 
-/// A key and its value.
+/// Key-value pair.
 #[derive(Debug, Deserialize)]
 pub(crate) struct KeyValue {
-    #[serde(deserialize_with = "text::key")]
+    #[serde(deserialize_with = "encoding::key")]
     pub key: String,
-    #[serde(default, deserialize_with = "text::bytes")]
+    #[serde(default, deserialize_with = "encoding::bytes")]
     pub value: Vec<u8>,
-    #[serde(deserialize_with = "text::number")]
+    #[serde(deserialize_with = "encoding::number")]
     pub mod_revision: u64,
-    #[serde(default, deserialize_with = "text::number")]
+    #[serde(default, deserialize_with = "encoding::number")]
     pub lease: u64,
 }
 
 impl From<KeyValue> for Pair {
-    fn from(held: KeyValue) -> Self {
+    fn from(kv: KeyValue) -> Self {
         Self {
-            key: held.key,
-            value: held.value,
-            revision: held.mod_revision,
-            lease: (held.lease != 0).then_some(LeaseId(held.lease)),
+            key: kv.key,
+            value: kv.value,
+            revision: kv.mod_revision,
+            lease: (kv.lease != 0).then_some(LeaseId(kv.lease)),
         }
     }
 }
 
-/// Answer to a range.
+/// Response to a range request.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Range {
     pub header: Header,
@@ -53,49 +53,49 @@
     pub more: bool,
 }
 
-/// Answer to a transaction.
+/// Response to a transaction.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Txn {
     pub header: Header,
     #[serde(default)]
     pub succeeded: bool,
     #[serde(default)]
-    pub responses: Vec<Response>,
+    pub responses: Vec<OperationResponse>,
 }
 
-/// Answer to one operation of a transaction.
+/// Response to one operation of a transaction.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Response {
+pub(crate) struct OperationResponse {
     #[serde(default)]
-    pub response_range: Option<Found>,
+    pub response_range: Option<RangeResult>,
 }
 
-/// Keys found in a transaction.
+/// Result of a range operation in a transaction.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Found {
+pub(crate) struct RangeResult {
     #[serde(default)]
     pub kvs: Vec<KeyValue>,
 }
 
-/// Answer to the opening or renewing of a lease.
+/// Response to granting or renewing a lease.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Lease {
-    #[serde(rename = "ID", deserialize_with = "text::number")]
+    #[serde(rename = "ID", deserialize_with = "encoding::number")]
     pub id: u64,
-    #[serde(rename = "TTL", default, deserialize_with = "text::number")]
+    #[serde(rename = "TTL", default, deserialize_with = "encoding::number")]
     pub ttl_s: u64,
 }
 
-/// One message of an answer that streams.
+/// Message of a streaming response.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Streamed<T> {
+pub(crate) struct StreamItem<T> {
     pub result: Option<T>,
     pub error: Option<serde_json::Value>,
 }
 
-/// One message of a watch.
+/// Watch message.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Watched {
+pub(crate) struct WatchMessage {
     pub header: WatchHeader,
     #[serde(default)]
     pub created: bool,
@@ -103,13 +103,13 @@
     pub canceled: bool,
     #[serde(default)]
     pub cancel_reason: String,
-    #[serde(default, deserialize_with = "text::number")]
+    #[serde(default, deserialize_with = "encoding::number")]
     pub compact_revision: u64,
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
-/// One write in a message of a watch.
+/// Write in a watch message.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Event {
     #[serde(default, rename = "type")]
@@ -117,7 +117,7 @@
     pub kv: KeyValue,
 }
 
-/// Kind of a watched write.
+/// Type of a watch event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub(crate) enum EventKind {
--- a/crates/platform/src/kv/etcd/stream.rs
+++ b/crates/platform/src/kv/etcd/stream.rs
@@ -1,4 +1,4 @@
-//! Reading a watch.
+//! Decoding of watch streams.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,12 +13,12 @@
 use tokio_util::io::StreamReader;
 
 use crate::HttpError;
-use crate::kv::etcd::answer::{self, Streamed, Watched};
+use crate::kv::etcd::response::{self, StreamItem, WatchMessage};
 use crate::kv::{Error, Event, Options, Watch};
 
 type Lines = stream::BoxStream<'static, Result<String, LinesCodecError>>;
 
-/// A watch whose next message has not been read.
+/// Decoder of an open watch stream.
 struct Reader {
     lines: Lines,
     watch_idle_timeout_ms: u64,
@@ -26,24 +26,25 @@
     ended: bool,
 }
 
-/// Reads the message that opens a watch.
+/// Reads the message that confirms the creation of a watch.
 pub(crate) async fn open(
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     deadline: Instant,
     options: Options,
 ) -> Result<Watch, Error> {
     let mut reader = Reader {
-        lines: lines(answer, options.max_response_bytes),
+        lines: lines(response, options.max_response_bytes),
         watch_idle_timeout_ms: options.watch_idle_timeout_ms,
         events: VecDeque::new(),
         ended: false,
     };
-    let first = reader.message(deadline).await?;
+    let first = reader.next_message(deadline).await?;
     if !first.created {
-        let cause = HttpError::Malformed("watch does not begin with its creation".to_owned());
+        let cause =
+            HttpError::Malformed("first watch message does not confirm its creation".to_owned());
         return Err(Error::Unknown(cause));
     }
-    reader.take(first.events);
+    reader.enqueue(first.events);
     let events = stream::unfold(reader, |mut reader| async move {
         let event = reader.next().await?;
         Some((event, reader))
@@ -61,8 +62,8 @@
                 return None;
             }
             let deadline = Instant::now() + Duration::from_millis(self.watch_idle_timeout_ms);
-            match self.message(deadline).await {
-                Ok(message) => self.take(message.events),
+            match self.next_message(deadline).await {
+                Ok(message) => self.enqueue(message.events),
                 Err(error) => {
                     self.ended = true;
                     return Some(Err(error));
@@ -71,11 +72,11 @@
         }
     }
 
-    fn take(&mut self, events: Vec<answer::Event>) {
-        self.events.extend(events.into_iter().map(event));
+    fn enqueue(&mut self, events: Vec<response::Event>) {
+        self.events.extend(events.into_iter().map(convert_event));
     }
 
-    async fn message(&mut self, deadline: Instant) -> Result<Watched, Error> {
+    async fn next_message(&mut self, deadline: Instant) -> Result<WatchMessage, Error> {
         let Ok(line) = timeout_at(deadline.into(), self.lines.next()).await else {
             return Err(Error::Unknown(HttpError::TimedOut));
         };
@@ -86,7 +87,7 @@
             }
             None => {
                 return Err(Error::Unknown(HttpError::Disconnected(
-                    "watch ended".to_owned(),
+                    "end of watch stream".to_owned(),
                 )));
             }
         };
@@ -94,15 +95,17 @@
     }
 }
 
-fn parse(line: &str) -> Result<Watched, Error> {
-    let unreadable = |text| Error::Unknown(HttpError::Malformed(text));
-    let message: Streamed<Watched> =
-        serde_json::from_str(line).map_err(|error| unreadable(error.to_string()))?;
+fn parse(line: &str) -> Result<WatchMessage, Error> {
+    let malformed = |text| Error::Unknown(HttpError::Malformed(text));
+    let message: StreamItem<WatchMessage> =
+        serde_json::from_str(line).map_err(|error| malformed(error.to_string()))?;
     if let Some(error) = message.error {
-        return Err(unreadable(error.to_string()));
+        return Err(malformed(error.to_string()));
     }
     let Some(watched) = message.result else {
-        return Err(unreadable("neither result nor error".to_owned()));
+        return Err(malformed(
+            "message has neither a result nor an error".to_owned(),
+        ));
     };
     if watched.compact_revision > 0 {
         return Err(Error::Compacted(watched.compact_revision));
@@ -115,8 +118,8 @@
     Ok(watched)
 }
 
-fn event(event: answer::Event) -> Event {
-    let is_put = event.kind == answer::EventKind::Put;
+fn convert_event(event: response::Event) -> Event {
+    let is_put = event.kind == response::EventKind::Put;
     Event {
         key: event.kv.key,
         value: is_put.then_some(event.kv.value),
@@ -124,8 +127,8 @@
     }
 }
 
-fn lines(answer: Response<Incoming>, limit: usize) -> Lines {
-    let body = answer
+fn lines(response: Response<Incoming>, limit: usize) -> Lines {
+    let body = response
         .into_body()
         .into_data_stream()
         .map_err(io::Error::other);
--- a/crates/platform/src/kv/etcd/link.rs
+++ b/crates/platform/src/kv/etcd/transport.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever endpoint of the service answers.
+//! Calls with failover between the endpoints of the service.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,34 +17,34 @@
 use crate::kv::etcd::method::Method;
 use crate::kv::{Error, Options};
 
-/// Codes of gRPC with which the service says that it did not carry a call out.
-const REFUSED: [u32; 6] = [3, 5, 7, 8, 9, 16];
+/// gRPC status codes of calls that the service did not execute.
+const REFUSED_CODES: [u32; 6] = [3, 5, 7, 8, 9, 16];
 
-/// Has an endpoint that lost its cluster end the call instead of staying silent.
-const NEEDS_LEADER: HeaderName = HeaderName::from_static("grpc-metadata-hasleader");
+/// Makes an endpoint without a leader end the call instead of keeping it open.
+const REQUIRE_LEADER: HeaderName = HeaderName::from_static("grpc-metadata-hasleader");
 
-/// The code of gRPC for a revision outside of what is held.
-const OUT_OF_RANGE: u32 = 11;
+/// gRPC status code for a revision that is not available.
+const OUT_OF_RANGE_CODE: u32 = 11;
 
-/// The service's endpoints; the one that last answered is asked first.
+/// Endpoints of the service. The last one that responded is tried first.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct Transport {
     http: Http,
     endpoints: Vec<SocketAddr>,
     preferred: AtomicUsize,
     options: Options,
 }
 
-/// An error answer of the gateway.
+/// Error response of the gateway.
 #[derive(Deserialize)]
-struct Fault {
+struct ErrorBody {
     #[serde(default)]
     code: u32,
     #[serde(default)]
     message: String,
 }
 
-impl Link {
+impl Transport {
     pub(crate) fn new(endpoints: Vec<SocketAddr>, options: Options) -> Self {
         Self {
             http: Http::new(options.connect_timeout_ms),
@@ -54,29 +54,30 @@
         }
     }
 
-    /// When a call that begins now has to have ended.
+    /// Returns the deadline of a call that starts now.
     pub(crate) fn deadline(&self) -> Instant {
         Instant::now() + Duration::from_millis(self.options.call_timeout_ms)
     }
 
-    /// Makes a call and reads its whole answer.
+    /// Makes a call and decodes its response.
     pub(crate) async fn call<T: DeserializeOwned>(
         &self,
         method: Method,
         body: Bytes,
         deadline: Instant,
     ) -> Result<T, Error> {
-        let answered = self.send(method, body, deadline).await?;
-        let whole = http::read_body(answered, self.options.max_response_bytes, deadline).await;
-        let whole = whole.map_err(|failure| self.fail(method, Error::Unknown(failure.cause)))?;
-        serde_json::from_slice(&whole).map_err(|error| {
+        let response = self.send(method, body, deadline).await?;
+        let body = http::read_body(response, self.options.max_response_bytes, deadline).await;
+        let body =
+            body.map_err(|failure| self.record_failure(method, Error::Unknown(failure.cause)))?;
+        serde_json::from_slice(&body).map_err(|error| {
             let cause = HttpError::Malformed(error.to_string());
-            self.fail(method, Error::Unknown(cause))
+            self.record_failure(method, Error::Unknown(cause))
         })
     }
 
-    /// Counts a failed call; the next one begins at another endpoint.
-    pub(crate) fn fail(&self, method: Method, error: Error) -> Error {
+    /// Counts a failed call. Unless the service refused it, the next call starts at another endpoint.
+    pub(crate) fn record_failure(&self, method: Method, error: Error) -> Error {
         let kind = error.kind();
         counter!("kv_failures_total", "method" => method.name(), "kind" => kind).increment(1);
         if matches!(error, Error::Unsent(_) | Error::Unknown(_)) {
@@ -85,7 +86,7 @@
         error
     }
 
-    /// Makes a call and returns its successful answer unread.
+    /// Makes a call and returns its successful response with the body unread.
     pub(crate) async fn send(
         &self,
         method: Method,
@@ -97,21 +98,23 @@
         let mut last = Error::Unsent(HttpError::Connect("no endpoint".to_owned()));
         for tried in 0..count {
             let index = (first + tried) % count;
-            let until = if method.is_idempotent() {
-                share(deadline, count - tried)
+            let attempt_deadline = if method.is_idempotent() {
+                attempt_deadline(deadline, count - tried)
             } else {
                 deadline
             };
             counter!("kv_calls_total", "method" => method.name()).increment(1);
-            let sent = self.attempt(method, index, body.clone(), until).await;
-            last = match sent {
-                Ok(answer) => {
+            let result = self
+                .attempt(method, index, body.clone(), attempt_deadline)
+                .await;
+            last = match result {
+                Ok(response) => {
                     self.preferred.store(index, Ordering::Relaxed);
-                    return Ok(answer);
+                    return Ok(response);
                 }
-                Err(error) => self.fail(method, error),
+                Err(error) => self.record_failure(method, error),
             };
-            if !worth_another(method, &last) || Instant::now() >= deadline {
+            if !can_retry(method, &last) || Instant::now() >= deadline {
                 break;
             }
         }
@@ -130,23 +133,23 @@
         if method.needs_leader() {
             request
                 .headers_mut()
-                .insert(NEEDS_LEADER, HeaderValue::from_static("true"));
+                .insert(REQUIRE_LEADER, HeaderValue::from_static("true"));
         }
-        let sent = self.http.send(request, deadline).await;
-        let answer = sent.map_err(classify)?;
-        let status = answer.status();
+        let result = self.http.send(request, deadline).await;
+        let response = result.map_err(classify)?;
+        let status = response.status();
         if status == StatusCode::OK {
-            return Ok(answer);
+            return Ok(response);
         }
-        let body = http::read_body(answer, self.options.max_response_bytes, deadline)
+        let body = http::read_body(response, self.options.max_response_bytes, deadline)
             .await
             .map_err(classify)?;
-        Err(refused(status, &body))
+        Err(parse_error(status, &body))
     }
 }
 
-/// Whether another endpoint may be asked after an error.
-const fn worth_another(method: Method, error: &Error) -> bool {
+/// Whether a call may be retried at another endpoint after an error.
+const fn can_retry(method: Method, error: &Error) -> bool {
     match error {
         Error::Unsent(_) => true,
         Error::Unknown(_) => method.is_idempotent(),
@@ -154,12 +157,12 @@
     }
 }
 
-/// An equal part of the time left, so that one silent endpoint leaves time for others.
-fn share(deadline: Instant, endpoints_left: usize) -> Instant {
+/// Splits the remaining time evenly, so that an unresponsive endpoint leaves time for the others.
+fn attempt_deadline(deadline: Instant, endpoints_remaining: usize) -> Instant {
     let now = Instant::now();
-    let left = deadline.saturating_duration_since(now);
-    let parts = u32::try_from(endpoints_left).unwrap_or(u32::MAX);
-    now + left / parts.max(1)
+    let remaining = deadline.saturating_duration_since(now);
+    let parts = u32::try_from(endpoints_remaining).unwrap_or(u32::MAX);
+    now + remaining / parts.max(1)
 }
 
 fn classify(failure: Failure) -> Error {
@@ -169,16 +172,16 @@
     Error::Unsent(failure.cause)
 }
 
-/// Reads an answer that is not a success.
-fn refused(status: StatusCode, body: &[u8]) -> Error {
+/// Maps a response that is not a success to an error.
+fn parse_error(status: StatusCode, body: &[u8]) -> Error {
     let cause = http::status_error(status, body);
-    let Ok(fault) = serde_json::from_slice::<Fault>(body) else {
+    let Ok(error) = serde_json::from_slice::<ErrorBody>(body) else {
         return Error::Unknown(cause);
     };
-    if fault.code == OUT_OF_RANGE && fault.message.contains("compacted") {
+    if error.code == OUT_OF_RANGE_CODE && error.message.contains("compacted") {
         return Error::Compacted(0);
     }
-    if REFUSED.contains(&fault.code) {
+    if REFUSED_CODES.contains(&error.code) {
         return Error::Refused(cause);
     }
     Error::Unknown(cause)
--- a/crates/platform/src/kv/event.rs
+++ b/crates/platform/src/kv/event.rs
@@ -1,13 +1,13 @@
-//! A watched write.
+//! Watch events.
 
 use crate::kv::Revision;
 
-/// A watched write.
+/// A write observed by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Key that was written.
+    /// Key that was written or deleted.
     pub key: String,
-    /// What was written; `None` when the key was deleted.
+    /// New value, or `None` when the key was deleted.
     pub value: Option<Vec<u8>>,
     /// Revision of the write.
     pub revision: Revision,
--- a/crates/platform/src/kv/feed.rs
+++ b/crates/platform/src/kv/feed.rs
@@ -1,47 +1,47 @@
-//! A key-value service whose changes are asked for call by call.
+//! Long polling of the key-value service.
 
 use crate::kv::{Call, Era, Event, Lease, LeaseId, Pair, Position, Revision};
 
-/// Writes after a revision.
+/// Writes after a given revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// How far the service's writes are known; the next call continues from here, unless the
-    /// era is another one: then every key has to be read again.
+    /// Position after these writes, from which the next call continues. If its era differs
+    /// from the previous one, all keys have to be listed again.
     pub position: Position,
-    /// The writes, in the order of their revisions.
+    /// The writes in revision order.
     pub events: Vec<Event>,
 }
 
-/// Every key with a prefix.
+/// All keys with a given prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Contents {
-    /// How far the service's writes are known.
+    /// Position of the listing.
     pub position: Position,
-    /// The keys, in their order.
+    /// The entries in key order.
     pub entries: Vec<Pair>,
 }
 
-/// A key-value service as gateways use it: reading keys and then their changes, by
-/// calls that wait until there are some, and keeping a key for as long as one lives.
+/// Client of the key-value service for gateways: lists keys, long-polls their changes and
+/// maintains keys that are attached to a lease.
 pub trait Feed: Send + Sync {
-    /// Reads all keys that start with `prefix`. Pages of a long listing are not
-    /// of one revision; the listing's position is that of the first.
+    /// Reads all keys that start with `prefix`. Pages of a long listing may be of different
+    /// revisions; the returned position is that of the first page.
     fn list<'a>(&'a self, prefix: &'a str) -> Call<'a, Contents>;
 
-    /// Returns the writes after a revision as soon as there are some, or none
-    /// after `wait_ms` milliseconds.
+    /// Returns the writes after a revision as soon as there are any, or none after `wait_ms`
+    /// milliseconds.
     fn changes<'a>(&'a self, prefix: &'a str, after: Revision, wait_ms: u64) -> Call<'a, Changes>;
 
-    /// Opens a lease of at least `ttl_ms` milliseconds.
+    /// Grants a lease of at least `ttl_ms` milliseconds.
     fn grant(&self, ttl_ms: u64) -> Call<'_, Lease>;
 
-    /// Renews a lease; [`crate::kv::Error::LeaseExpired`] when it has ended.
+    /// Renews a lease; [`crate::kv::Error::LeaseExpired`] when it has expired.
     fn keep_alive(&self, id: LeaseId) -> Call<'_, Lease>;
 
-    /// Writes a key that goes when the lease ends.
+    /// Writes a key that is deleted when the lease ends.
     fn put<'a>(&'a self, key: &'a str, value: &'a [u8], lease: LeaseId) -> Call<'a, ()>;
 
-    /// The latest era that any answer told. Leases of an earlier one are gone, and another may
-    /// have been given their number.
+    /// Latest era in any response. Leases of earlier eras are gone, and their IDs may have been
+    /// reused.
     fn era(&self) -> Era;
 }
--- a/crates/platform/src/kv/lease.rs
+++ b/crates/platform/src/kv/lease.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Instant;
 
-/// Identity of a lease.
+/// ID of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub u64);
 
@@ -13,12 +13,12 @@
     }
 }
 
-/// A lease as granted or renewed.
+/// A granted or renewed lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Its identity.
+    /// ID of the lease.
     pub id: LeaseId,
-    /// When it lapses at the earliest, counted from before the call was sent. That it
-    /// has not passed proves nothing about a process that was paused since it looked.
+    /// Earliest time at which the lease can expire, counted from before the call was sent.
+    /// A process that is paused after checking it may still act on an expired lease.
     pub deadline: Instant,
 }
--- a/crates/platform/src/kv/listing.rs
+++ b/crates/platform/src/kv/listing.rs
@@ -1,12 +1,12 @@
-//! The keys below a prefix.
+//! Listings of keys by prefix.
 
 use crate::kv::{Pair, Revision};
 
-/// The keys below a prefix, as of one revision.
+/// All keys with a given prefix at a single revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The service's revision.
+    /// Revision of the listing.
     pub revision: Revision,
-    /// The keys, in their order.
+    /// The entries in key order.
     pub entries: Vec<Pair>,
 }
--- a/crates/platform/src/kv/options.rs
+++ b/crates/platform/src/kv/options.rs
@@ -1,19 +1,19 @@
-//! Limits of the client.
+//! Client options.
 
-/// Limits of the client.
+/// Timeouts and size limits of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Longest time to connect to one endpoint, in milliseconds.
+    /// Connect timeout per endpoint, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Longest time of a call, all endpoints that are tried together, in
-    /// milliseconds.
+    /// Timeout of a call over all endpoints tried, in milliseconds.
     pub call_timeout_ms: u64,
-    /// Longest silence of a watch, in milliseconds. The service is asked for a sign of life; one that
-    /// gives none costs another watch call each time this passes.
+    /// Time without a message after which a watch fails, in milliseconds. Progress
+    /// notifications are requested; a service that sends none causes a new watch call each
+    /// time this elapses.
     pub watch_idle_timeout_ms: u64,
-    /// Largest answer that is read, in bytes.
+    /// Maximum size of a response, in bytes.
     pub max_response_bytes: usize,
-    /// Most keys in the answer to one call; a longer listing takes several calls.
+    /// Maximum number of keys per response; longer listings are paginated.
     pub page_size: u32,
 }
 
--- a/crates/platform/src/kv/pair.rs
+++ b/crates/platform/src/kv/pair.rs
@@ -1,8 +1,8 @@
-//! A key and its value.
+//! Key-value pairs.
 
 use crate::kv::{LeaseId, Revision};
 
-/// A key and its value.
+/// A key with its value and metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pair {
     /// The key.
@@ -11,6 +11,6 @@
     pub value: Vec<u8>,
     /// Revision of the last write.
     pub revision: Revision,
-    /// Lease with which it was written.
+    /// Lease that the key is attached to.
     pub lease: Option<LeaseId>,
 }
--- a/crates/platform/src/kv/position.rs
+++ b/crates/platform/src/kv/position.rs
@@ -1,21 +1,21 @@
-//! How far the service's writes are known.
+//! Positions in the write history of the key-value service.
 
 use displaydoc::Display;
 
 use crate::kv::Revision;
 
-/// Number of times that the service came back from a copy some seconds old, from any start.
-/// Revisions go back then and are given out again.
+/// Counter that the service increases each time it is restored from a backup, after which it
+/// reuses revisions. Its initial value is arbitrary.
 pub type Era = u64;
 
 /// revision {revision} of era {era}
 ///
-/// How far the service's writes are known: revisions of different eras cannot be compared.
+/// Position in the write history. Revisions of different eras are not comparable.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[ignore_extra_doc_attributes]
 pub struct Position {
-    /// The era.
+    /// Era of the revision.
     pub era: Era,
-    /// The revision in it.
+    /// Revision within the era.
     pub revision: Revision,
 }
--- a/crates/platform/src/kv/swap.rs
+++ b/crates/platform/src/kv/swap.rs
@@ -1,12 +1,12 @@
-//! The result of a compare-and-swap.
+//! Results of a compare-and-swap.
 
 use crate::kv::{Pair, Revision};
 
-/// The result of a compare-and-swap.
+/// Result of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Swap {
     /// The write took effect at this revision.
     Done(Revision),
-    /// The key was not as expected; this is there now.
+    /// The precondition failed; holds the current entry.
     Conflict(Option<Pair>),
 }
--- a/crates/platform/src/kv/watch.rs
+++ b/crates/platform/src/kv/watch.rs
@@ -1,4 +1,4 @@
-//! A stream of watched writes.
+//! Watch streams.
 
 use std::fmt;
 use std::pin::Pin;
@@ -8,22 +8,22 @@
 
 use crate::kv::{Error, Event, Revision};
 
-/// A stream of watched writes in the order of their revisions. It ends after an error.
+/// Stream of watch events in revision order. It ends after an error.
 pub struct Watch {
     revision: Revision,
     events: BoxStream<'static, Result<Event, Error>>,
 }
 
 impl Watch {
-    /// Makes a watch of a stream of events.
+    /// Creates a watch from a stream of events.
     #[must_use]
     pub fn new(revision: Revision, events: BoxStream<'static, Result<Event, Error>>) -> Self {
         Self { revision, events }
     }
 
-    /// The service's revision when the watch was opened. One below a revision seen
-    /// earlier shows that the service came back with older contents; such a watch
-    /// stays silent until the service has passed the revision watched from.
+    /// Revision of the service when the watch was opened. If it is below a revision received
+    /// earlier, the service was restored from a backup, and the watch yields no events until
+    /// the service passes the start revision.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's edge: the key-value service and the VM list, one trait each.
+//! Clients of the platform's key-value service and VM list, behind one trait each.
 
 mod backoff;
 pub mod http;
@@ -12,5 +12,5 @@
 pub use self::backoff::Backoff;
 pub use self::http_error::HttpError;
 
-/// An asynchronous call that a trait object can return.
+/// Boxed future of a call, for object-safe traits.
 pub type Call<'a, T, E> = Pin<Box<dyn Future<Output = Result<T, E>> + Send + 'a>>;
--- a/crates/platform/src/retry_after.rs
+++ b/crates/platform/src/retry_after.rs
@@ -1,23 +1,23 @@
-//! The header `Retry-After` (RFC 9110, section 10.2.3), in seconds, fractions included, or a date.
+//! Parsing of the `Retry-After` header (RFC 9110, section 10.2.3). Fractional seconds are accepted.
 
 use std::time::{Duration, SystemTime};
 
 use hyper::HeaderMap;
 use hyper::header::{DATE, HeaderName, RETRY_AFTER};
 
-/// How long to wait, in milliseconds; `None` without a readable value. Of several values the
-/// longest counts.
+/// Returns the delay in milliseconds, or `None` without a valid value. The longest of several
+/// values is used.
 #[must_use]
 pub fn read(headers: &HeaderMap) -> Option<u64> {
     let values = headers.get_all(RETRY_AFTER).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
-    let waits = texts.filter_map(|text| seconds(text).or_else(|| until(headers, text)));
-    waits.max().map(whole_ms)
+    let delays = texts.filter_map(|text| parse_seconds(text).or_else(|| time_until(headers, text)));
+    delays.max().map(whole_ms)
 }
 
-fn seconds(text: &str) -> Option<Duration> {
+fn parse_seconds(text: &str) -> Option<Duration> {
     let text = text.trim();
-    // A number's other forms (signs, exponents, names) are none of this header's.
+    // `f64::from_str` also accepts signs, exponents, `inf` and `NaN`.
     let is_plain = text
         .bytes()
         .all(|byte| byte.is_ascii_digit() || byte == b'.');
@@ -25,18 +25,18 @@
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// Time until a date, by the sender's clock if it tells that: the two may differ.
-fn until(headers: &HeaderMap, text: &str) -> Option<Duration> {
+/// Time until a date, relative to the `Date` header if there is one, as clocks may differ.
+fn time_until(headers: &HeaderMap, text: &str) -> Option<Duration> {
     let until = httpdate::parse_http_date(text.trim()).ok()?;
-    let now = date(headers, &DATE).unwrap_or_else(SystemTime::now);
+    let now = parse_date(headers, &DATE).unwrap_or_else(SystemTime::now);
     Some(until.duration_since(now).unwrap_or_default())
 }
 
-fn date(headers: &HeaderMap, name: &HeaderName) -> Option<SystemTime> {
+fn parse_date(headers: &HeaderMap, name: &HeaderName) -> Option<SystemTime> {
     let text = headers.get(name)?.to_str().ok()?;
     httpdate::parse_http_date(text).ok()
 }
 
-fn whole_ms(wait: Duration) -> u64 {
-    u64::try_from(wait.as_millis()).unwrap_or(u64::MAX)
+fn whole_ms(delay: Duration) -> u64 {
+    u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/platform/src/vm.rs
+++ b/crates/platform/src/vm.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags behind what is.
+//! The platform's list of VMs, which is eventually consistent.
 
 mod entry;
 mod error;
@@ -11,7 +11,7 @@
 /// A call to the VM list.
 pub type Call<'a, T> = crate::Call<'a, T, Error>;
 
-/// The platform's list of VMs, usable as `Arc<dyn Vms>`.
+/// Client of the platform's VM list, usable as `Arc<dyn Vms>`.
 pub trait Vms: Send + Sync {
     /// Reads the whole list.
     fn list(&self) -> Call<'_, Vec<Vm>>;
--- a/crates/platform/src/vm/entry.rs
+++ b/crates/platform/src/vm/entry.rs
@@ -1,4 +1,4 @@
-//! An entry of the VM list.
+//! Entries of the VM list.
 
 use std::net::SocketAddr;
 
@@ -7,23 +7,23 @@
 /// An entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Unique name, as in the settings of the process that runs there.
+    /// Unique name, as in the settings of the process that runs on the VM.
     pub name: String,
-    /// What runs there.
+    /// Role of the process that runs on the VM.
     pub role: Role,
-    /// Region it runs in.
+    /// Region of the VM.
     #[serde(default)]
     pub region: String,
-    /// Availability zone it runs in.
+    /// Availability zone of the VM.
     #[serde(default)]
     pub zone: String,
-    /// Control port of the process.
+    /// Control address of the process.
     pub control: SocketAddr,
-    /// Whether it stays.
+    /// Lifecycle state.
     pub state: State,
 }
 
-/// What runs on a VM.
+/// Role of the process that runs on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -31,17 +31,17 @@
     Router,
     /// A sidecar beside a backend server.
     Sidecar,
-    /// Something that is not part of this system.
+    /// Not part of this system.
     #[serde(other)]
     Other,
 }
 
-/// Whether a VM stays.
+/// Lifecycle state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// In service.
     Live,
-    /// About to be taken away.
+    /// Scheduled for removal.
     Leaving,
 }
--- a/crates/platform/src/vm/http.rs
+++ b/crates/platform/src/vm/http.rs
@@ -1,4 +1,4 @@
-//! The VM list over HTTP.
+//! HTTP client of the VM list.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,16 +14,16 @@
 /// Path of the list.
 const PATH: &str = "/vms";
 
-/// Longest time to connect, in milliseconds.
-const CONNECT_MS: u64 = 500;
+/// Connect timeout, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 500;
 
-/// Longest time of a call, in milliseconds.
-const CALL_MS: u64 = 3_000;
+/// Timeout of a call, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 3_000;
 
-/// Largest list that is read, in bytes.
-const LIST_BYTES: usize = 16 << 20;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// A client of the VM list.
+/// HTTP client of the VM list.
 #[derive(Debug)]
 pub struct Http {
     http: http::Http,
@@ -36,28 +36,28 @@
 }
 
 impl Http {
-    /// Opens a client. It connects when the first call is made.
+    /// Creates a client, which connects on the first call.
     #[must_use]
     pub fn new(endpoint: SocketAddr) -> Self {
         Self {
-            http: http::Http::new(CONNECT_MS),
+            http: http::Http::new(CONNECT_TIMEOUT_MS),
             endpoint,
         }
     }
 
-    async fn read(&self) -> Result<Vec<Vm>, Error> {
-        let deadline = Instant::now() + Duration::from_millis(CALL_MS);
+    async fn fetch(&self) -> Result<Vec<Vm>, Error> {
+        let deadline = Instant::now() + Duration::from_millis(CALL_TIMEOUT_MS);
         let request = http::request(Method::GET, self.endpoint, PATH, Bytes::new());
-        let answered = self.http.call(request, LIST_BYTES, deadline).await;
-        let body = answered.map_err(|failure| Error::Read(failure.cause))?;
+        let response = self.http.call(request, MAX_RESPONSE_BYTES, deadline).await;
+        let body = response.map_err(|failure| Error::Read(failure.cause))?;
         let list: List = serde_json::from_slice(&body)
             .map_err(|error| Error::Read(HttpError::Malformed(error.to_string())))?;
         Ok(list.vms)
     }
 
-    async fn read_counted(&self) -> Result<Vec<Vm>, Error> {
+    async fn fetch_counted(&self) -> Result<Vec<Vm>, Error> {
         counter!("vm_calls_total").increment(1);
-        let list = self.read().await;
+        let list = self.fetch().await;
         if list.is_err() {
             counter!("vm_failures_total").increment(1);
         }
@@ -67,6 +67,6 @@
 
 impl Vms for Http {
     fn list(&self) -> Call<'_, Vec<Vm>> {
-        Box::pin(self.read_counted())
+        Box::pin(self.fetch_counted())
     }
 }
