--- a/crates/platform/tests/counters.rs
+++ b/crates/platform/tests/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of calls.
+//! Metrics of calls and failures.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
@@ -7,7 +7,8 @@
 use mulberryyoke_platform::kv::{Etcd, Expect, Kv, Options};
 use mulberryyoke_platform::vm::{self, Vms};
 
-fn nowhere() -> SocketAddr {
+/// Returns an address that refuses connections.
+fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("port");
     listener.local_addr().expect("address")
 }
@@ -21,10 +22,10 @@
         .expect("runtime");
     metrics::with_local_recorder(&recorder, || {
         runtime.block_on(async {
-            let client = Etcd::new(vec![nowhere(), nowhere()], Options::default());
+            let client = Etcd::new(vec![unused_address(), unused_address()], Options::default());
             let swap = client.swap("k", Expect::Any, None, None).await;
             expect_that!(swap, err(anything()));
-            let list = vm::Http::new(nowhere()).list().await;
+            let list = vm::Http::new(unused_address()).list().await;
             expect_that!(list, err(anything()));
         });
     });
--- a/crates/platform/tests/edge.rs
+++ b/crates/platform/tests/faults.rs
@@ -1,5 +1,4 @@
-//! The clients against answers that are broken below the level of HTTP, and against
-//! endpoints that do not answer.
+//! Error handling for malformed responses and for endpoints that do not respond.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -18,99 +17,112 @@
     page_size: 10,
 };
 
-/// What an endpoint does once it has read something.
+/// What an endpoint does after it has received data.
 #[derive(Clone, Copy, Debug)]
 enum Reaction {
-    /// Writes this and closes the connection.
+    /// Writes a response and closes the connection.
     Write(&'static str),
-    /// Nothing, and keeps the connection.
-    Silence,
+    /// Keeps the connection open without a response.
+    Hang,
 }
 
-/// What an error is expected to tell.
+/// Kind of an error whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
-    Cut,
-    Late,
+enum ErrorKind {
+    Disconnected,
+    TimedOut,
     Status(u16),
-    Unreadable,
+    Malformed,
 }
 
-async fn endpoint(reaction: Reaction) -> SocketAddr {
+async fn spawn_endpoint(reaction: Reaction) -> SocketAddr {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let listener = TcpListener::bind(address).await.expect("port");
     let address = listener.local_addr().expect("address");
     tokio::spawn(async move {
-        let mut kept = Vec::new();
+        let mut open_streams = Vec::new();
         loop {
             let (mut stream, _) = listener.accept().await.expect("connection");
             let read = stream.read(&mut [0; 4_096]).await.expect("request");
             match reaction {
-                Reaction::Write(answer) if read > 0 => {
-                    stream.write_all(answer.as_bytes()).await.expect("written");
+                Reaction::Write(response) if read > 0 => {
+                    stream
+                        .write_all(response.as_bytes())
+                        .await
+                        .expect("written");
                 }
-                _ => kept.push(stream),
+                _ => open_streams.push(stream),
             }
         }
     });
     address
 }
 
-/// An address at which nothing listens.
-async fn nowhere() -> SocketAddr {
+/// Returns an address that refuses connections.
+async fn unused_address() -> SocketAddr {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let listener = TcpListener::bind(address).await.expect("port");
     listener.local_addr().expect("address")
 }
 
-fn told(error: &kv::Error) -> Option<Told> {
+fn error_kind(error: &kv::Error) -> Option<ErrorKind> {
     match error {
-        kv::Error::Unknown(HttpError::Disconnected(_)) => Some(Told::Cut),
-        kv::Error::Unknown(HttpError::TimedOut) => Some(Told::Late),
-        kv::Error::Unknown(HttpError::Status { status, .. }) => Some(Told::Status(*status)),
-        kv::Error::Unknown(HttpError::Malformed(_)) => Some(Told::Unreadable),
+        kv::Error::Unknown(HttpError::Disconnected(_)) => Some(ErrorKind::Disconnected),
+        kv::Error::Unknown(HttpError::TimedOut) => Some(ErrorKind::TimedOut),
+        kv::Error::Unknown(HttpError::Status { status, .. }) => Some(ErrorKind::Status(*status)),
+        kv::Error::Unknown(HttpError::Malformed(_)) => Some(ErrorKind::Malformed),
         _ => None,
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn broken_answers_leave_the_effect_unknown() {
+async fn malformed_responses_leave_the_outcome_unknown() {
     let cases = [
-        ("", Told::Cut),
-        ("SSH-2.0-x\r\n\r\n", Told::Cut),
-        ("HTTP/1.1 200", Told::Cut),
-        ("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{", Told::Cut),
+        ("", ErrorKind::Disconnected),
+        ("SSH-2.0-x\r\n\r\n", ErrorKind::Disconnected),
+        ("HTTP/1.1 200", ErrorKind::Disconnected),
+        (
+            "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{",
+            ErrorKind::Disconnected,
+        ),
         (
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\n{}\r\n",
-            Told::Cut,
+            ErrorKind::Disconnected,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\ncontent-length: 1001\r\n\r\n",
+            ErrorKind::Disconnected,
         ),
-        ("HTTP/1.1 200 OK\r\ncontent-length: 1001\r\n\r\n", Told::Cut),
         (
             "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
-            Told::Unreadable,
+            ErrorKind::Malformed,
         ),
-        ("HTTP/1.1 204 No Content\r\n\r\n", Told::Status(204)),
+        ("HTTP/1.1 204 No Content\r\n\r\n", ErrorKind::Status(204)),
         (
             "HTTP/1.1 302 Found\r\nlocation: /\r\ncontent-length: 0\r\n\r\n",
-            Told::Status(302),
+            ErrorKind::Status(302),
         ),
         (
             "HTTP/1.1 429 Too Many Requests\r\ncontent-length: 2\r\n\r\nno",
-            Told::Status(429),
+            ErrorKind::Status(429),
         ),
     ];
-    let cases = cases.map(|(answer, expected)| (Reaction::Write(answer), expected));
-    let silence = [(Reaction::Silence, Told::Late)];
-    for (reaction, expected) in cases.into_iter().chain(silence) {
-        let address = endpoint(reaction).await;
+    let cases = cases.map(|(response, expected)| (Reaction::Write(response), expected));
+    let hang = [(Reaction::Hang, ErrorKind::TimedOut)];
+    for (reaction, expected) in cases.into_iter().chain(hang) {
+        let address = spawn_endpoint(reaction).await;
         let client = Etcd::new(vec![address], OPTIONS);
         let swap = client.swap("k", Expect::Any, None, None).await;
         let swap = swap.expect_err("failure");
         expect_true!(swap.may_have_taken_effect());
-        expect_that!(told(&swap), some(eq(expected)), "{reaction:?}: {swap}");
+        expect_that!(
+            error_kind(&swap),
+            some(eq(expected)),
+            "{reaction:?}: {swap}"
+        );
         let get = client.get("k").await.expect_err("failure");
-        expect_that!(told(&get), some(eq(expected)), "{reaction:?}: {get}");
+        expect_that!(error_kind(&get), some(eq(expected)), "{reaction:?}: {get}");
         let watch = client.watch("k", 0).await;
         expect_that!(watch, err(pat!(kv::Error::Unknown(_))), "{reaction:?}");
         let list = vm::Http::new(address).list().await;
@@ -120,10 +132,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_refusal_by_the_service_had_no_effect() {
-    let answer = "HTTP/1.1 400 Bad Request\r\ncontent-length: 25\r\n\r\n\
+async fn a_refused_write_has_no_effect() {
+    let response = "HTTP/1.1 400 Bad Request\r\ncontent-length: 25\r\n\r\n\
         {\"code\":3,\"message\":\"no\"}";
-    let client = Etcd::new(vec![endpoint(Reaction::Write(answer)).await], OPTIONS);
+    let client = Etcd::new(
+        vec![spawn_endpoint(Reaction::Write(response)).await],
+        OPTIONS,
+    );
     let swap = client.swap("k", Expect::Any, None, None).await;
     let error = swap.expect_err("refusal");
     expect_that!(error, pat!(kv::Error::Refused(_)));
@@ -132,9 +147,12 @@
 
 #[gtest]
 #[tokio::test]
-async fn what_was_not_sent_is_told() {
+async fn connection_failures_are_reported_as_unsent() {
     let none = Etcd::new(Vec::new(), OPTIONS);
-    let refused = Etcd::new(vec![nowhere().await, nowhere().await], OPTIONS);
+    let refused = Etcd::new(
+        vec![unused_address().await, unused_address().await],
+        OPTIONS,
+    );
     for client in [none, refused] {
         let swap = client.swap("k", Expect::Absent, None, None).await;
         let unsent = pat!(kv::Error::Unsent(pat!(HttpError::Connect(_))));
@@ -146,7 +164,7 @@
         let lease = client.lease_grant(1_000).await;
         expect_that!(lease, err(pat!(kv::Error::Unsent(_))));
     }
-    let list = vm::Http::new(nowhere().await).list().await;
+    let list = vm::Http::new(unused_address().await).list().await;
     expect_that!(
         list,
         err(pat!(vm::Error::Read(pat!(HttpError::Connect(_)))))
@@ -155,18 +173,22 @@
 
 #[gtest]
 #[tokio::test]
-async fn only_reads_go_on_to_another_endpoint_after_sending() {
+async fn only_reads_are_retried_at_another_endpoint_after_sending() {
     let found = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 25\r\n\r\n\
         {\"header\":{\"revision\":7}}";
-    let answers = endpoint(Reaction::Write(found)).await;
-    for reaction in [Reaction::Silence, Reaction::Write("")] {
-        let endpoints = vec![nowhere().await, endpoint(reaction).await, answers];
+    let healthy = spawn_endpoint(Reaction::Write(found)).await;
+    for reaction in [Reaction::Hang, Reaction::Write("")] {
+        let endpoints = vec![
+            unused_address().await,
+            spawn_endpoint(reaction).await,
+            healthy,
+        ];
         let reader = Etcd::new(endpoints.clone(), OPTIONS);
         expect_that!(reader.get("k").await, ok(none()), "{reaction:?}");
         let writer = Etcd::new(endpoints, OPTIONS);
         let swap = writer.swap("k", Expect::Any, None, None).await;
         expect_that!(swap, err(pat!(kv::Error::Unknown(_))), "{reaction:?}");
-        // A write that failed has the next call begin at another endpoint.
+        // After the failed write, the next call starts at another endpoint.
         expect_that!(writer.get("k").await, ok(none()), "{reaction:?}");
     }
 }
--- a/crates/platform/tests/retry_after.rs
+++ b/crates/platform/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! `Retry-After` in all its forms.
+//! Parsing of `Retry-After`.
 
 use googletest::prelude::*;
 use hyper::HeaderMap;
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn each_form_is_read_and_what_is_none_is_passed_over() {
+fn valid_forms_are_parsed_and_invalid_values_are_ignored() {
     let table: [(&[&str], Option<u64>); 16] = [
         (&["3"], Some(3_000)),
         (&[" 3 "], Some(3_000)),
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn a_date_counts_from_the_senders_clock_and_one_that_is_over_is_no_time() {
+fn dates_are_relative_to_the_date_header_and_past_dates_give_zero() {
     expect_that!(read(&[NOON], Some(LATER)), some(eq(0)));
     let far = read(&["Fri, 31 Dec 9999 00:00:00 GMT"], None);
     expect_that!(far, some(gt(1_000_000_000)));
