--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,36 +1,36 @@
-//! Errors of reading settings.
+//! Errors of settings files.
 
 use std::io;
 use std::path::PathBuf;
 
 use displaydoc::Display;
 
-/// Why settings could not be used.
+/// Why settings could not be loaded.
 #[derive(Debug, Display)]
 pub enum Error {
     /// could not read settings: {path}: {source}
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// could not parse settings: {path}: {field}: {source}
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The field; a dot for the whole file.
+        /// Path of the field; `.` for the whole file.
         field: String,
-        /// Place and allowed values.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
     /// could not accept settings: {path}: {field}: {reason}
     Value {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The field.
+        /// Path of the field.
         field: String,
-        /// What is wrong and what is allowed.
+        /// Why the value is invalid.
         reason: String,
     },
 }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: a router that talks straight to backend servers.
+//! Settings of a gateway, a router that connects to backend servers directly.
 
 use std::net::SocketAddr;
 
@@ -10,50 +10,51 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
-    /// Unique name.
+    /// Unique name of the gateway.
     pub name: String,
-    /// Availability zone it runs in.
+    /// Availability zone of the gateway.
     pub zone: String,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where its readiness is asked for.
+    /// Listen address of the readiness endpoint.
     pub health: SocketAddr,
-    /// Where other gateways send what they know; metrics are here too, over TCP.
+    /// Listen address for other gateways and, over TCP, for metrics.
     pub control: SocketAddr,
-    /// Where other gateways of the zone hand callers' connections on; none do when absent.
+    /// Listen address for connections handed off by other gateways of the zone. No handoff when
+    /// absent.
     pub handoff: Option<SocketAddr>,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub store: SocketAddr,
-    /// Age of the configuration from which requests with a key are refused, in
-    /// milliseconds; never when absent.
-    #[serde(default, deserialize_with = "number::some_whole")]
+    /// Age of the configuration from which requests that need a customer key are rejected, in
+    /// milliseconds. No limit when absent.
+    #[serde(default, deserialize_with = "number::optional_truncated")]
     pub keys_fresh_ms: Option<u64>,
-    /// Longest time of a planned stop, in milliseconds.
-    #[serde(default = "grace_ms", deserialize_with = "number::whole")]
+    /// Maximum duration of a planned shutdown, in milliseconds.
+    #[serde(default = "grace_ms", deserialize_with = "number::truncated")]
     pub grace_ms: u64,
-    /// Retries that the fleet may make for each request.
+    /// Retry budget of the fleet per request.
     #[serde(default = "retry_ratio")]
     pub retry_ratio: f64,
-    /// Retries that the fleet may make beyond, in a window of ten seconds.
+    /// Additional retries of the fleet in a window of ten seconds.
     #[serde(default = "retry_slack")]
     pub retry_slack: f64,
-    /// Times as many requests a second as a cold server is made for that it may get.
+    /// Maximum request rate of a cold server, as a multiple of the rate it is sized for.
     #[serde(default = "cold_overage")]
     pub cold_overage: f64,
-    /// Requests beyond that a cold server may get in some second.
+    /// Additional requests that a cold server may receive in any second.
     #[serde(default)]
     pub cold_slack: f64,
-    /// Processors that the process has, or the part of one: those with most of it work for
-    /// the others of their zone.
+    /// Processors available to the process; may be fractional. The gateways of a zone with the
+    /// most processors work for the others.
     #[serde(default = "processors")]
     pub processors: f64,
-    /// File descriptors that the process may have open.
-    #[serde(default = "descriptors", deserialize_with = "number::whole")]
+    /// Maximum number of open file descriptors of the process.
+    #[serde(default = "descriptors", deserialize_with = "number::truncated")]
     pub descriptors: u64,
 }
 
 impl Gateway {
-    /// What is fixed for the life of a process: name, zone and addresses.
+    /// Returns the settings that cannot change while a process runs: name, zone and addresses.
     #[must_use]
     pub fn identity(&self) -> (&str, &str, [Option<SocketAddr>; 5]) {
         let addresses = [
@@ -66,7 +67,7 @@
         (&self.name, &self.zone, addresses)
     }
 
-    /// These settings at the place of others.
+    /// Returns these settings with the name, zone and addresses of `other`.
     #[must_use]
     pub fn with_identity_of(self, other: &Self) -> Self {
         Self {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon: JSON files, read and checked as a whole.
+//! Settings of the daemon, read from JSON files and validated.
 
 mod check;
 mod error;
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,28 +1,28 @@
-//! Bounds of a router.
+//! Limits of a router.
 
 use serde::Deserialize;
 
-/// Bounds of a router; each has a default.
+/// Limits of a router, each with a default.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Most requests of one customer waiting here, unless the customer has its own.
+    /// Maximum number of queued requests per customer, unless configured for the customer.
     pub queue_per_customer: u32,
-    /// Most requests waiting here in all.
+    /// Maximum number of queued requests of all customers.
     pub queue_total: u32,
-    /// Most connections from callers.
+    /// Maximum number of connections from callers.
     pub connections: u32,
-    /// Longest time a caller may take to send its head, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub head_ms: u64,
-    /// Longest time a caller may leave an answer unread, in milliseconds.
+    /// Time after which a caller that does not read its response is disconnected, in milliseconds.
     pub stall_ms: u64,
-    /// Deadline of requests that name none, in milliseconds after arrival.
+    /// Default deadline of a request, in milliseconds after it is received.
     pub deadline_ms: u64,
-    /// Retries allowed per hundred first attempts.
+    /// Maximum number of retries per hundred first attempts.
     pub retry_percent: u32,
-    /// Servers of one pool that the router stays connected to.
+    /// Number of servers per pool that the router stays connected to.
     pub subset: u32,
 }
 
--- a/crates/settings/src/number.rs
+++ b/crates/settings/src/number.rs
@@ -1,26 +1,28 @@
-//! Numbers that may come with a fraction, where whole ones are needed: a platform that fills
-//! in settings from a template has its own forms of numbers.
+//! Deserialization of integers from numbers with a fraction, which templates of a platform may
+//! produce.
 
 use serde::{Deserialize, Deserializer, de};
 
-/// Reads a number that is not negative, and drops its fraction.
-pub(crate) fn whole<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    let number = f64::deserialize(from)?;
+/// Deserializes a non-negative number and truncates it.
+pub(crate) fn truncated<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    let number = f64::deserialize(deserializer)?;
     if !(0.0..=9e15).contains(&number) {
         return Err(de::Error::custom(format!(
-            "{number} is no number of this setting"
+            "{number} is out of range; must be from 0 to 9e15"
         )));
     }
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the number is within the bounds of whole ones"
+        reason = "the number is within the range of exact integers"
     )]
-    let whole = number as u64;
-    Ok(whole)
+    let truncated = number as u64;
+    Ok(truncated)
 }
 
-/// As [`whole`], for a setting that may be absent.
-pub(crate) fn some_whole<'de, D: Deserializer<'de>>(from: D) -> Result<Option<u64>, D::Error> {
-    whole(from).map(Some)
+/// Like [`truncated`], for an optional setting.
+pub(crate) fn optional_truncated<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<u64>, D::Error> {
+    truncated(deserializer).map(Some)
 }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading settings files.
+//! Reading of settings files.
 
 use std::fs;
 use std::path::Path;
@@ -6,50 +6,50 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::check::{self, Fault};
+use crate::check::{self, InvalidField};
 use crate::{Error, Gateway, Role, Router, Sidecar};
 
-/// Field that only a router's settings have.
+/// Field that distinguishes the settings of a router from those of a sidecar.
 const ROUTER_FIELD: &str = "callers";
 
-/// Field that only a gateway's settings have.
+/// Field that only the settings of a gateway have.
 const GATEWAY_FIELD: &str = "store";
 
-/// Reads and checks a router's settings.
+/// Reads and validates the settings of a router.
 ///
 /// # Errors
 ///
 /// See [`Error`].
 pub fn read_router(path: &Path) -> Result<Router, Error> {
     let router: Router = parse(path, &read(path)?)?;
-    check::router(&router).map_err(|fault| value(path, fault))?;
+    check::router(&router).map_err(|invalid| invalid_value(path, invalid))?;
     Ok(router)
 }
 
-/// Reads and checks a sidecar's settings.
+/// Reads and validates the settings of a sidecar.
 ///
 /// # Errors
 ///
 /// See [`Error`].
 pub fn read_sidecar(path: &Path) -> Result<Sidecar, Error> {
     let sidecar: Sidecar = parse(path, &read(path)?)?;
-    check::sidecar(&sidecar).map_err(|fault| value(path, fault))?;
+    check::sidecar(&sidecar).map_err(|invalid| invalid_value(path, invalid))?;
     Ok(sidecar)
 }
 
-/// Reads and checks a gateway's settings.
+/// Reads and validates the settings of a gateway.
 ///
 /// # Errors
 ///
 /// See [`Error`].
 pub fn read_gateway(path: &Path) -> Result<Gateway, Error> {
     let gateway: Gateway = parse(path, &read(path)?)?;
-    check::gateway(&gateway).map_err(|fault| value(path, fault))?;
+    check::gateway(&gateway).map_err(|invalid| invalid_value(path, invalid))?;
     Ok(gateway)
 }
 
-/// Reads and checks a settings file without starting anything. A file that does
-/// not say its role is a router's if it says where callers connect.
+/// Reads and validates a settings file and returns its role. Without `role`, the role is
+/// detected from the fields of the file.
 ///
 /// # Errors
 ///
@@ -57,7 +57,7 @@
 pub fn check(path: &Path, role: Option<Role>) -> Result<Role, Error> {
     let role = match role {
         Some(role) => role,
-        None => detect(path)?,
+        None => detect_role(path)?,
     };
     match role {
         Role::Gateway => drop(read_gateway(path)?),
@@ -67,7 +67,7 @@
     Ok(role)
 }
 
-fn detect(path: &Path) -> Result<Role, Error> {
+fn detect_role(path: &Path) -> Result<Role, Error> {
     let settings: Value = parse(path, &read(path)?)?;
     if settings.get(GATEWAY_FIELD).is_some() {
         return Ok(Role::Gateway);
@@ -86,24 +86,25 @@
 }
 
 fn parse<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, Error> {
-    let mut input = serde_json::Deserializer::from_str(text);
-    let parsed = serde_path_to_error::deserialize(&mut input).map_err(|error| Error::Parse {
-        path: path.to_owned(),
-        field: error.path().to_string(),
-        source: error.into_inner(),
-    })?;
-    input.end().map_err(|source| Error::Parse {
+    let mut deserializer = serde_json::Deserializer::from_str(text);
+    let settings =
+        serde_path_to_error::deserialize(&mut deserializer).map_err(|error| Error::Parse {
+            path: path.to_owned(),
+            field: error.path().to_string(),
+            source: error.into_inner(),
+        })?;
+    deserializer.end().map_err(|source| Error::Parse {
         path: path.to_owned(),
         field: ".".to_owned(),
         source,
     })?;
-    Ok(parsed)
+    Ok(settings)
 }
 
-fn value(path: &Path, fault: Fault) -> Error {
+fn invalid_value(path: &Path, invalid: InvalidField) -> Error {
     Error::Value {
         path: path.to_owned(),
-        field: fault.field,
-        reason: fault.reason,
+        field: invalid.field,
+        reason: invalid.reason,
     }
 }
--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -1,9 +1,9 @@
-//! What a settings file is for.
+//! Roles of a process.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// What a settings file is for.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A gateway.
@@ -32,7 +32,7 @@
             "gateway" => Ok(Self::Gateway),
             "router" => Ok(Self::Router),
             "sidecar" => Ok(Self::Sidecar),
-            _ => Err("allowed are gateway, router and sidecar".to_owned()),
+            _ => Err("expected gateway, router or sidecar".to_owned()),
         }
     }
 }
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -10,71 +10,71 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Router {
-    /// Unique name, as in the VM list.
+    /// Unique name of the router, as in the VM list.
     pub name: String,
-    /// Region it runs in.
+    /// Region of the router.
     #[serde(default)]
     pub region: String,
-    /// Availability zone it runs in.
+    /// Availability zone of the router.
     pub zone: String,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect; metrics and health are here too.
+    /// Listen address for operators, metrics and health checks.
     pub operators: SocketAddr,
-    /// Where other routers connect.
+    /// Listen address for other routers.
     pub control: SocketAddr,
-    /// The key-value service's endpoints, `host:port`.
+    /// Endpoints of the key-value service.
     pub kv: Vec<SocketAddr>,
-    /// Where the VM list is served.
+    /// Address of the VM list.
     pub vms: SocketAddr,
-    /// Prefix of the configuration's keys.
+    /// Prefix of keys in the key-value service.
     #[serde(default = "prefix")]
     pub prefix: String,
-    /// Who may give commands.
+    /// Operators that may run commands.
     #[serde(default)]
     pub operator_keys: Vec<Operator>,
-    /// Bounds.
+    /// Limits of the router.
     #[serde(default)]
     pub limits: Limits,
-    /// Time between usage exchanges, in milliseconds.
+    /// Interval of usage exchanges, in milliseconds.
     #[serde(default = "exchange_ms")]
     pub exchange_ms: u64,
-    /// Time between heartbeats on idle links to sidecars, in milliseconds.
+    /// Interval of heartbeats on idle connections to sidecars, in milliseconds.
     #[serde(default = "heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Longest time a planned stop lets answers run on, in milliseconds.
+    /// Maximum time to finish responses in a planned shutdown, in milliseconds.
     #[serde(default = "drain_ms")]
     pub drain_ms: u64,
-    /// How long idempotency keys are remembered, in milliseconds.
+    /// Retention of idempotency keys, in milliseconds.
     #[serde(default = "retention_ms")]
     pub retention_ms: u64,
-    /// `fair`, or `baseline` for least-loaded of two without order.
+    /// Scheduling policy: `fair` or `baseline`.
     #[serde(default)]
     pub policy: Policy,
-    /// Log form: `json` or `terminal`.
+    /// Log format: `json` or `terminal`.
     #[serde(default)]
     pub log: LogFormat,
 }
 
-/// How requests are ordered and placed.
+/// Scheduling policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Policy {
-    /// Fleet-wide fair order with late binding.
+    /// Fleet-wide fair queueing with late binding to servers.
     #[default]
     Fair,
-    /// Least-loaded of two servers, queues inside the engines, no order.
+    /// Least loaded of two random servers, with queueing in the engines.
     Baseline,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Coloured text.
+    /// Colored text.
     Terminal,
 }
 
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -11,42 +11,42 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sidecar {
-    /// Name of the server, as configured by operators and in the VM list.
+    /// Name of the server, as in the configuration and in the VM list.
     pub name: String,
-    /// Region it runs in.
+    /// Region of the sidecar.
     #[serde(default)]
     pub region: String,
-    /// Availability zone it runs in.
+    /// Availability zone of the sidecar.
     pub zone: String,
-    /// Name of the pool.
+    /// Pool of the server.
     pub pool: String,
-    /// What the backend is.
+    /// Kind of the backend.
     pub kind: Kind,
-    /// Where routers connect for control.
+    /// Listen address for control connections of routers.
     pub control: SocketAddr,
-    /// Where routers send bodies.
+    /// Listen address for request bodies from routers.
     pub data: SocketAddr,
-    /// Where metrics and health are served.
+    /// Listen address for metrics and health checks.
     pub status: SocketAddr,
-    /// Where the backend listens.
+    /// Address of the backend.
     pub backend: SocketAddr,
-    /// Requests the backend runs at once; more wait in the fleet.
+    /// Maximum number of concurrent requests of the backend.
     pub slots: u32,
-    /// The key-value service's endpoints.
+    /// Endpoints of the key-value service.
     pub kv: Vec<SocketAddr>,
-    /// Prefix of the key-value service's keys.
+    /// Prefix of keys in the key-value service.
     #[serde(default = "prefix")]
     pub prefix: String,
-    /// Longest time a planned stop lets answers run on, in milliseconds.
+    /// Maximum time to finish responses in a planned shutdown, in milliseconds.
     #[serde(default = "drain_ms")]
     pub drain_ms: u64,
-    /// How long idempotency keys are remembered, in milliseconds.
+    /// Retention of idempotency keys, in milliseconds.
     #[serde(default = "crate::router::retention_ms")]
     pub retention_ms: u64,
-    /// `fair`, or `baseline`, which admits everything at once.
+    /// Scheduling policy: `fair`, or `baseline`, which admits all requests immediately.
     #[serde(default)]
     pub policy: Policy,
-    /// Log form: `json` or `terminal`.
+    /// Log format: `json` or `terminal`.
     #[serde(default)]
     pub log: LogFormat,
 }
--- a/crates/settings/tests/check/file.rs
+++ b/crates/settings/tests/check/file.rs
@@ -1,4 +1,4 @@
-//! Settings files that go with a test.
+//! Temporary settings files.
 
 use std::path::PathBuf;
 use std::{env, fs, process};
@@ -6,14 +6,14 @@
 use mulberryyoke_settings::check;
 use serde_json::Value;
 
-/// A settings file that goes with the test.
+/// Settings file that is deleted when dropped.
 pub(crate) struct File(pub(crate) PathBuf);
 
 impl File {
     pub(crate) fn new(name: &str, text: &str) -> Self {
         let name = format!("mulberryyoke-{}-{name}.json", process::id());
         let path = env::temp_dir().join(name);
-        fs::write(&path, text).expect("the temporary directory takes a file");
+        fs::write(&path, text).expect("the temporary directory is writable");
         Self(path)
     }
 }
@@ -24,8 +24,8 @@
     }
 }
 
-/// Checks settings with one value replaced, and returns what is said.
-pub(crate) fn said(name: &str, mut settings: Value, pointer: &str, value: Value) -> String {
+/// Checks settings with one value replaced and returns the outcome as text.
+pub(crate) fn check_with(name: &str, mut settings: Value, pointer: &str, value: Value) -> String {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer has a slash");
     let parent = settings.pointer_mut(parent).expect("the parent exists");
     parent[field] = value;
--- a/crates/settings/tests/check/gateway.rs
+++ b/crates/settings/tests/check/gateway.rs
@@ -1,10 +1,10 @@
-//! What settings of a gateway are refused, and with which words.
+//! Validation of gateway settings and its error messages.
 
 use googletest::prelude::*;
 use mulberryyoke_settings::{Role, check, read_gateway};
 use serde_json::{Value, json};
 
-use crate::file::{File, said};
+use crate::file::{File, check_with};
 
 fn gateway() -> Value {
     json!({
@@ -18,32 +18,32 @@
 }
 
 #[gtest]
-fn a_gateways_settings_are_found_out_and_accepted() {
+fn gateway_role_is_detected() {
     let file = File::new("gateway", &gateway().to_string());
     expect_that!(check(&file.0, None), ok(eq(&Role::Gateway)));
 }
 
 #[gtest]
-fn a_gateways_wrong_values_are_refused() {
+fn invalid_gateway_settings_are_rejected() {
     let table = [
         ("/name", json!(" "), "name: must not be empty"),
         ("/zone", json!(""), "zone: must not be empty"),
         (
             "/health",
             json!("127.0.0.1:7001"),
-            "health: 127.0.0.1:7001 is the address of callers",
+            "health: 127.0.0.1:7001 is already the address of callers",
         ),
         (
             "/store",
             json!("127.0.0.1:0"),
-            "store: 127.0.0.1:0: allowed are ports",
+            "store: 127.0.0.1:0: port must be from",
         ),
         (
             "/keys_fresh_ms",
             json!(0),
-            "keys_fresh_ms: 0 is not allowed; allowed are 1 to 60000",
+            "keys_fresh_ms: 0 is out of range; must be from 1 to 60000",
         ),
-        ("/descriptors", json!(12), "descriptors: 12 is not allowed"),
+        ("/descriptors", json!(12), "descriptors: 12 is out of range"),
         (
             "/retry_ratio",
             json!(1.5),
@@ -52,17 +52,17 @@
         ("/retry_slack", json!(-1), "retry_slack"),
         ("/unknown", json!(1), "unknown field `unknown`"),
     ];
-    for (index, (pointer, value, text)) in table.into_iter().enumerate() {
+    for (index, (pointer, value, reason)) in table.into_iter().enumerate() {
         let name = format!("gateway-{index}");
-        let said = said(&name, gateway(), pointer, value);
-        expect_that!(said, contains_substring(text));
+        let message = check_with(&name, gateway(), pointer, value);
+        expect_that!(message, contains_substring(reason));
     }
 }
 
 #[gtest]
-fn what_a_platform_fills_in_may_have_a_fraction() {
-    // A fleet played at a part of its size has such bounds; every gateway ended at its start.
-    let filled = json!({
+fn integer_settings_accept_fractions() {
+    // Guards against gateways that fail to start on fractional values from a template.
+    let fractional = json!({
         "keys_fresh_ms": 5_000.5,
         "grace_ms": 8.25e3,
         "retry_ratio": 0.2,
@@ -71,11 +71,11 @@
         "descriptors": 4_100.0,
     });
     let mut settings = gateway();
-    for (field, value) in filled.as_object().expect("an object") {
+    for (field, value) in fractional.as_object().expect("an object") {
         settings[field] = value.clone();
     }
     let file = File::new("fractions", &settings.to_string());
-    let gateway = read_gateway(&file.0).expect("the settings are good");
+    let gateway = read_gateway(&file.0).expect("the settings are valid");
     expect_that!(gateway.keys_fresh_ms, some(eq(5_000)));
     expect_that!(gateway.grace_ms, eq(8_250));
     expect_that!(gateway.retry_slack, near(36.176, 0.001));
@@ -83,20 +83,28 @@
 }
 
 #[gtest]
-fn says_what_is_wrong_with_a_gateways_numbers() {
-    for (field, value, why) in [
+fn invalid_gateway_numbers_are_reported() {
+    for (field, value, reason) in [
         ("retry_slack", json!(-1), "must not be negative"),
         ("retry_ratio", json!(1.5), "must be from 0 to 1"),
         ("cold_overage", json!(0.5), "must be 1 or more"),
         ("cold_slack", json!(-1), "must not be negative"),
         ("processors", json!(0), "must be more than 0"),
-        ("descriptors", json!(12), "12 is not allowed"),
-        ("grace_ms", json!(-3), "is no number of this setting"),
+        ("descriptors", json!(12), "12 is out of range"),
+        (
+            "grace_ms",
+            json!(-3),
+            "is out of range; must be from 0 to 9e15",
+        ),
         ("keys_fresh_ms", json!("soon"), "invalid type"),
-        ("grace_ms", json!(1e300), "is no number of this setting"),
+        (
+            "grace_ms",
+            json!(1e300),
+            "is out of range; must be from 0 to 9e15",
+        ),
     ] {
         let name = format!("gateway-{field}");
-        let text = said(&name, gateway(), &format!("/{field}"), value);
-        expect_that!(text, contains_substring(why));
+        let message = check_with(&name, gateway(), &format!("/{field}"), value);
+        expect_that!(message, contains_substring(reason));
     }
 }
--- a/crates/settings/tests/check/main.rs
+++ b/crates/settings/tests/check/main.rs
@@ -1,4 +1,4 @@
-//! What settings are refused, and with which words.
+//! Validation of settings and its error messages.
 
 mod file;
 mod gateway;
@@ -10,7 +10,7 @@
 use mulberryyoke_settings::{Role, check};
 use serde_json::{Value, json};
 
-use crate::file::{File, said};
+use crate::file::{File, check_with};
 
 fn router() -> Value {
     json!({
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn accepts_both_roles() {
+fn valid_settings_of_both_roles_are_accepted() {
     for (settings, role) in [(router(), Role::Router), (sidecar(), Role::Sidecar)] {
         let file = File::new(&role.to_string(), &settings.to_string());
         expect_that!(check(&file.0, None), ok(eq(&role)));
@@ -50,12 +50,12 @@
 }
 
 #[gtest]
-fn refuses_wrong_router_settings() {
-    let doubled = json!([
+fn invalid_router_settings_are_rejected() {
+    let duplicate_names = json!([
         {"name": "noor", "key": "a".repeat(64)},
         {"name": "noor", "key": "b".repeat(64)},
     ]);
-    let shared = json!([
+    let duplicate_keys = json!([
         {"name": "noor", "key": "a".repeat(64)},
         {"name": "amal", "key": "a".repeat(64)},
     ]);
@@ -79,37 +79,37 @@
         (
             "/control",
             json!("127.0.0.1:7001"),
-            "control: 127.0.0.1:7001 is the address of callers",
+            "control: 127.0.0.1:7001 is already the address of callers",
         ),
         (
             "/operators",
             json!("0.0.0.0:7001"),
-            "operators: 0.0.0.0:7001 is the address of callers",
+            "operators: 0.0.0.0:7001 is already the address of callers",
         ),
         (
             "/kv",
             json!([]),
-            "kv: must not be empty; allowed is a list of IP:PORT",
+            "kv: must not be empty; expected a list of IP:PORT",
         ),
         (
             "/kv",
             json!(["127.0.0.1:0"]),
-            "kv: 127.0.0.1:0: allowed are ports 1 to 65535",
+            "kv: 127.0.0.1:0: port must be from 1 to 65535",
         ),
         (
             "/prefix",
             json!("/mulberryyoke"),
-            "prefix: must begin and end with /",
+            "prefix: must start and end with /",
         ),
         (
             "/exchange_ms",
             json!(0),
-            "exchange_ms: 0 is not allowed; allowed are 1 to 60000",
+            "exchange_ms: 0 is out of range; must be from 1 to 60000",
         ),
         (
             "/heartbeat_ms",
             json!(60001),
-            "heartbeat_ms: 60001 is not allowed",
+            "heartbeat_ms: 60001 is out of range",
         ),
         (
             "/retention_ms",
@@ -124,7 +124,7 @@
         (
             "/limits",
             json!({"subset": 0}),
-            "limits.subset: 0 is not allowed",
+            "limits.subset: 0 is out of range",
         ),
         (
             "/limits",
@@ -134,12 +134,12 @@
         (
             "/limits",
             json!({"retry_percent": 101}),
-            "limits.retry_percent: 101 is not allowed",
+            "limits.retry_percent: 101 is out of range",
         ),
         (
             "/limits",
             json!({"queue_per_customer": 9, "queue_total": 8}),
-            "limits.queue_per_customer: 9 is not allowed; allowed are 1 to 8",
+            "limits.queue_per_customer: 9 is out of range; must be from 1 to 8",
         ),
         (
             "/operator_keys/0/key",
@@ -148,28 +148,28 @@
         ),
         (
             "/operator_keys",
-            doubled,
-            "operator_keys[1].name: stands twice",
+            duplicate_names,
+            "operator_keys[1].name: duplicate",
         ),
         (
             "/operator_keys",
-            shared,
-            "operator_keys[1].key: stands twice",
+            duplicate_keys,
+            "operator_keys[1].key: duplicate",
         ),
     ];
     for (row, (pointer, value, reason)) in table.into_iter().enumerate() {
-        let said = said(&format!("router-{row}"), router(), pointer, value);
-        expect_that!(said, contains_substring(reason));
+        let message = check_with(&format!("router-{row}"), router(), pointer, value);
+        expect_that!(message, contains_substring(reason));
     }
 }
 
 #[gtest]
-fn refuses_wrong_sidecar_settings() {
+fn invalid_sidecar_settings_are_rejected() {
     let table = [
         (
             "/slots",
             json!(0),
-            "slots: 0 is not allowed; allowed are 1 to 65535",
+            "slots: 0 is out of range; must be from 1 to 65535",
         ),
         (
             "/slots",
@@ -184,80 +184,86 @@
         (
             "/data",
             json!("127.0.0.1:8000"),
-            "backend: 127.0.0.1:8000 is the address of data",
+            "backend: 127.0.0.1:8000 is already the address of data",
         ),
         (
             "/backend",
             json!("127.0.0.1:0"),
-            "backend: 127.0.0.1:0: allowed are ports 1 to 65535",
+            "backend: 127.0.0.1:0: port must be from 1 to 65535",
         ),
         ("/pool", json!(""), "pool: must not be empty"),
     ];
     for (row, (pointer, value, reason)) in table.into_iter().enumerate() {
-        let said = said(&format!("sidecar-{row}"), sidecar(), pointer, value);
-        expect_that!(said, contains_substring(reason));
+        let message = check_with(&format!("sidecar-{row}"), sidecar(), pointer, value);
+        expect_that!(message, contains_substring(reason));
     }
 }
 
 #[gtest]
-fn refuses_files_that_are_no_settings() {
+fn unreadable_and_malformed_files_are_rejected() {
     let missing = PathBuf::from("/nowhere/settings.json");
-    let said = check(&missing, None)
-        .expect_err("there is no such file")
+    let message = check(&missing, None)
+        .expect_err("the file does not exist")
         .to_string();
     expect_that!(
-        said,
+        message,
         starts_with("could not read settings: /nowhere/settings.json: ")
     );
-    for (name, text) in [("cut", "{\"name\": "), ("twice", "{} {}"), ("empty", "")] {
+    for (name, text) in [
+        ("truncated", "{\"name\": "),
+        ("twice", "{} {}"),
+        ("empty", ""),
+    ] {
         let file = File::new(name, text);
-        let said = check(&file.0, None).expect_err("it is no JSON").to_string();
-        expect_that!(said, starts_with("could not parse settings: "));
+        let message = check(&file.0, None)
+            .expect_err("the file is not valid JSON")
+            .to_string();
+        expect_that!(message, starts_with("could not parse settings: "));
     }
 }
 
-/// The fields that an error names as those there are.
+/// Returns the fields that the error for an unknown field lists.
 fn known_fields(settings: &Value) -> Vec<String> {
     let file = File::new(
         &settings["name"].to_string().replace('"', ""),
         &settings.to_string(),
     );
-    let said = check(&file.0, None)
+    let message = check(&file.0, None)
         .expect_err("a field is unknown")
         .to_string();
-    let (_, listed) = said
+    let (_, listed) = message
         .split_once("expected one of ")
-        .expect("it lists the fields");
+        .expect("the error lists the fields");
     let quoted = listed.split('`').skip(1).step_by(2);
     quoted.map(str::to_owned).collect()
 }
 
 #[gtest]
-fn every_field_stands_on_the_page() {
+fn every_field_is_documented() {
     let page = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/operating/settings.md");
-    let page = fs::read_to_string(page).expect("the page is there");
+    let page = fs::read_to_string(page).expect("the page is readable");
     let (routers, rest) = page
         .split_once("## Limits")
-        .expect("the page has a part on limits");
+        .expect("the page has a section on limits");
     let (limits, sidecars) = rest
         .split_once("## Sidecar")
-        .expect("it has a part on sidecars");
-    let mut of_limits = router();
-    of_limits["limits"] = json!({"unknown": 1});
-    let mut of_router = router();
-    of_router["unknown"] = json!(1);
-    let mut of_sidecar = sidecar();
-    of_sidecar["unknown"] = json!(1);
-    for (part, prefix, settings) in [
-        (routers, "", of_router),
-        (limits, "limits.", of_limits),
-        (sidecars, "", of_sidecar),
+        .expect("the page has a section on sidecars");
+    let mut limits_settings = router();
+    limits_settings["limits"] = json!({"unknown": 1});
+    let mut router_settings = router();
+    router_settings["unknown"] = json!(1);
+    let mut sidecar_settings = sidecar();
+    sidecar_settings["unknown"] = json!(1);
+    for (section, prefix, settings) in [
+        (routers, "", router_settings),
+        (limits, "limits.", limits_settings),
+        (sidecars, "", sidecar_settings),
     ] {
         let fields = known_fields(&settings);
         expect_that!(fields.len(), ge(8));
         for field in fields {
             let row = format!("| `{prefix}{field}` |");
-            expect_that!(part, contains_substring(row.as_str()));
+            expect_that!(section, contains_substring(row.as_str()));
         }
     }
 }
