--- a/crates/platform/src/kv/etcd/transport.rs
+++ b/crates/platform/src/kv/etcd/transport.rs
@@ -99,7 +99,7 @@
         for tried in 0..count {
             let index = (first + tried) % count;
             let attempt_deadline = if method.is_idempotent() {
-                attempt_deadline(deadline, count - tried)
+                split_deadline(deadline, count - tried)
             } else {
                 deadline
             };
@@ -158,7 +158,7 @@
 }
 
 /// Splits the remaining time evenly, so that an unresponsive endpoint leaves time for the others.
-fn attempt_deadline(deadline: Instant, endpoints_remaining: usize) -> Instant {
+fn split_deadline(deadline: Instant, endpoints_remaining: usize) -> Instant {
     let now = Instant::now();
     let remaining = deadline.saturating_duration_since(now);
     let parts = u32::try_from(endpoints_remaining).unwrap_or(u32::MAX);
