--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -9,7 +9,7 @@
 use std::future::Future;
 
 use mulberryyoke_event::Format;
-use mulberryyoke_settings::Log;
+use mulberryyoke_settings::LogFormat;
 use tokio::runtime::Builder;
 
 use crate::args::{Args, Role};
@@ -46,9 +46,9 @@
 }
 
 /// The log form that settings ask for.
-const fn form(log: Log) -> Format {
+const fn form(log: LogFormat) -> Format {
     match log {
-        Log::Json => Format::Json,
-        Log::Terminal => Format::Terminal,
+        LogFormat::Json => Format::Json,
+        LogFormat::Terminal => Format::Terminal,
     }
 }
--- a/crates/gateway/src/exchange/registration.rs
+++ b/crates/gateway/src/exchange/registration.rs
@@ -52,7 +52,7 @@
                 clock::wait_until(clock::now_ms() + RENEW_INTERVAL_MS).await;
             }
             Err(error) => {
-                if matches!(error, Error::Lapsed) {
+                if matches!(error, Error::LeaseExpired) {
                     lease = None;
                 }
                 log!(core.logger, Event::AnnounceFailed, "error" => error.to_string());
@@ -79,7 +79,7 @@
 async fn renew(core: &Core, lease: Option<Lease>) -> Result<Lease, Error> {
     let feed = &core.feed;
     if let Some(lease) = lease {
-        feed.keep(lease.id).await?;
+        feed.keep_alive(lease.id).await?;
         return Ok(lease);
     }
     let id = feed.grant(LEASE_TTL_MS).await?.id;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -116,9 +116,9 @@
     pub fn reload(&self, settings: settings::Gateway) {
         let core = &self.core;
         let previous = core.settings.load_full();
-        let needs_restart = previous.place() != settings.place();
+        let needs_restart = previous.identity() != settings.identity();
         log!(core.logger, Event::Reloaded, "needs_restart" => needs_restart);
-        let settings = settings.at(&previous);
+        let settings = settings.with_identity_of(&previous);
         core.settings.store(Arc::new(settings));
     }
 
