--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -5,14 +5,14 @@
 mod choice;
 mod error;
 mod exchange;
-mod local;
+mod local_requests;
 mod message;
 mod peer;
+mod peer_status;
 mod peers;
 mod reader;
 mod service;
 mod source;
-mod standing;
 mod store;
 mod usage;
 mod vms;
@@ -35,8 +35,8 @@
 use tokio_util::task::TaskTracker;
 
 pub use self::error::Error;
-pub use self::local::Local;
-pub use self::standing::{Hearing, Standing};
+pub use self::local_requests::LocalRequests;
+pub use self::peer_status::{PeerStatus, PeerSummary};
 
 use self::peers::Peers;
 use self::store::Store;
@@ -66,7 +66,7 @@
     peers: Peers,
     ledger: Mutex<Ledger>,
     idle: Mutex<Vec<ServerId>>,
-    local: OnceLock<Arc<dyn Local>>,
+    local_requests: OnceLock<Arc<dyn LocalRequests>>,
     /// The VM list has been asked for once.
     listed: CancellationToken,
     /// The other routers have been asked once.
@@ -127,7 +127,7 @@
             ledger: Mutex::new(Ledger::new(instance, decide_exchange::Limits::default())),
             idle: Mutex::default(),
             bytes,
-            local: OnceLock::new(),
+            local_requests: OnceLock::new(),
             listed: CancellationToken::new(),
             asked: CancellationToken::new(),
             stop: CancellationToken::new(),
@@ -164,10 +164,10 @@
 
     /// Every other router of the VM list, whether it answered or not.
     #[must_use]
-    pub fn standings(&self) -> Vec<Standing> {
-        let mut standings = self.peers.standings();
-        standings.retain(|standing| standing.name != self.member.name);
-        standings
+    pub fn peer_statuses(&self) -> Vec<PeerStatus> {
+        let mut peer_statuses = self.peers.peer_statuses();
+        peer_statuses.retain(|status| status.name != self.member.name);
+        peer_statuses
     }
 
     /// Whether the key-value service is being followed, here or by other routers of the
@@ -197,7 +197,7 @@
 
     /// Takes in accepted configuration that a sidecar or peer told. What is not
     /// newer than the value held for its key is ignored.
-    pub fn offer(&self, changes: Vec<Change>) {
+    pub fn merge(&self, changes: Vec<Change>) {
         self.accept(changes, "offer");
     }
 
@@ -217,16 +217,16 @@
 
     /// What became of a request that this router, or an earlier life of it, took.
     async fn own_outcome(&self, attempt: Attempt) -> Outcome {
-        match self.local.get() {
-            Some(local) => local.outcome(attempt).await,
+        match self.local_requests.get() {
+            Some(requests) => requests.outcome(attempt).await,
             None => Outcome::Unknown,
         }
     }
 
     /// Names what answers the peers' questions about this router's requests. Only
     /// the first call counts.
-    pub fn serve(&self, local: Arc<dyn Local>) {
-        let _ = self.local.set(local);
+    pub fn set_local_requests(&self, requests: Arc<dyn LocalRequests>) {
+        let _ = self.local_requests.set(requests);
     }
 
     /// Counter of the bytes of all control links, those to sidecars included.
--- a/crates/daemon/src/fleet/local.rs
+++ b/crates/daemon/src/fleet/local_requests.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_model::{Attempt, KeyId, Millis, Outcome, ServerId};
 
 /// Answers questions about this router's own requests.
-pub trait Local: Send + Sync {
+pub trait LocalRequests: Send + Sync {
     /// What became of a request that this router took.
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>>;
 
--- a/crates/daemon/src/fleet/peers.rs
+++ b/crates/daemon/src/fleet/peers.rs
@@ -13,7 +13,7 @@
 use parking_lot::{Mutex, RwLock};
 
 use super::peer::{Heard, Peer, context};
-use super::standing::{Hearing, Standing};
+use super::peer_status::{PeerStatus, PeerSummary};
 use crate::clock;
 
 /// Routers asked at once about a request whose origin is not known.
@@ -121,17 +121,17 @@
     }
 
     /// Every other router in the VM list, whether it answered or not.
-    pub(super) fn standings(&self) -> Vec<Standing> {
+    pub(super) fn peer_statuses(&self) -> Vec<PeerStatus> {
         let peers = self.all();
-        let standings = peers.iter().map(|peer| Standing {
+        let peer_statuses = peers.iter().map(|peer| PeerStatus {
             name: peer.name.clone(),
-            heard: peer.heard().map(|heard| Hearing {
-                fresh: self.is_fresh(&heard),
+            last_summary: peer.heard().map(|heard| PeerSummary {
+                is_fresh: self.is_fresh(&heard),
                 member: heard.member,
                 revision: heard.revision,
             }),
         });
-        standings.collect()
+        peer_statuses.collect()
     }
 
     pub(super) fn idle(&self) -> Vec<ServerId> {
--- a/crates/daemon/src/fleet/service.rs
+++ b/crates/daemon/src/fleet/service.rs
@@ -62,8 +62,8 @@
     }
 
     async fn keys(self, _: Context, server: ServerId, since: Millis) -> (Millis, Vec<KeyId>) {
-        match self.0.local.get() {
-            Some(local) => local.keys(server, since),
+        match self.0.local_requests.get() {
+            Some(requests) => requests.keys(server, since),
             None => (Millis::MAX, Vec::new()),
         }
     }
--- a/crates/daemon/src/fleet/usage.rs
+++ b/crates/daemon/src/fleet/usage.rs
@@ -23,14 +23,14 @@
     /// Totals to tell a sidecar after its report was collected: those that the report
     /// raised, and of the others a bounded number that grew most since they were told. A
     /// cursor belongs to one link.
-    pub fn tell(&self, sidecar: Incarnation, cursor: &mut Cursor) -> Vec<Usage> {
+    pub fn totals_for_sidecar(&self, sidecar: Incarnation, cursor: &mut Cursor) -> Vec<Usage> {
         self.ledger.lock().totals_for_sidecar(sidecar, cursor)
     }
 
     /// About the instant up to which the totals include what other routers counted, as
     /// far as they are heard.
     #[must_use]
-    pub fn heard(&self) -> Millis {
+    pub fn totals_as_of(&self) -> Millis {
         self.ledger.lock().as_of(clock::now())
     }
 }
--- a/crates/daemon/src/router/handle.rs
+++ b/crates/daemon/src/router/handle.rs
@@ -17,7 +17,7 @@
 use super::error::Error;
 use super::inspect::Inspect;
 use super::{links, operators, outcome};
-use crate::fleet::{Fleet, Local};
+use crate::fleet::{Fleet, LocalRequests};
 use crate::operator::Operator;
 
 /// How long open connections stay open for requests that are on their way, only
@@ -54,7 +54,8 @@
         let fleet = Fleet::spawn(Arc::clone(&settings), logger.clone()).await;
         let fleet = fleet.map_err(Error::Fleet)?;
         let core = Arc::new(Core::new(settings, logger, fleet));
-        core.fleet.serve(Arc::new(Answers(Arc::clone(&core))));
+        core.fleet
+            .set_local_requests(Arc::new(Answers(Arc::clone(&core))));
         let port = Port::bind(&core).await?;
         let address = port.address()?;
         let operators = operators::bind(&core).await?;
@@ -134,7 +135,7 @@
 #[derive(Debug)]
 struct Answers(Arc<Core>);
 
-impl Local for Answers {
+impl LocalRequests for Answers {
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
         Box::pin(outcome::own(&self.0, attempt))
     }
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -199,8 +199,11 @@
             self.check(&polled, &mut idle);
             if let Some(report) = &polled.report {
                 poll.acknowledged = self.core.fleet.collect(polled.load.incarnation, report);
-                poll.fleet = self.core.fleet.tell(polled.load.incarnation, &mut cursor);
-                poll.fleet_as_of = self.core.fleet.heard();
+                poll.fleet = self
+                    .core
+                    .fleet
+                    .totals_for_sidecar(polled.load.incarnation, &mut cursor);
+                poll.fleet_as_of = self.core.fleet.totals_as_of();
             } else {
                 poll.fleet = Vec::new();
             }
--- a/crates/daemon/src/router/link/teacher.rs
+++ b/crates/daemon/src/router/link/teacher.rs
@@ -111,7 +111,7 @@
         tokio::spawn(async move {
             // A failure shows in the next load again.
             if let Ok(changes) = client.changes(within(limit), since).await {
-                core.fleet.offer(changes);
+                core.fleet.merge(changes);
             }
         });
     }
--- a/crates/daemon/src/router/operators/nodes.rs
+++ b/crates/daemon/src/router/operators/nodes.rs
@@ -6,7 +6,7 @@
 use mulberryyoke_model as model;
 use mulberryyoke_model::{Config, PoolId, ServerId, State};
 
-use crate::fleet::Standing;
+use crate::fleet::PeerStatus;
 use crate::router::core::Core;
 use crate::router::inspect::Server;
 
@@ -25,24 +25,24 @@
         free: None,
         started_at: Some(own.started_at),
     };
-    let peers = core.fleet.standings();
-    let peers = peers.iter().map(|standing| peer(core, standing));
+    let peers = core.fleet.peer_statuses();
+    let peers = peers.iter().map(|status| peer(core, status));
     std::iter::once(this).chain(peers).collect()
 }
 
-fn peer(core: &Core, standing: &Standing) -> Node {
-    let heard = standing.heard.as_ref();
+fn peer(core: &Core, status: &PeerStatus) -> Node {
+    let summary = status.last_summary.as_ref();
     Node {
         role: Role::Router,
-        name: standing.name.clone(),
-        zone: heard.map_or_else(String::new, |heard| heard.member.zone.clone()),
-        up: heard.is_some_and(|heard| heard.fresh),
-        leaving: core.fleet.is_leaving(&standing.name),
-        revision: heard.map(|heard| heard.revision),
+        name: status.name.clone(),
+        zone: summary.map_or_else(String::new, |summary| summary.member.zone.clone()),
+        up: summary.is_some_and(|summary| summary.is_fresh),
+        leaving: core.fleet.is_leaving(&status.name),
+        revision: summary.map(|summary| summary.revision),
         pool: None,
         slots: None,
         free: None,
-        started_at: heard.map(|heard| heard.member.started_at),
+        started_at: summary.map(|summary| summary.member.started_at),
     }
 }
 
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -45,11 +45,11 @@
 async fn offered_configuration_is_published_once() {
     let fleet = spawn("r1").await;
     let mut watch = fleet.watch();
-    fleet.offer(vec![pool(7)]);
+    fleet.merge(vec![pool(7)]);
     watch.changed().await.unwrap();
     assert_that!(*watch.borrow_and_update(), eq(7));
     assert_that!(fleet.view().model_pool("chat"), some(anything()));
-    fleet.offer(vec![pool(7), pool(3)]);
+    fleet.merge(vec![pool(7), pool(3)]);
     assert_that!(watch.has_changed().unwrap(), eq(false));
     fleet.stop().await;
 }
--- a/crates/standin/tests/fleet/configuration.rs
+++ b/crates/standin/tests/fleet/configuration.rs
@@ -217,10 +217,10 @@
         revision,
         object: name.map(pool),
     };
-    router.fleet.offer(vec![change(9, Some("one"))]);
-    router.fleet.offer(vec![change(8, None)]);
+    router.fleet.merge(vec![change(9, Some("one"))]);
+    router.fleet.merge(vec![change(8, None)]);
     assert_that!(router.pools(), elements_are![eq("one")]);
-    router.fleet.offer(vec![change(10, None)]);
+    router.fleet.merge(vec![change(10, None)]);
     assert_that!(router.pools(), is_empty());
     router.fleet.stop().await;
 }
--- a/crates/standin/tests/fleet/exchange.rs
+++ b/crates/standin/tests/fleet/exchange.rs
@@ -11,7 +11,7 @@
 use mulberryyoke_model::{
     Attempt, CustomerId, Incarnation, KeyId, Millis, Outcome, PoolId, Report, ServerId, Usage,
 };
-use mulberryyoked::fleet::{Fleet, Local};
+use mulberryyoked::fleet::{Fleet, LocalRequests};
 
 use crate::world::{Router, World, limit};
 
@@ -129,7 +129,7 @@
 
 struct Answers;
 
-impl Local for Answers {
+impl LocalRequests for Answers {
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
         let ran = attempt.request == 1;
         Box::pin(async move { if ran { Outcome::Ran } else { Outcome::NotRun } })
@@ -144,7 +144,7 @@
 async fn outcomes_and_hints_are_asked_of_peers() {
     let world = World::open().await;
     let routers = three(&world).await;
-    routers[2].fleet.serve(Arc::new(Answers));
+    routers[2].fleet.set_local_requests(Arc::new(Answers));
     let attempt = |origin, request| Attempt {
         origin,
         request,
