--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,8 +1,7 @@
-//! What a router knows of the fleet: accepted configuration, peer routers, VM
-//! list and the service that customers have received.
+//! A router's view of the fleet: accepted configuration, peer routers, VM list and
+//! customer usage.
 
 mod catch_up;
-mod choice;
 mod error;
 mod exchange;
 mod local_requests;
@@ -14,6 +13,7 @@
 mod service;
 mod source;
 mod store;
+mod subset;
 mod usage;
 mod vms;
 
@@ -40,20 +40,20 @@
 
 use self::peers::Peers;
 use self::store::Store;
-use self::vms::Roster;
+use self::vms::VmList;
 use crate::clock;
 
-/// A router whose calls fail for this many exchanges is suspect.
+/// Exchange intervals of failed calls after which a router is suspect.
 const SUSPECT_INTERVALS: u64 = 3;
 
-/// Least time for which calls to a router fail before it is suspect, in milliseconds.
-const LEAST_SUSPECT_MS: u64 = 1_000;
+/// Minimum time of failed calls after which a router is suspect, in milliseconds.
+const MIN_SUSPECT_MS: u64 = 1_000;
 
-/// Longest silence of a watch, in milliseconds: after a partition that cut it without
-/// a trace, new configuration is in force this much later.
-const SILENCE_MS: u64 = 10_000;
+/// Idle time after which a watch is reopened, in milliseconds. Bounds how long a
+/// connection lost without a reset delays new configuration.
+const WATCH_IDLE_TIMEOUT_MS: u64 = 10_000;
 
-/// A router's knowledge of the fleet, kept up to date until stopped.
+/// A router's view of the fleet, kept up to date until stopped.
 pub struct Fleet {
     settings: Arc<settings::Router>,
     logger: Logger,
@@ -62,22 +62,22 @@
     bytes: Arc<ByteCounter>,
     store: Store,
     kv_up: AtomicBool,
-    roster: Roster,
+    vm_list: VmList,
     peers: Peers,
     ledger: Mutex<Ledger>,
     idle: Mutex<Vec<ServerId>>,
     local_requests: OnceLock<Arc<dyn LocalRequests>>,
-    /// The VM list has been asked for once.
-    listed: CancellationToken,
-    /// The other routers have been asked once.
-    asked: CancellationToken,
+    /// Cancelled after the first read of the VM list, even a failed one.
+    first_listing: CancellationToken,
+    /// Cancelled after the first exchange with the other routers or its timeout.
+    first_exchange: CancellationToken,
     stop: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl Fleet {
-    /// Binds the control port and begins to follow the key-value service, the VM
-    /// list and the peers. Nothing of them needs to answer yet.
+    /// Binds the control port and starts to follow the key-value service, the VM
+    /// list and the peers, none of which needs to be reachable yet.
     ///
     /// # Errors
     ///
@@ -108,11 +108,11 @@
             started_at: member.started_at,
         };
         let limits = decide_member::Limits {
-            suspect_ms: (SUSPECT_INTERVALS * settings.exchange_ms).max(LEAST_SUSPECT_MS),
+            suspect_ms: (SUSPECT_INTERVALS * settings.exchange_ms).max(MIN_SUSPECT_MS),
             ..decide_member::Limits::default()
         };
         let options = kv::Options {
-            watch_idle_timeout_ms: SILENCE_MS,
+            watch_idle_timeout_ms: WATCH_IDLE_TIMEOUT_MS,
             ..kv::Options::default()
         };
         let fleet = Arc::new(Self {
@@ -120,41 +120,41 @@
             logger,
             member,
             control,
-            store: Store::open(),
+            store: Store::new(),
             kv_up: AtomicBool::new(false),
-            roster: Roster::default(),
-            peers: Peers::open(router, limits, Arc::clone(&bytes)),
+            vm_list: VmList::default(),
+            peers: Peers::new(router, limits, Arc::clone(&bytes)),
             ledger: Mutex::new(Ledger::new(instance, decide_exchange::Limits::default())),
             idle: Mutex::default(),
             bytes,
             local_requests: OnceLock::new(),
-            listed: CancellationToken::new(),
-            asked: CancellationToken::new(),
+            first_listing: CancellationToken::new(),
+            first_exchange: CancellationToken::new(),
             stop: CancellationToken::new(),
             tasks: TaskTracker::new(),
         });
         let kv = kv::Etcd::new(settings.kv.clone(), options);
         let vms = vm::Http::new(settings.vms);
-        fleet.run(service::accept(Arc::clone(&fleet), listener));
-        fleet.run(source::follow(Arc::clone(&fleet), Arc::new(kv)));
-        fleet.run(vms::follow(Arc::clone(&fleet), Arc::new(vms)));
-        fleet.run(exchange::run(Arc::clone(&fleet)));
+        fleet.spawn_task(service::accept(Arc::clone(&fleet), listener));
+        fleet.spawn_task(source::follow(Arc::clone(&fleet), Arc::new(kv)));
+        fleet.spawn_task(vms::follow(Arc::clone(&fleet), Arc::new(vms)));
+        fleet.spawn_task(exchange::run(Arc::clone(&fleet)));
         Ok(fleet)
     }
 
-    /// Where peers connect.
+    /// Address of the control port.
     #[must_use]
     pub fn control(&self) -> SocketAddr {
         self.control
     }
 
-    /// This router as its peers know it.
+    /// The member record that this router sends to its peers.
     #[must_use]
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// Routers that answered of late, this one included.
+    /// Routers with a recent summary, including this one.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         let mut members = self.peers.members();
@@ -162,7 +162,7 @@
         members
     }
 
-    /// Every other router of the VM list, whether it answered or not.
+    /// Status of every other known router, reachable or not.
     #[must_use]
     pub fn peer_statuses(&self) -> Vec<PeerStatus> {
         let mut peer_statuses = self.peers.peer_statuses();
@@ -170,8 +170,8 @@
         peer_statuses
     }
 
-    /// Whether the key-value service is being followed, here or by other routers of the
-    /// zone.
+    /// Whether the key-value service is being followed by this router or by other
+    /// routers of the zone.
     #[must_use]
     pub fn is_kv_up(&self) -> bool {
         self.kv_up.load(Ordering::Relaxed)
@@ -189,60 +189,60 @@
         self.store.config()
     }
 
-    /// Tells the highest applied revision whenever the configuration changes.
+    /// Subscribes to the highest applied revision.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<Revision> {
         self.store.watch()
     }
 
-    /// Takes in accepted configuration that a sidecar or peer told. What is not
-    /// newer than the value held for its key is ignored.
+    /// Merges accepted configuration from a sidecar or a peer. Changes that are not
+    /// newer than the current value of their key are ignored.
     pub fn merge(&self, changes: Vec<Change>) {
-        self.accept(changes, "offer");
+        self.apply(changes, "offer");
     }
 
-    /// Whether the VM list says that a VM is leaving.
+    /// Whether a VM is marked as leaving in the VM list.
     #[must_use]
     pub fn is_leaving(&self, name: &str) -> bool {
-        self.roster.is_leaving(name)
+        self.vm_list.is_leaving(name)
     }
 
-    /// What became of a request, asked of the router life that took it.
+    /// Outcome of a request, queried from the router instance that received it.
     pub async fn outcome(&self, attempt: Attempt) -> Outcome {
         if attempt.origin == self.member.incarnation {
-            return self.own_outcome(attempt).await;
+            return self.local_outcome(attempt).await;
         }
         self.peers.outcome(attempt).await
     }
 
-    /// What became of a request that this router, or an earlier life of it, took.
-    async fn own_outcome(&self, attempt: Attempt) -> Outcome {
+    /// Outcome of a request that this router or an earlier instance of it received.
+    async fn local_outcome(&self, attempt: Attempt) -> Outcome {
         match self.local_requests.get() {
             Some(requests) => requests.outcome(attempt).await,
             None => Outcome::Unknown,
         }
     }
 
-    /// Names what answers the peers' questions about this router's requests. Only
-    /// the first call counts.
+    /// Sets the handler of peers' queries about this router's requests. Only the
+    /// first call has an effect.
     pub fn set_local_requests(&self, requests: Arc<dyn LocalRequests>) {
         let _ = self.local_requests.set(requests);
     }
 
-    /// Counter of the bytes of all control links, those to sidecars included.
+    /// Byte counter of all control connections, including those to sidecars.
     #[must_use]
     pub fn control_bytes(&self) -> Arc<ByteCounter> {
         Arc::clone(&self.bytes)
     }
 
-    /// Stops following and answering, and waits until that is done.
+    /// Stops all tasks and waits for them to end.
     pub async fn stop(&self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
     }
 
-    fn run(&self, task: impl Future<Output = ()> + Send + 'static) {
+    fn spawn_task(&self, task: impl Future<Output = ()> + Send + 'static) {
         let stop = self.stop.clone();
         self.tasks.spawn(async move {
             stop.run_until_cancelled(task).await;
--- a/crates/daemon/src/fleet/catch_up.rs
+++ b/crates/daemon/src/fleet/catch_up.rs
@@ -9,61 +9,61 @@
 use tokio::time::timeout;
 
 use super::Fleet;
-use super::peer::{ANSWER, Peer, context};
+use super::peer::{CALL_TIMEOUT, Peer, call_context};
 
-/// Sidecars asked at once when nobody else can tell the configuration.
-const SIDECARS: usize = 3;
+/// Sidecars queried when neither the key-value service nor a router has answered.
+const SIDECAR_SAMPLE: usize = 3;
 
 impl Fleet {
-    /// Applies accepted configuration, wherever it was heard.
-    pub(super) fn accept(&self, changes: Vec<Change>, from: &str) {
+    /// Applies accepted configuration; `from` is its source in the log.
+    pub(super) fn apply(&self, changes: Vec<Change>, from: &str) {
         if let Some(revision) = self.store.apply(changes) {
             log!(self.logger, Event::ConfigApplied, "revision" => revision, "from" => from);
         }
     }
 
-    /// Fetches what another router has accepted and this one has not. Routers that
-    /// have reached the same revision by different writes compare all of them.
+    /// Fetches the changes that a peer has accepted and this router has not. If both
+    /// have the same revision with different contents, fetches all changes.
     pub(super) fn catch_up(self: &Arc<Self>, peer: &Arc<Peer>, revision: Revision, digest: u64) {
-        let (own, own_digest) = self.store.standing();
+        let (own, own_digest) = self.store.version();
         let since = if revision > own {
             own
-        } else if revision == own && digest != own_digest && peer.may_compare() {
+        } else if revision == own && digest != own_digest && peer.try_start_comparison() {
             0
         } else {
             return;
         };
         let (fleet, peer) = (Arc::clone(self), Arc::clone(peer));
-        self.run(async move { fleet.fetch(&peer, since).await });
+        self.spawn_task(async move { fleet.fetch(&peer, since).await });
     }
 
     async fn fetch(&self, peer: &Peer, since: Revision) {
-        let Some(_raised) = peer.fetching.raise() else {
+        let Some(_guard) = peer.fetching.try_acquire() else {
             return;
         };
         let Some(client) = peer.client(&self.bytes).await else {
             return;
         };
-        if let Ok(changes) = client.changes(context(), since).await {
-            self.accept(changes, &peer.name);
+        if let Ok(changes) = client.changes(call_context(), since).await {
+            self.apply(changes, &peer.name);
         }
     }
 
-    /// Asks a few sidecars, while neither the key-value service nor another router has
-    /// told anything.
-    pub(super) async fn ask_sidecars(&self) {
-        let sidecars = self.roster.sidecars();
-        let asked: Vec<_> = sidecars
-            .sample(&mut rand::rng(), SIDECARS)
+    /// Fetches the configuration from a few random sidecars, as a fallback for the
+    /// key-value service and the other routers.
+    pub(super) async fn fetch_from_sidecars(&self) {
+        let sidecars = self.vm_list.sidecars();
+        let sampled: Vec<_> = sidecars
+            .sample(&mut rand::rng(), SIDECAR_SAMPLE)
             .copied()
             .collect();
-        for address in asked {
+        for address in sampled {
             let connect = wire::connect_sidecar(address, self.control_bytes());
-            let Ok(Ok(client)) = timeout(ANSWER, connect).await else {
+            let Ok(Ok(client)) = timeout(CALL_TIMEOUT, connect).await else {
                 continue;
             };
-            if let Ok(changes) = client.changes(context(), 0).await {
-                self.accept(changes, "sidecar");
+            if let Ok(changes) = client.changes(call_context(), 0).await {
+                self.apply(changes, "sidecar");
             }
         }
     }
--- a/crates/daemon/src/fleet/error.rs
+++ b/crates/daemon/src/fleet/error.rs
@@ -1,9 +1,9 @@
-//! Errors of following the fleet.
+//! Errors of starting to follow the fleet.
 
 use displaydoc::Display;
 use mulberryyoke_wire as wire;
 
-/// Why the fleet cannot be followed.
+/// An error of [`Fleet::spawn`](super::Fleet::spawn).
 #[derive(Debug, Display)]
 pub enum Error {
     /// could not open control port: {0}
--- a/crates/daemon/src/fleet/exchange.rs
+++ b/crates/daemon/src/fleet/exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange with other routers: usage, standing, idle servers, and news of the
-//! configuration.
+//! Periodic exchange with other routers: usage, liveness, idle servers and
+//! configuration revisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,73 +13,76 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use super::Fleet;
-use super::peer::{Peer, context, life};
+use super::peer::{Peer, call_context, instance};
 use crate::clock;
 
-/// Bytes a second for counters to all other routers.
-const BUDGET: u64 = 4_096;
+/// Bandwidth of the counters to all other routers, in bytes per second.
+const BYTES_PER_SECOND: u64 = 4_096;
 
-/// Mean bytes of a counter in a message.
+/// Mean encoded size of a counter, in bytes.
 const ENTRY_BYTES: u64 = 14;
 
-/// Fewest counters in a message.
-const FEWEST_ENTRIES: u64 = 32;
+/// Minimum limit on the counters in a message.
+const MIN_ENTRIES: u64 = 32;
 
-/// Rounds between two calls to a suspect router.
+/// Rounds between two probes of a suspect router.
 const PROBE_ROUNDS: u64 = 5;
 
-/// Intervals after which a router calls one that should have called it.
-const UNHEARD_INTERVALS: u32 = 2;
+/// Intervals of silence after which a router calls a peer that should have called it.
+const SILENT_INTERVALS: u32 = 2;
 
-/// News of the configuration waits this long for more of it, in milliseconds.
-const NEWS_MS: u64 = 20;
+/// Delay in which configuration changes are batched into one round, in milliseconds.
+const BATCH_DELAY_MS: u64 = 20;
 
-/// Longest wait for the first answers of other routers, in milliseconds.
-const FIRST_MS: u64 = 2_500;
+/// Timeout of the first exchange, in milliseconds.
+const FIRST_EXCHANGE_TIMEOUT_MS: u64 = 2_500;
 
-/// How long a prediction holds and a router counts as heard, at least, in milliseconds.
-const HORIZON_MS: u64 = 5_000;
+/// Minimum of [`Limits::horizon_ms`], in milliseconds.
+const MIN_HORIZON_MS: u64 = 5_000;
 
-/// The same in exchanges.
+/// Minimum of [`Limits::horizon_ms`], in exchange intervals.
 const HORIZON_INTERVALS: u64 = 3;
 
-/// Exchanges until stopped.
+/// Runs exchange rounds until stopped.
 pub(super) async fn run(fleet: Arc<Fleet>) {
-    fleet.listed.cancelled().await;
+    fleet.first_listing.cancelled().await;
     let first = fleet.targets(0, true);
     let calls = first
         .iter()
         .map(|(peer, relation)| fleet.call(peer, *relation));
-    let _ = timeout(Duration::from_millis(FIRST_MS), join_all(calls)).await;
-    fleet.asked.cancel();
+    let _ = timeout(
+        Duration::from_millis(FIRST_EXCHANGE_TIMEOUT_MS),
+        join_all(calls),
+    )
+    .await;
+    fleet.first_exchange.cancel();
     let mut revision = fleet.store.watch();
     let mut next = Instant::now();
-    let mut news = false;
+    let mut config_changed = false;
     for round in 1.. {
         fleet.begin_round();
-        for (peer, relation) in fleet.targets(round, news) {
+        for (peer, relation) in fleet.targets(round, config_changed) {
             let fleet = Arc::clone(&fleet);
-            fleet.run(call(Arc::clone(&fleet), peer, relation));
+            fleet.spawn_task(call(Arc::clone(&fleet), peer, relation));
         }
-        if !news || Instant::now() >= next {
+        if !config_changed || Instant::now() >= next {
             next = Instant::now() + fleet.interval();
         }
         tokio::select! {
-            () = sleep_until(next) => news = false,
+            () = sleep_until(next) => config_changed = false,
             Ok(()) = revision.changed() => {
-                sleep(Duration::from_millis(NEWS_MS)).await;
+                sleep(Duration::from_millis(BATCH_DELAY_MS)).await;
                 revision.mark_unchanged();
-                news = true;
+                config_changed = true;
             }
         }
     }
 }
 
-/// What a router is to the one that it calls; `None` when it only asks whether that one
-/// answers.
-type Role = Option<Relation>;
+/// Relation of the caller to the called router; `None` for a liveness probe.
+type CallerRelation = Option<Relation>;
 
-async fn call(fleet: Arc<Fleet>, peer: Arc<Peer>, relation: Role) {
+async fn call(fleet: Arc<Fleet>, peer: Arc<Peer>, relation: CallerRelation) {
     fleet.call(&peer, relation).await;
 }
 
@@ -89,19 +92,19 @@
     }
 
     fn begin_round(&self) {
-        let plan = self.peers.plan();
-        let others = plan.peers.len() + usize::from(plan.parent.is_some());
+        let neighbors = self.peers.neighbors();
+        let others = neighbors.peers.len() + usize::from(neighbors.parent.is_some());
         let others = (others + self.peers.children().len()).max(1) as u64;
-        let budget = BUDGET * self.settings.exchange_ms / 1_000;
-        let entries = (budget / (others * ENTRY_BYTES)).max(FEWEST_ENTRIES);
+        let budget = BYTES_PER_SECOND * self.settings.exchange_ms / 1_000;
+        let entries = (budget / (others * ENTRY_BYTES)).max(MIN_ENTRIES);
         let now = clock::now();
         let mut ledger = self.ledger.lock();
         ledger.set_limits(Limits {
             max_entries: usize::try_from(entries).unwrap_or(usize::MAX),
-            horizon_ms: HORIZON_MS.max(HORIZON_INTERVALS * self.settings.exchange_ms),
+            horizon_ms: MIN_HORIZON_MS.max(HORIZON_INTERVALS * self.settings.exchange_ms),
             ..Limits::default()
         });
-        if plan.parent.is_none() {
+        if neighbors.parent.is_none() {
             ledger.set_parent(None, now);
         }
         ledger.tick(now);
@@ -110,66 +113,76 @@
         gauge!("exchange_age_ms", "router" => self.member.name.clone()).set(age_ms as f64);
     }
 
-    /// Whom to call in a round, and what this router is to them. With `news` to tell,
-    /// everyone that it exchanges with.
-    fn targets(&self, round: u64, news: bool) -> Vec<(Arc<Peer>, Role)> {
-        let plan = self.peers.plan();
+    /// The routers to call in a round, with this router's relation to them. After a
+    /// configuration change, all that it exchanges with.
+    fn targets(&self, round: u64, config_changed: bool) -> Vec<(Arc<Peer>, CallerRelation)> {
+        let neighbors = self.peers.neighbors();
         let mut targets = Vec::new();
-        let parent = plan.parent.iter().filter_map(|name| self.peers.get(name));
+        let parent = neighbors
+            .parent
+            .iter()
+            .filter_map(|name| self.peers.get(name));
         targets.extend(parent.map(|parent| (parent, Some(Relation::Child))));
-        let peers = plan.peers.iter().filter_map(|name| self.peers.get(name));
-        let peers = peers.filter(|peer| news || self.calls(peer));
+        let peers = neighbors
+            .peers
+            .iter()
+            .filter_map(|name| self.peers.get(name));
+        let peers = peers.filter(|peer| config_changed || self.is_caller(peer));
         targets.extend(peers.map(|peer| (peer, Some(Relation::Peer))));
         if round.is_multiple_of(PROBE_ROUNDS) {
-            let probe = plan.probe.iter().filter_map(|name| self.peers.get(name));
+            let probe = neighbors
+                .probe
+                .iter()
+                .filter_map(|name| self.peers.get(name));
             targets.extend(probe.map(|peer| (peer, None)));
         }
-        if news {
+        if config_changed {
             let children = self.peers.children().into_iter();
             targets.extend(children.map(|child| (child, Some(Relation::Parent))));
         }
         targets
     }
 
-    /// Of two peers the one with the lesser name calls, the other one if that fails.
-    fn calls(&self, peer: &Peer) -> bool {
-        let unheard_for = self.interval() * UNHEARD_INTERVALS;
-        let heard = peer.heard();
-        self.member.name < peer.name || heard.is_none_or(|heard| heard.at.elapsed() >= unheard_for)
+    /// Of two peers the one with the lesser name calls; the other calls after silence.
+    fn is_caller(&self, peer: &Peer) -> bool {
+        let max_silence = self.interval() * SILENT_INTERVALS;
+        let last = peer.last_summary();
+        self.member.name < peer.name
+            || last.is_none_or(|last| last.received_at.elapsed() >= max_silence)
     }
 
-    async fn call(self: &Arc<Self>, peer: &Arc<Peer>, relation: Role) {
-        let Some(_raised) = peer.calling.raise() else {
+    async fn call(self: &Arc<Self>, peer: &Arc<Peer>, relation: CallerRelation) {
+        let Some(_guard) = peer.calling.try_acquire() else {
             return;
         };
-        // A second time if the first one found a life that was not known.
+        // Repeated once if the peer turned out to be an unknown instance.
         for _ in 0..2 {
-            let known = peer.heard().map(|heard| heard.life());
+            let known = peer.last_summary().map(|last| last.instance());
             let statement = known
                 .zip(relation)
-                .map(|(life, relation)| self.state(life, relation));
+                .map(|(instance, relation)| self.next_statement(instance, relation));
             let summary = self.summary(statement, relation.unwrap_or_default());
-            let Some(answer) = self.ask(peer, summary).await else {
-                return self.note_failure(peer).await;
+            let Some(answer) = self.exchange(peer, summary).await else {
+                return self.record_failure(peer).await;
             };
-            let is_known = known == Some(life(&answer.from));
-            self.hear(&answer);
+            let is_known = known == Some(instance(&answer.from));
+            self.receive(&answer);
             if is_known || relation.is_none() {
                 return;
             }
         }
     }
 
-    async fn ask(&self, peer: &Peer, summary: Summary) -> Option<Summary> {
+    async fn exchange(&self, peer: &Peer, summary: Summary) -> Option<Summary> {
         counter!("exchange_calls_total").increment(1);
         let client = peer.client(&self.bytes).await?;
-        client.exchange(context(), summary).await.ok()
+        client.exchange(call_context(), summary).await.ok()
     }
 
-    async fn note_failure(&self, peer: &Peer) {
+    async fn record_failure(&self, peer: &Peer) {
         counter!("exchange_failures_total").increment(1);
         peer.disconnect().await;
-        if self.peers.fail(&peer.name) {
+        if self.peers.record_failure(&peer.name) {
             log!(self.logger, Event::PeerDown, "peer" => &peer.name);
         }
     }
--- a/crates/daemon/src/fleet/message.rs
+++ b/crates/daemon/src/fleet/message.rs
@@ -9,13 +9,13 @@
 use mulberryyoke_wire::Summary;
 
 use super::Fleet;
-use super::peer::life;
+use super::peer::instance;
 use crate::clock;
 
-/// Most servers in a hint.
-const MOST_IDLE: usize = 16;
+/// Maximum number of idle servers in a message.
+const MAX_IDLE: usize = 16;
 
-/// What the receiver of a statement is to its sender.
+/// The same relation from the view of the other router.
 pub(super) fn inverse(relation: Relation) -> Relation {
     match relation {
         Relation::Peer => Relation::Peer,
@@ -25,60 +25,64 @@
 }
 
 impl Fleet {
-    /// The next statement for a life that this router calls, which its plan makes
-    /// `relation` to it.
-    pub(super) fn state(&self, life: Instance, relation: Relation) -> Statement {
+    /// The next statement for an instance that this router calls. `relation` is this
+    /// router's relation to it.
+    pub(super) fn next_statement(&self, instance: Instance, relation: Relation) -> Statement {
         let now = clock::now();
         let mut ledger = self.ledger.lock();
         if relation == Relation::Child {
-            ledger.set_parent(Some(life), now);
+            ledger.set_parent(Some(instance), now);
         }
-        ledger.next_statement(life.incarnation, relation, now)
+        ledger.next_statement(instance.incarnation, relation, now)
     }
 
-    /// The answering statement for a life that called; none as its child unless this
-    /// router's own plan says so too.
-    pub(super) fn answer(&self, life: Instance, relation: Relation) -> Option<Statement> {
+    /// The statement in reply to an instance that called; `None` if it called as a
+    /// parent and is not the parent of this router.
+    pub(super) fn reply_statement(
+        &self,
+        instance: Instance,
+        relation: Relation,
+    ) -> Option<Statement> {
         let mut ledger = self.ledger.lock();
-        if relation == Relation::Child && ledger.parent() != Some(life.incarnation) {
+        if relation == Relation::Child && ledger.parent() != Some(instance.incarnation) {
             return None;
         }
-        Some(ledger.next_statement(life.incarnation, relation, clock::now()))
+        Some(ledger.next_statement(instance.incarnation, relation, clock::now()))
     }
 
-    /// A message for another router that this one is `relation` to.
+    /// A message for another router; `relation` is this router's relation to it.
     pub(super) fn summary(&self, statement: Option<Statement>, relation: Relation) -> Summary {
-        let (revision, digest) = self.store.standing();
+        let (revision, digest) = self.store.version();
         Summary {
             from: self.member.clone(),
             revision,
             digest,
             statement,
-            idle: self.hint(relation),
+            idle: self.idle_servers(relation),
         }
     }
 
-    /// Idle servers to tell of: upwards and to peers those of this router and below it,
-    /// downwards all, so that no hint goes in a circle.
-    fn hint(&self, relation: Relation) -> Vec<ServerId> {
+    /// Idle servers to announce: to the parent and to peers those of this router and its
+    /// children, to children all. This prevents announcements from looping.
+    fn idle_servers(&self, relation: Relation) -> Vec<ServerId> {
         let mut idle: BTreeSet<ServerId> = self.idle.lock().iter().copied().collect();
         if relation == Relation::Parent {
             idle.extend(self.peers.idle());
         } else {
             let children = self.peers.children().into_iter();
-            let heard = children.filter_map(|child| child.heard());
-            idle.extend(heard.flat_map(|heard| heard.idle));
+            let summaries = children.filter_map(|child| child.last_summary());
+            idle.extend(summaries.flat_map(|summary| summary.idle));
         }
-        idle.into_iter().take(MOST_IDLE).collect()
+        idle.into_iter().take(MAX_IDLE).collect()
     }
 
-    /// Takes in what another router says.
-    pub(super) fn hear(self: &Arc<Self>, summary: &Summary) {
+    /// Receives a message of another router.
+    pub(super) fn receive(self: &Arc<Self>, summary: &Summary) {
         if let Some(statement) = &summary.statement {
             let mut ledger = self.ledger.lock();
-            ledger.receive(life(&summary.from), statement, clock::now());
+            ledger.receive(instance(&summary.from), statement, clock::now());
         }
-        let Some((peer, is_new)) = self.peers.hear(summary) else {
+        let Some((peer, is_new)) = self.peers.receive(summary) else {
             return;
         };
         if is_new {
--- a/crates/daemon/src/fleet/peer.rs
+++ b/crates/daemon/src/fleet/peer.rs
@@ -1,4 +1,4 @@
-//! One other router.
+//! Connection to another router and its last summary.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,42 +12,42 @@
 use tarpc::context::Context;
 use tokio::time::timeout;
 
-/// Longest time that another router may take to answer.
-pub(super) const ANSWER: Duration = Duration::from_secs(2);
+/// Timeout of connecting to and calling another router or a sidecar.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Least time between two comparisons of the whole configuration with one router.
-const COMPARE: Duration = Duration::from_secs(10);
+/// Minimum time between two full configuration comparisons with one router.
+const COMPARE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// One other router.
+/// Another router.
 pub(super) struct Peer {
     pub(super) name: String,
     pub(super) address: SocketAddr,
-    pub(super) calling: Flag,
-    pub(super) fetching: Flag,
-    link: tokio::sync::Mutex<Option<RouterClient>>,
-    heard: Mutex<Option<Heard>>,
+    pub(super) calling: BusyFlag,
+    pub(super) fetching: BusyFlag,
+    client: tokio::sync::Mutex<Option<RouterClient>>,
+    last_summary: Mutex<Option<LastSummary>>,
     compared_at: Mutex<Option<Instant>>,
 }
 
-/// What a router said last.
+/// The latest summary received from a router.
 #[derive(Clone)]
-pub(super) struct Heard {
+pub(super) struct LastSummary {
     pub(super) member: Member,
-    pub(super) at: Instant,
+    pub(super) received_at: Instant,
     pub(super) revision: Revision,
     pub(super) idle: Vec<ServerId>,
-    /// What it is to this router, if it said.
+    /// Its relation to this router, if the summary had a statement.
     pub(super) relation: Option<Relation>,
 }
 
-impl Heard {
-    pub(super) fn life(&self) -> Instance {
-        life(&self.member)
+impl LastSummary {
+    pub(super) fn instance(&self) -> Instance {
+        instance(&self.member)
     }
 }
 
-/// The life of a router.
-pub(super) fn life(member: &Member) -> Instance {
+/// The instance of a router.
+pub(super) fn instance(member: &Member) -> Instance {
     Instance {
         incarnation: member.incarnation,
         started_at: member.started_at,
@@ -59,71 +59,71 @@
         Self {
             name,
             address,
-            calling: Flag::default(),
-            fetching: Flag::default(),
-            link: tokio::sync::Mutex::default(),
-            heard: Mutex::default(),
+            calling: BusyFlag::default(),
+            fetching: BusyFlag::default(),
+            client: tokio::sync::Mutex::default(),
+            last_summary: Mutex::default(),
             compared_at: Mutex::default(),
         }
     }
 
-    /// The link to the router, connected if need be.
+    /// Returns a client of the router, connecting first if necessary.
     pub(super) async fn client(&self, bytes: &Arc<ByteCounter>) -> Option<RouterClient> {
-        let mut held = self.link.lock().await;
-        if held.is_none() {
+        let mut client = self.client.lock().await;
+        if client.is_none() {
             let connect = wire::connect_router(self.address, Arc::clone(bytes));
-            *held = timeout(ANSWER, connect).await.ok()?.ok();
+            *client = timeout(CALL_TIMEOUT, connect).await.ok()?.ok();
         }
-        held.clone()
+        client.clone()
     }
 
-    /// Drops the link after a failure.
+    /// Drops the connection after a failure.
     pub(super) async fn disconnect(&self) {
-        *self.link.lock().await = None;
+        *self.client.lock().await = None;
     }
 
-    pub(super) fn heard(&self) -> Option<Heard> {
-        self.heard.lock().clone()
+    pub(super) fn last_summary(&self) -> Option<LastSummary> {
+        self.last_summary.lock().clone()
     }
 
-    pub(super) fn replace_heard(&self, heard: Heard) -> Option<Heard> {
-        self.heard.lock().replace(heard)
+    pub(super) fn replace_last_summary(&self, summary: LastSummary) -> Option<LastSummary> {
+        self.last_summary.lock().replace(summary)
     }
 
-    /// Whether the whole configuration may be compared again; notes that it is.
-    pub(super) fn may_compare(&self) -> bool {
+    /// Starts a full configuration comparison unless the last one was too recent.
+    pub(super) fn try_start_comparison(&self) -> bool {
         let mut compared_at = self.compared_at.lock();
-        let may = compared_at.is_none_or(|at| at.elapsed() >= COMPARE);
-        if may {
+        let is_due = compared_at.is_none_or(|at| at.elapsed() >= COMPARE_INTERVAL);
+        if is_due {
             *compared_at = Some(Instant::now());
         }
-        may
+        is_due
     }
 }
 
-/// Context of a call that is given up in time.
-pub(super) fn context() -> Context {
+/// Context of a call with a deadline.
+pub(super) fn call_context() -> Context {
     let mut context = tarpc::context::current();
-    context.deadline = Instant::now() + ANSWER;
+    context.deadline = Instant::now() + CALL_TIMEOUT;
     context
 }
 
-/// Something that one task at a time does.
+/// Lets one task at a time perform an operation, without waiting.
 #[derive(Default)]
-pub(super) struct Flag(AtomicBool);
+pub(super) struct BusyFlag(AtomicBool);
 
-/// Resets the flag when dropped.
-pub(super) struct Raised<'a>(&'a Flag);
+/// Clears the flag when dropped.
+pub(super) struct BusyGuard<'a>(&'a BusyFlag);
 
-impl Flag {
-    /// Raises the flag unless it is.
-    pub(super) fn raise(&self) -> Option<Raised<'_>> {
-        let raised = self.0.swap(true, Ordering::Acquire);
-        (!raised).then_some(Raised(self))
+impl BusyFlag {
+    /// Sets the flag; `None` if it is already set.
+    pub(super) fn try_acquire(&self) -> Option<BusyGuard<'_>> {
+        let was_busy = self.0.swap(true, Ordering::Acquire);
+        (!was_busy).then_some(BusyGuard(self))
     }
 }
 
-impl Drop for Raised<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         self.0.0.store(false, Ordering::Release);
     }
--- a/crates/daemon/src/fleet/peer_status.rs
+++ b/crates/daemon/src/fleet/peer_status.rs
@@ -1,9 +1,9 @@
-//! Status of a peer router.
+//! What a router knows about a peer router.
 
 use mulberryyoke_model::Revision;
 use mulberryyoke_wire::Member;
 
-/// A peer router of the VM list.
+/// Status of a peer router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
     /// Its name.
--- a/crates/daemon/src/fleet/peers.rs
+++ b/crates/daemon/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! The other routers.
+//! The set of the other routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 use mulberryyoke_wire::{ByteCounter, Member, Summary};
 use parking_lot::{Mutex, RwLock};
 
-use super::peer::{Heard, Peer, context};
+use super::peer::{LastSummary, Peer, call_context};
 use super::peer_status::{PeerStatus, PeerSummary};
 use crate::clock;
 
-/// Routers asked at once about a request whose origin is not known.
-const ASKED_AT_ONCE: usize = 16;
+/// Maximum concurrent queries about a request whose origin is unknown.
+const MAX_CONCURRENT_QUERIES: usize = 16;
 
 /// The other routers, by name.
 pub(super) struct Peers {
@@ -28,7 +28,7 @@
 }
 
 impl Peers {
-    pub(super) fn open(own: Router, limits: Limits, bytes: Arc<ByteCounter>) -> Self {
+    pub(super) fn new(own: Router, limits: Limits, bytes: Arc<ByteCounter>) -> Self {
         Self {
             by_name: RwLock::default(),
             table: Mutex::new(Table::new(own, limits)),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Takes in the VM list.
-    pub(super) fn list(&self, vms: Vec<Vm>) {
+    /// Updates the routers from a VM list. Unlisted ones are kept while they are alive.
+    pub(super) fn set_listed(&self, vms: Vec<Vm>) {
         let routers: Vec<Vm> = vms.into_iter().filter(|v| v.role == Role::Router).collect();
         let members = routers.iter().map(|vm| Router {
             name: vm.name.clone(),
@@ -54,8 +54,8 @@
         let listed: BTreeSet<&String> = routers.iter().map(|vm| &vm.name).collect();
         by_name.retain(|name, _| listed.contains(name) || known.contains(name));
         for vm in &routers {
-            let held = by_name.get(&vm.name);
-            if held.is_none_or(|peer| peer.address != vm.control) {
+            let existing = by_name.get(&vm.name);
+            if existing.is_none_or(|peer| peer.address != vm.control) {
                 let peer = Peer::new(vm.name.clone(), vm.control);
                 by_name.insert(vm.name.clone(), Arc::new(peer));
             }
@@ -73,14 +73,14 @@
     /// Other routers that are children of this one.
     pub(super) fn children(&self) -> Vec<Arc<Peer>> {
         let is_child = |peer: &Arc<Peer>| {
-            let heard = peer.heard().filter(|heard| self.is_fresh(heard));
-            heard.is_some_and(|heard| heard.relation == Some(Relation::Child))
+            let summary = peer.last_summary().filter(|summary| self.is_fresh(summary));
+            summary.is_some_and(|summary| summary.relation == Some(Relation::Child))
         };
         self.all().into_iter().filter(is_child).collect()
     }
 
-    /// With whom to exchange.
-    pub(super) fn plan(&self) -> Neighbors {
+    /// The routers to exchange usage with.
+    pub(super) fn neighbors(&self) -> Neighbors {
         self.table.lock().neighbors(clock::now())
     }
 
@@ -93,74 +93,75 @@
         self.table.lock().alive_names(clock::now())
     }
 
-    /// Notes a failed call; returns whether that made the router suspect.
-    pub(super) fn fail(&self, name: &str) -> bool {
+    /// Records a failed call; returns whether that made the router suspect.
+    pub(super) fn record_failure(&self, name: &str) -> bool {
         self.table.lock().record_failure(name, clock::now())
     }
 
-    /// Notes what a router says. Returns it, and whether it is heard anew.
-    pub(super) fn hear(&self, summary: &Summary) -> Option<(Arc<Peer>, bool)> {
+    /// Records a summary. Returns its sender, and whether the sender is a new instance or
+    /// had no recent summary.
+    pub(super) fn receive(&self, summary: &Summary) -> Option<(Arc<Peer>, bool)> {
         let peer = self.get(&summary.from.name)?;
         self.table.lock().record_contact(&peer.name, clock::now());
-        let earlier = peer.replace_heard(Heard {
+        let previous = peer.replace_last_summary(LastSummary {
             member: summary.from.clone(),
-            at: std::time::Instant::now(),
+            received_at: std::time::Instant::now(),
             revision: summary.revision,
             idle: summary.idle.clone(),
             relation: summary.statement.as_ref().map(|s| s.relation),
         });
-        let is_known = earlier.is_some_and(|earlier| {
-            earlier.member.incarnation == summary.from.incarnation && self.is_fresh(&earlier)
+        let is_known = previous.is_some_and(|previous| {
+            previous.member.incarnation == summary.from.incarnation && self.is_fresh(&previous)
         });
         Some((peer, !is_known))
     }
 
     pub(super) fn members(&self) -> Vec<Member> {
-        let live = self.live().into_iter();
-        live.map(|heard| heard.member).collect()
+        let summaries = self.fresh_summaries().into_iter();
+        summaries.map(|summary| summary.member).collect()
     }
 
-    /// Every other router in the VM list, whether it answered or not.
+    /// Status of every known router, reachable or not.
     pub(super) fn peer_statuses(&self) -> Vec<PeerStatus> {
         let peers = self.all();
         let peer_statuses = peers.iter().map(|peer| PeerStatus {
             name: peer.name.clone(),
-            last_summary: peer.heard().map(|heard| PeerSummary {
-                is_fresh: self.is_fresh(&heard),
-                member: heard.member,
-                revision: heard.revision,
+            last_summary: peer.last_summary().map(|summary| PeerSummary {
+                is_fresh: self.is_fresh(&summary),
+                member: summary.member,
+                revision: summary.revision,
             }),
         });
         peer_statuses.collect()
     }
 
     pub(super) fn idle(&self) -> Vec<ServerId> {
-        let live = self.live().into_iter();
-        let idle: BTreeSet<ServerId> = live.flat_map(|heard| heard.idle).collect();
+        let summaries = self.fresh_summaries().into_iter();
+        let idle: BTreeSet<ServerId> = summaries.flat_map(|summary| summary.idle).collect();
         idle.into_iter().collect()
     }
 
-    /// What became of a request, asked of the life that took it, or, if that life is
-    /// not known, of all routers not heard yet.
+    /// Outcome of a request, queried from the instance that received it or, if that is
+    /// unknown, from all routers without a summary yet.
     pub(super) async fn outcome(&self, attempt: Attempt) -> Outcome {
-        let mut unheard = Vec::new();
+        let mut unidentified = Vec::new();
         for peer in self.all() {
-            match peer.heard() {
-                Some(heard) if heard.member.incarnation == attempt.origin => {
-                    return self.ask(&peer, attempt).await;
+            match peer.last_summary() {
+                Some(summary) if summary.member.incarnation == attempt.origin => {
+                    return self.query(&peer, attempt).await;
                 }
                 Some(_) => {}
-                None => unheard.push(peer),
+                None => unidentified.push(peer),
             }
         }
-        self.ask_all(unheard, attempt).await
+        self.query_all(unidentified, attempt).await
     }
 
-    async fn ask_all(&self, peers: Vec<Arc<Peer>>, attempt: Attempt) -> Outcome {
-        let asked = peers
+    async fn query_all(&self, peers: Vec<Arc<Peer>>, attempt: Attempt) -> Outcome {
+        let queries = peers
             .into_iter()
-            .map(|peer| async move { self.ask(&peer, attempt).await });
-        let mut answers = stream::iter(asked).buffer_unordered(ASKED_AT_ONCE);
+            .map(|peer| async move { self.query(&peer, attempt).await });
+        let mut answers = stream::iter(queries).buffer_unordered(MAX_CONCURRENT_QUERIES);
         while let Some(outcome) = answers.next().await {
             if outcome != Outcome::Unknown {
                 return outcome;
@@ -169,21 +170,21 @@
         Outcome::Unknown
     }
 
-    async fn ask(&self, peer: &Peer, attempt: Attempt) -> Outcome {
+    async fn query(&self, peer: &Peer, attempt: Attempt) -> Outcome {
         let Some(client) = peer.client(&self.bytes).await else {
             return Outcome::Unknown;
         };
-        let answer = client.outcome(context(), attempt).await;
+        let answer = client.outcome(call_context(), attempt).await;
         answer.unwrap_or(Outcome::Unknown)
     }
 
-    fn live(&self) -> Vec<Heard> {
+    fn fresh_summaries(&self) -> Vec<LastSummary> {
         let peers = self.all().into_iter();
-        let heard = peers.filter_map(|peer| peer.heard());
-        heard.filter(|heard| self.is_fresh(heard)).collect()
+        let summaries = peers.filter_map(|peer| peer.last_summary());
+        summaries.filter(|summary| self.is_fresh(summary)).collect()
     }
 
-    fn is_fresh(&self, heard: &Heard) -> bool {
-        heard.at.elapsed() < self.fresh_for
+    fn is_fresh(&self, summary: &LastSummary) -> bool {
+        summary.received_at.elapsed() < self.fresh_for
     }
 }
--- a/crates/daemon/src/fleet/reader.rs
+++ b/crates/daemon/src/fleet/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of configured values.
+//! Parsing of configuration values.
 
 use std::collections::HashMap;
 
@@ -6,25 +6,25 @@
 use mulberryyoke_model::{Change, Entry, Object, Revision};
 use slog::Logger;
 
-/// Reads configured values; one that cannot be read is told once and skipped, so that
-/// what was accepted before for its key stays.
+/// Parses configuration values. An invalid one is logged once and skipped, so that the
+/// previously accepted value of its key stays in force.
 pub(super) struct Reader {
     prefix: String,
     logger: Logger,
-    /// Revisions of the values told, by key.
-    told: HashMap<String, Revision>,
+    /// Revisions of the invalid values already logged, by key.
+    reported: HashMap<String, Revision>,
 }
 
 impl Reader {
-    pub(super) fn open(prefix: String, logger: Logger) -> Self {
+    pub(super) fn new(prefix: String, logger: Logger) -> Self {
         Self {
             prefix,
             logger,
-            told: HashMap::new(),
+            reported: HashMap::new(),
         }
     }
 
-    /// Reads a write; a deletion has no value.
+    /// Parses a write; a deletion has no value.
     pub(super) fn read(
         &mut self,
         key: &str,
@@ -34,7 +34,7 @@
         let key = key.strip_prefix(&self.prefix)?;
         match value.map_or(Ok(None), |value| parse(key, value)) {
             Ok(object) => {
-                self.told.remove(key);
+                self.reported.remove(key);
                 Some(Change {
                     key: key.to_owned(),
                     revision,
@@ -42,14 +42,14 @@
                 })
             }
             Err(reason) => {
-                self.tell(key, revision, &reason);
+                self.report(key, revision, &reason);
                 None
             }
         }
     }
 
-    fn tell(&mut self, key: &str, revision: Revision, reason: &str) {
-        if self.told.insert(key.to_owned(), revision) != Some(revision) {
+    fn report(&mut self, key: &str, revision: Revision, reason: &str) {
+        if self.reported.insert(key.to_owned(), revision) != Some(revision) {
             log!(self.logger, Event::ConfigUnreadable,
                 "key" => key, "revision" => revision, "error" => reason);
         }
@@ -60,7 +60,7 @@
     let entry: Entry = serde_json::from_slice(value).map_err(|error| error.to_string())?;
     let named = entry.object.as_ref().map(Object::key);
     if named.as_deref().is_some_and(|named| named != key) {
-        return Err(format!("could not match object with key: {key}"));
+        return Err(format!("object does not belong to key {key}"));
     }
     Ok(entry.object)
 }
--- a/crates/daemon/src/fleet/service.rs
+++ b/crates/daemon/src/fleet/service.rs
@@ -1,4 +1,4 @@
-//! The calls that other routers make.
+//! Server side of the calls between routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 
 use super::Fleet;
 use super::message::inverse;
-use super::peer::life;
+use super::peer::instance;
 
-/// Pause after a link could not be accepted, in milliseconds: the process may be
-/// out of descriptors.
+/// Pause after a failed accept, in milliseconds: the process may be out of file
+/// descriptors.
 const ACCEPT_PAUSE_MS: u64 = 50;
 
-/// Accepts links until stopped.
+/// Accepts connections until stopped.
 pub(super) async fn accept(fleet: Arc<Fleet>, listener: Listener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
             continue;
         };
-        fleet.run(answer(Arc::clone(&fleet), stream));
+        fleet.spawn_task(serve_connection(Arc::clone(&fleet), stream));
     }
 }
 
-async fn answer(fleet: Arc<Fleet>, stream: TcpStream) {
+async fn serve_connection(fleet: Arc<Fleet>, stream: TcpStream) {
     let channel = wire::router_channel(stream, Arc::clone(&fleet.bytes));
     let calls = channel.execute(Service(fleet).serve());
     wire::spawn_calls(calls.boxed()).await;
@@ -42,14 +42,14 @@
 impl Router for Service {
     async fn exchange(self, _: Context, summary: Summary) -> Summary {
         let fleet = self.0;
-        let from = life(&summary.from);
-        let asked = summary.statement.as_ref().map(|s| s.relation);
-        fleet.hear(&summary);
-        let Some(asked) = asked else {
+        let from = instance(&summary.from);
+        let caller_relation = summary.statement.as_ref().map(|s| s.relation);
+        fleet.receive(&summary);
+        let Some(caller_relation) = caller_relation else {
             return fleet.summary(None, Relation::Peer);
         };
-        let relation = inverse(asked);
-        let statement = fleet.answer(from, relation);
+        let relation = inverse(caller_relation);
+        let statement = fleet.reply_statement(from, relation);
         fleet.summary(statement, relation)
     }
 
@@ -58,7 +58,7 @@
     }
 
     async fn outcome(self, _: Context, attempt: Attempt) -> Outcome {
-        self.0.own_outcome(attempt).await
+        self.0.local_outcome(attempt).await
     }
 
     async fn keys(self, _: Context, server: ServerId, since: Millis) -> (Millis, Vec<KeyId>) {
--- a/crates/daemon/src/fleet/source.rs
+++ b/crates/daemon/src/fleet/source.rs
@@ -1,9 +1,9 @@
 //! Configuration from the key-value service.
 //!
-//! A few routers of each zone watch the service, the others learn from them. A watch
-//! that was cut is opened again from the last revision seen. A service that comes
-//! back with a lower revision than has been accepted is not followed until it has
-//! passed that; what it lacks then is not taken for deleted.
+//! A few routers of each zone watch the service, the others receive changes from them.
+//! A lost watch is reopened from the last revision seen. A service restored from an old
+//! backup is not followed until its revision has reached the accepted one; keys that it
+//! lacks then are not treated as deleted.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,28 +19,28 @@
 use super::Fleet;
 use super::reader::Reader;
 
-/// Shortest and longest pause before the service is tried again, in milliseconds.
-const PAUSE_MS: (u64, u64) = (200, 2_000);
+/// Minimum and maximum backoff between attempts, in milliseconds.
+const BACKOFF_MS: (u64, u64) = (200, 2_000);
 
-/// Longest wait for other routers to tell what they have accepted, in milliseconds.
-const ASK_MS: u64 = 6_000;
+/// Timeout of waiting for the first exchange with other routers, in milliseconds.
+const FIRST_EXCHANGE_WAIT_MS: u64 = 6_000;
 
-/// Time between two looks at whether this router is to watch, in milliseconds.
-const REVIEW_MS: u64 = 1_000;
+/// Interval of checks whether this router is to watch, in milliseconds.
+const WATCHER_CHECK_MS: u64 = 1_000;
 
-/// Most events applied together.
-const BATCH: usize = 1_024;
+/// Maximum number of events applied together.
+const MAX_BATCH: usize = 1_024;
 
-/// Why following the service ended.
+/// Why a watch ended.
 enum End {
-    /// Other routers watch.
-    Relieved,
-    /// The watch said nothing for long, as it does when nothing changes; another one
-    /// shows whether it was cut.
-    Silent,
+    /// This router is no longer one of the watchers.
+    NotWatcher,
+    /// The watch was idle for too long. It is reopened, since its connection may have
+    /// been lost.
+    IdleTimeout,
     /// The service failed.
     Failed(kv::Error),
-    /// The service has older contents than have been accepted.
+    /// The revision of the service is lower than the accepted one.
     Behind(Revision),
 }
 
@@ -50,9 +50,9 @@
     }
 }
 
-/// What is thought of the service.
+/// Last observed state of the service.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum ServiceState {
     New,
     Up,
     Down,
@@ -61,24 +61,27 @@
 
 /// Follows the service until stopped.
 pub(super) async fn follow(fleet: Arc<Fleet>, kv: Arc<dyn Kv>) {
-    // What others have accepted goes before what the service says: it may be behind.
-    let asked = timeout(Duration::from_millis(ASK_MS), fleet.asked.cancelled());
-    let _ = asked.await;
+    // Merge the accepted configuration of the peers first: the service may be behind it.
+    let first_exchange = timeout(
+        Duration::from_millis(FIRST_EXCHANGE_WAIT_MS),
+        fleet.first_exchange.cancelled(),
+    );
+    let _ = first_exchange.await;
     let prefix = format!("{}config/", fleet.settings.prefix);
     let mut source = Source {
-        reader: Reader::open(prefix.clone(), fleet.logger.clone()),
+        reader: Reader::new(prefix.clone(), fleet.logger.clone()),
         prefix,
         fleet,
-        from: None,
+        next_revision: None,
         compacted: false,
         was_behind: false,
-        standing: Standing::New,
+        state: ServiceState::New,
     };
-    let mut backoff = Backoff::new(PAUSE_MS.0, PAUSE_MS.1);
+    let mut backoff = Backoff::new(BACKOFF_MS.0, BACKOFF_MS.1);
     loop {
-        source.wait_for_duty().await;
+        source.wait_until_watcher().await;
         let end = source.load_and_watch(kv.as_ref(), &mut backoff).await;
-        source.note(end).await;
+        source.record_end(end).await;
         let at = backoff.next(Instant::now(), &mut rand::rng());
         sleep_until(at.into()).await;
     }
@@ -88,104 +91,103 @@
     prefix: String,
     fleet: Arc<Fleet>,
     reader: Reader,
-    /// Everything before this revision has been seen.
-    from: Option<Revision>,
-    /// Whether the service has forgotten some of what follows.
+    /// First revision not fully seen.
+    next_revision: Option<Revision>,
+    /// Whether the service has compacted revisions that have not been seen.
     compacted: bool,
-    /// Whether the service ever came back with older contents.
+    /// Whether the service was ever behind the accepted revision.
     was_behind: bool,
-    standing: Standing,
+    state: ServiceState,
 }
 
 impl Source {
-    /// Whether this router is one of those that watch. One that knows nothing reads
-    /// the service whoever watches.
-    fn is_on_duty(&self) -> bool {
+    /// Whether this router is to watch. One without configuration always does.
+    fn should_watch(&self) -> bool {
         self.fleet.peers.is_watcher() || self.accepted() == 0
     }
 
     fn accepted(&self) -> Revision {
-        self.fleet.store.standing().0
+        self.fleet.store.version().0
     }
 
-    async fn wait_for_duty(&mut self) {
-        while !self.is_on_duty() {
-            self.from = None;
-            self.standing = Standing::New;
+    async fn wait_until_watcher(&mut self) {
+        while !self.should_watch() {
+            self.next_revision = None;
+            self.state = ServiceState::New;
             self.fleet.kv_up.store(true, Ordering::Relaxed);
-            sleep(Duration::from_millis(REVIEW_MS)).await;
+            sleep(Duration::from_millis(WATCHER_CHECK_MS)).await;
         }
     }
 
     async fn load_and_watch(&mut self, kv: &dyn Kv, backoff: &mut Backoff) -> Result<(), End> {
         let mut watch = self.open_watch(kv).await?;
-        self.note_up();
+        self.record_up();
         backoff.reset();
-        let mut events = (&mut watch).ready_chunks(BATCH);
-        let mut review = interval(Duration::from_millis(REVIEW_MS));
+        let mut events = (&mut watch).ready_chunks(MAX_BATCH);
+        let mut watcher_check = interval(Duration::from_millis(WATCHER_CHECK_MS));
         loop {
             tokio::select! {
                 batch = events.next() => match batch {
-                    Some(batch) => self.take_events(batch)?,
+                    Some(batch) => self.apply_events(batch)?,
                     None => return Ok(()),
                 },
-                _ = review.tick() => {
-                    if !self.is_on_duty() {
-                        return Err(End::Relieved);
+                _ = watcher_check.tick() => {
+                    if !self.should_watch() {
+                        return Err(End::NotWatcher);
                     }
                 }
             }
         }
     }
 
-    /// Opens a watch that misses nothing.
+    /// Opens a watch without a gap after the last revision seen.
     async fn open_watch(&mut self, kv: &dyn Kv) -> Result<Watch, End> {
-        if self.standing == Standing::Behind {
-            // Opening a watch tells the revision without the contents.
+        if self.state == ServiceState::Behind {
+            // Opening a watch returns the revision without reading the contents.
             let watch = kv.watch(&self.prefix, 0).await?;
-            self.check(watch.revision())?;
+            self.check_revision(watch.revision())?;
         }
-        let from = match self.from {
+        let from = match self.next_revision {
             Some(from) if !self.compacted => from,
-            _ => self.list(kv).await?,
+            _ => self.load(kv).await?,
         };
         let watch = kv.watch(&self.prefix, from).await?;
-        self.check(watch.revision())?;
+        self.check_revision(watch.revision())?;
         Ok(watch)
     }
 
-    /// Reads all. Returns from which revision to watch.
-    async fn list(&mut self, kv: &dyn Kv) -> Result<Revision, End> {
+    /// Reads the whole configuration. Returns the revision to watch from.
+    async fn load(&mut self, kv: &dyn Kv) -> Result<Revision, End> {
         let listing = kv.range(&self.prefix).await?;
-        self.check(listing.revision)?;
+        self.check_revision(listing.revision)?;
         let from = listing.revision + 1;
-        self.take_listing(listing);
-        self.from = Some(from);
+        self.apply_listing(listing);
+        self.next_revision = Some(from);
         self.compacted = false;
         Ok(from)
     }
 
-    fn check(&self, revision: Revision) -> Result<(), End> {
+    fn check_revision(&self, revision: Revision) -> Result<(), End> {
         if revision < self.accepted() {
             return Err(End::Behind(revision));
         }
         Ok(())
     }
 
-    fn take_listing(&mut self, listing: Listing) {
+    fn apply_listing(&mut self, listing: Listing) {
         let revision = listing.revision;
-        let held = self.fleet.store.config();
+        let current = self.fleet.store.config();
         let mut changes = Vec::new();
-        if self.from.is_some() && !self.was_behind {
-            // The watch was lost over a compaction. A key that is gone was deleted at
-            // some revision since; this is the latest it can have been.
-            let is_there = |key: &str| {
+        if self.next_revision.is_some() && !self.was_behind {
+            // Deletions may be among the compacted events. The listing's revision is the
+            // latest at which a missing key can have been deleted.
+            let is_listed = |key: &str| {
                 let mut keys = listing.entries.iter().map(|pair| pair.key.as_str());
                 keys.any(|listed| listed.strip_prefix(&self.prefix) == Some(key))
             };
-            let gone = held.changes.values().filter(|c| c.object.is_some());
-            let gone = gone.filter(|change| !is_there(&change.key));
-            changes.extend(gone.map(|change| Change {
+            let deleted = current.changes.values().filter(|c| c.object.is_some());
+            let deleted = deleted.filter(|change| !is_listed(&change.key));
+            changes.extend(deleted.map(|change| Change {
                 key: change.key.clone(),
                 revision,
                 object: None,
@@ -197,73 +199,73 @@
                 .read(&pair.key, Some(&pair.value), pair.revision);
             changes.extend(change);
         }
-        self.fleet.accept(changes, "kv");
+        self.fleet.apply(changes, "kv");
     }
 
-    fn take_events(&mut self, batch: Vec<Result<kv::Event, kv::Error>>) -> Result<(), End> {
+    fn apply_events(&mut self, batch: Vec<Result<kv::Event, kv::Error>>) -> Result<(), End> {
         let mut changes = Vec::with_capacity(batch.len());
         let mut failed = None;
         for event in batch {
             match event {
                 Ok(event) => {
-                    // The same revision again: one write may change several keys.
-                    self.from = Some(event.revision);
+                    // Not the revision after it: one write may change several keys.
+                    self.next_revision = Some(event.revision);
                     let value = event.value.as_deref();
                     changes.extend(self.reader.read(&event.key, value, event.revision));
                 }
                 Err(error) => failed = Some(error),
             }
         }
-        self.fleet.accept(changes, "kv");
+        self.fleet.apply(changes, "kv");
         match failed {
             None => Ok(()),
-            Some(kv::Error::Unknown(HttpError::TimedOut)) => Err(End::Silent),
+            Some(kv::Error::Unknown(HttpError::TimedOut)) => Err(End::IdleTimeout),
             Some(error) => Err(error.into()),
         }
     }
 
-    fn note_up(&mut self) {
-        if self.standing != Standing::Up {
+    fn record_up(&mut self) {
+        if self.state != ServiceState::Up {
             log!(self.fleet.logger, Event::KvUp);
         }
-        self.set_standing(Standing::Up);
+        self.set_state(ServiceState::Up);
     }
 
-    async fn note(&mut self, end: Result<(), End>) {
+    async fn record_end(&mut self, end: Result<(), End>) {
         match end {
-            Ok(()) | Err(End::Relieved | End::Silent) => {}
-            Err(End::Failed(error)) => self.note_failure(&error).await,
-            Err(End::Behind(revision)) => self.note_behind(revision),
+            Ok(()) | Err(End::NotWatcher | End::IdleTimeout) => {}
+            Err(End::Failed(error)) => self.record_failure(&error).await,
+            Err(End::Behind(revision)) => self.record_behind(revision),
         }
     }
 
-    async fn note_failure(&mut self, error: &kv::Error) {
+    async fn record_failure(&mut self, error: &kv::Error) {
         if matches!(error, kv::Error::Compacted(_)) {
             self.compacted = true;
             return;
         }
-        if matches!(self.standing, Standing::New | Standing::Up) {
+        if matches!(self.state, ServiceState::New | ServiceState::Up) {
             log!(self.fleet.logger, Event::KvDown, "error" => %error);
-            self.set_standing(Standing::Down);
+            self.set_state(ServiceState::Down);
         }
         if self.accepted() == 0 {
-            self.fleet.ask_sidecars().await;
+            self.fleet.fetch_from_sidecars().await;
         }
     }
 
-    fn note_behind(&mut self, revision: Revision) {
-        if self.standing != Standing::Behind {
+    fn record_behind(&mut self, revision: Revision) {
+        if self.state != ServiceState::Behind {
             log!(self.fleet.logger, Event::KvBehind,
                 "revision" => revision, "accepted" => self.accepted());
         }
-        self.from = None;
+        self.next_revision = None;
         self.was_behind = true;
-        self.set_standing(Standing::Behind);
+        self.set_state(ServiceState::Behind);
     }
 
-    fn set_standing(&mut self, standing: Standing) {
-        self.standing = standing;
-        let up = standing == Standing::Up;
+    fn set_state(&mut self, state: ServiceState) {
+        self.state = state;
+        let up = state == ServiceState::Up;
         self.fleet.kv_up.store(up, Ordering::Relaxed);
     }
 }
--- a/crates/daemon/src/fleet/store.rs
+++ b/crates/daemon/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration, shared by read-copy-update.
+//! The accepted configuration, published by read-copy-update.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     digest: u64,
 }
 
-/// Holder of the accepted configuration.
+/// Store of the accepted configuration.
 pub(super) struct Store {
     accepted: ArcSwap<Accepted>,
     revision: watch::Sender<Revision>,
@@ -25,7 +25,7 @@
 }
 
 impl Store {
-    pub(super) fn open() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             accepted: ArcSwap::default(),
             revision: watch::Sender::new(0),
@@ -41,8 +41,8 @@
         Arc::clone(&self.accepted.load().view)
     }
 
-    /// Highest revision applied, and a hash of all that is accepted.
-    pub(super) fn standing(&self) -> (Revision, u64) {
+    /// Highest applied revision and the digest of the configuration.
+    pub(super) fn version(&self) -> (Revision, u64) {
         let accepted = self.accepted.load();
         (accepted.config.revision, accepted.digest)
     }
@@ -51,21 +51,21 @@
         self.revision.subscribe()
     }
 
-    /// Applies what is newer than the value held for its key, oldest first. Returns
-    /// the highest revision if anything was.
+    /// Applies the changes that are newer than the current value of their key, oldest
+    /// first. Returns the highest revision if there were any.
     pub(super) fn apply(&self, mut changes: Vec<Change>) -> Option<Revision> {
         changes.sort_by_key(|change| change.revision);
         let _guard = self.write.lock();
-        let held = self.config();
+        let current = self.config();
         let is_newer = |change: &Change| {
-            let earlier = held.changes.get(&change.key);
-            earlier.is_none_or(|earlier| earlier.revision < change.revision)
+            let previous = current.changes.get(&change.key);
+            previous.is_none_or(|previous| previous.revision < change.revision)
         };
         changes.retain(is_newer);
         if changes.is_empty() {
             return None;
         }
-        let mut config = Config::clone(&held);
+        let mut config = Config::clone(&current);
         for change in changes {
             config.apply(change);
         }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Hash of the keys and the revisions of their latest writes, in no order.
+/// Order-independent hash of the keys and the revisions of their latest writes.
 fn digest(config: &Config) -> u64 {
     config.changes.values().fold(0, |sum, change| {
         let hash = xxh3_64_with_seed(change.key.as_bytes(), change.revision);
--- a/crates/daemon/src/fleet/choice.rs
+++ b/crates/daemon/src/fleet/subset.rs
@@ -1,4 +1,4 @@
-//! Which servers this router stays connected to.
+//! Selection of the servers that this router connects to.
 
 use mulberryyoke_decide::subset::{self, Selector};
 use mulberryyoke_model::{PoolId, ServerId};
@@ -6,33 +6,33 @@
 use super::Fleet;
 
 impl Fleet {
-    /// Servers of a pool to stay connected to.
+    /// This router's subset of a pool's servers.
     #[must_use]
     pub fn subset(&self, pool: PoolId) -> Vec<ServerId> {
         let routers = self.peers.names();
         subset::select(&self.selector(&routers), self.view().servers(pool))
     }
 
-    /// Servers of a pool beyond those held to connect to while work waits, at most
-    /// `most`: other routers said that they have free slots.
+    /// At most `max` further servers of a pool to connect to while requests wait: those
+    /// that other routers reported as idle, without the connected ones.
     #[must_use]
-    pub fn widen(&self, pool: PoolId, held: &[ServerId], most: usize) -> Vec<ServerId> {
+    pub fn widen(&self, pool: PoolId, connected: &[ServerId], max: usize) -> Vec<ServerId> {
         let view = self.view();
         subset::widen(
             &self.selector(&[]),
             view.servers(pool),
-            held,
+            connected,
             &self.idle(),
-            most,
+            max,
         )
     }
 
-    /// Tells the peers which servers have free slots that this router can spare.
+    /// Sets the servers with free slots that are announced to the peers.
     pub fn set_idle(&self, servers: Vec<ServerId>) {
         *self.idle.lock() = servers;
     }
 
-    /// Servers of which a peer said of late that they have free slots.
+    /// Servers that a peer recently announced to have free slots.
     #[must_use]
     pub fn idle(&self) -> Vec<ServerId> {
         self.peers.idle()
--- a/crates/daemon/src/fleet/vms.rs
+++ b/crates/daemon/src/fleet/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list.
+//! Polling of the VM list.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,17 +11,17 @@
 
 use super::Fleet;
 
-/// Time between two readings of the list, in milliseconds.
-const READ_MS: u64 = 1_000;
+/// Polling interval of the list, in milliseconds.
+const POLL_MS: u64 = 1_000;
 
-/// The VM list as last read.
+/// The last VM list read.
 #[derive(Default)]
-pub(super) struct Roster {
+pub(super) struct VmList {
     leaving: ArcSwap<HashSet<String>>,
     sidecars: ArcSwap<Vec<SocketAddr>>,
 }
 
-impl Roster {
+impl VmList {
     pub(super) fn is_leaving(&self, name: &str) -> bool {
         self.leaving.load().contains(name)
     }
@@ -41,14 +41,14 @@
     }
 }
 
-/// Reads the list again and again. While it cannot be read, the last one holds.
+/// Polls the list until stopped. While it cannot be read, the last one stays in use.
 pub(super) async fn follow(fleet: Arc<Fleet>, vms: Arc<dyn Vms>) {
     let mut down = false;
     loop {
         match vms.list().await {
             Ok(list) => {
-                fleet.roster.replace(&list);
-                fleet.peers.list(list);
+                fleet.vm_list.replace(&list);
+                fleet.peers.set_listed(list);
                 down = false;
             }
             Err(error) if !down => {
@@ -57,7 +57,7 @@
             }
             Err(_) => {}
         }
-        fleet.listed.cancel();
-        tokio::time::sleep(Duration::from_millis(READ_MS)).await;
+        fleet.first_listing.cancel();
+        tokio::time::sleep(Duration::from_millis(POLL_MS)).await;
     }
 }
