--- a/crates/daemon/src/args.rs
+++ b/crates/daemon/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon; the doc comments are its help.
+//! Command line of the daemon; the doc comments are the `--help` texts.
 
 use std::path::PathBuf;
 
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, in the unit of the decisions.
+//! Wall clock in milliseconds.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -13,11 +13,11 @@
     Millis::try_from(elapsed.as_millis()).unwrap_or(Millis::MAX)
 }
 
-/// When a timer for an instant of the wall clock has to fire.
+/// Converts a wall-clock time to the instant at which its timer fires.
 pub(crate) fn instant(at: Millis) -> Instant {
-    /// Longer timers than a year serve nobody.
-    const MOST_MS: Millis = 365 * 24 * 3_600 * 1_000;
+    /// Maximum timer duration: one year.
+    const MAX_AHEAD_MS: Millis = 365 * 24 * 3_600 * 1_000;
 
-    let ahead = at.saturating_sub(now()).min(MOST_MS);
+    let ahead = at.saturating_sub(now()).min(MAX_AHEAD_MS);
     Instant::now() + Duration::from_millis(ahead)
 }
--- a/crates/daemon/src/cmd/gateway.rs
+++ b/crates/daemon/src/cmd/gateway.rs
@@ -10,18 +10,18 @@
 use mulberryyoke_gateway::Gateway;
 use mulberryyoke_settings as settings;
 use tokio::runtime::Builder;
-use tokio::signal::unix::{SignalKind, signal as listen};
+use tokio::signal::unix::{SignalKind, signal as subscribe};
 use tokio::time::interval;
 
 use crate::args;
 use crate::cmd::signal;
 use crate::error::Error;
 
-/// Time between looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+/// Polling interval of the settings file, which may change without a signal.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs a gateway until a planned stop has ended. One thread carries it: the VMs
-/// have one core, and a second thread only costs switches.
+/// Runs a gateway until a graceful shutdown is complete. Uses one thread, since entry
+/// VMs have one core.
 pub(crate) fn run(options: &args::Gateway) -> Result<(), Error> {
     let settings = settings::read_gateway(&options.settings).map_err(Error::Settings)?;
     let logger = mulberryyoke_event::open_stdout(&settings.name);
@@ -43,21 +43,21 @@
     })
 }
 
-/// Reads the settings again after each SIGHUP and each change of the file.
+/// Reloads the settings on SIGHUP and when the file changes.
 async fn watch(gateway: &Gateway, path: &Path, logger: &Logger) -> Result<(), Error> {
-    let mut hangup = listen(SignalKind::hangup()).map_err(Error::Signal)?;
-    let mut looks = interval(LOOK);
-    let mut held = std::fs::read(path).ok();
+    let mut hangup = subscribe(SignalKind::hangup()).map_err(Error::Signal)?;
+    let mut poll = interval(POLL_INTERVAL);
+    let mut previous = std::fs::read(path).ok();
     loop {
-        let is_asked = tokio::select! {
+        let is_signalled = tokio::select! {
             _ = hangup.recv() => true,
-            _ = looks.tick() => false,
+            _ = poll.tick() => false,
         };
-        let found = std::fs::read(path).ok();
-        if !is_asked && (found.is_none() || found == held) {
+        let current = std::fs::read(path).ok();
+        if !is_signalled && (current.is_none() || current == previous) {
             continue;
         }
-        held = found;
+        previous = current;
         match settings::read_gateway(path) {
             Ok(settings) => gateway.reload(settings),
             Err(error) => log!(logger, Event::ReloadFailed, "error" => error.to_string()),
--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! What each word of the command line does.
+//! Subcommands of the daemon.
 
 mod check;
 mod gateway;
@@ -15,7 +15,7 @@
 use crate::args::{Args, Role};
 use crate::error::Error;
 
-/// Runs what the command line says.
+/// Runs the subcommand.
 ///
 /// # Errors
 ///
@@ -31,12 +31,12 @@
         Some(Role::Sidecar(options)) => sidecar::run(options),
         Some(Role::Check(options)) => check::run(options),
         None => Err(Error::Usage(
-            "a role is missing; allowed are gateway, router, sidecar and check".to_owned(),
+            "missing subcommand: expected gateway, router, sidecar or check".to_owned(),
         )),
     }
 }
 
-/// Runs a role on a runtime of several threads until it ends.
+/// Runs a role on a multi-threaded runtime until it ends.
 fn block_on(role: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
     let runtime = Builder::new_multi_thread()
         .enable_all()
@@ -45,8 +45,8 @@
     runtime.block_on(role)
 }
 
-/// The log form that settings ask for.
-const fn form(log: LogFormat) -> Format {
+/// Converts the log format of the settings.
+const fn log_format(log: LogFormat) -> Format {
     match log {
         LogFormat::Json => Format::Json,
         LogFormat::Terminal => Format::Terminal,
--- a/crates/daemon/src/cmd/signal.rs
+++ b/crates/daemon/src/cmd/signal.rs
@@ -1,4 +1,4 @@
-//! Waiting for the signal of a planned stop.
+//! Signals that start a graceful shutdown.
 
 use tokio::signal::unix::{SignalKind, signal};
 
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the daemon.
+//! Fatal errors of the daemon.
 
 use std::io;
 use std::process::ExitCode;
@@ -7,10 +7,10 @@
 use mulberryyoke_settings as settings;
 use mulberryyoked::{router, sidecar};
 
-/// Exit code of a wrong command line or wrong settings.
+/// Exit code for an invalid command line or invalid settings.
 const USAGE: u8 = 2;
 
-/// Why the daemon ended.
+/// A fatal error.
 #[derive(Debug, Display)]
 pub(crate) enum Error {
     /// could not read command line: {0}
@@ -32,7 +32,6 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// The process's exit code.
     pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
             Self::Usage(_) | Self::Settings(_) => ExitCode::from(USAGE),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,4 @@
-//! The daemon's two roles: a router on an entry VM and a sidecar beside a
-//! backend server.
+//! Roles of the daemon: a router on an entry VM and a sidecar beside a backend server.
 
 mod clock;
 pub mod fleet;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! The daemon of mulberryyoke: `mulberryyoked router` on an entry VM,
-//! `mulberryyoked sidecar` beside a backend server.
+//! The mulberryyoke daemon: `mulberryyoked gateway` or `mulberryyoked router` on an
+//! entry VM, `mulberryyoked sidecar` beside a backend server.
 
 mod args;
 mod cmd;
--- a/crates/daemon/src/metric.rs
+++ b/crates/daemon/src/metric.rs
@@ -1,4 +1,4 @@
-//! The process's metrics, in Prometheus text form.
+//! Process metrics in Prometheus text format.
 
 use std::sync::OnceLock;
 
@@ -6,12 +6,12 @@
 
 static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Begins the recording, unless it has begun.
+/// Installs the recorder unless it is installed.
 pub(crate) fn install() {
     handle();
 }
 
-/// Every metric of this process. The first call begins the recording.
+/// Renders all metrics. Installs the recorder on the first call.
 pub(crate) fn render() -> String {
     handle().map_or_else(String::new, |handle| {
         handle.run_upkeep();
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A router's knowledge of the fleet, alone.
+//! Tests of [`Fleet`] without reachable peers or services.
 
 use std::sync::Arc;
 
@@ -12,13 +12,13 @@
 use serde_json::json;
 use slog::{Discard, Logger, o};
 
-/// A port on which nothing listens.
-const DEAD: &str = "127.0.0.1:9";
+/// An address on which nothing listens.
+const UNREACHABLE: &str = "127.0.0.1:9";
 
 fn settings(name: &str) -> Arc<Router> {
     let settings = json!({
-        "name": name, "zone": "a", "callers": DEAD, "operators": DEAD,
-        "control": "127.0.0.1:0", "kv": [DEAD], "vms": DEAD, "exchange_ms": 20,
+        "name": name, "zone": "a", "callers": UNREACHABLE, "operators": UNREACHABLE,
+        "control": "127.0.0.1:0", "kv": [UNREACHABLE], "vms": UNREACHABLE, "exchange_ms": 20,
     });
     Arc::new(serde_json::from_value(settings).unwrap())
 }
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn offered_configuration_is_published_once() {
+async fn merged_configuration_is_published_once() {
     let fleet = spawn("r1").await;
     let mut watch = fleet.watch();
     fleet.merge(vec![pool(7)]);
