--- a/crates/daemon/src/sidecar/role.rs
+++ b/crates/daemon/src/sidecar/role.rs
@@ -41,7 +41,7 @@
     /// See [`Error`].
     pub async fn spawn(settings: settings::Sidecar, logger: Logger) -> Result<Self, Error> {
         let kv = kv::Etcd::new(settings.kv.clone(), kv::Options::default());
-        Self::spawn_on(settings, Arc::new(kv), logger).await
+        Self::spawn_with_kv(settings, Arc::new(kv), logger).await
     }
 
     /// As [`Self::spawn`], with another client of the key-value service.
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// See [`Error`].
-    pub async fn spawn_on(
+    pub async fn spawn_with_kv(
         settings: settings::Sidecar,
         kv: Arc<dyn Kv>,
         logger: Logger,
@@ -106,12 +106,12 @@
     }
 
     /// Waits until no request runs.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         wait_idle(&self.shared).await;
     }
 
     /// Waits until the home record is this life's.
-    pub async fn home_written(&self) {
+    pub async fn wait_record_written(&self) {
         self.shared.home.wait_written().await;
     }
 
--- a/crates/daemon/tests/sidecar/keys.rs
+++ b/crates/daemon/tests/sidecar/keys.rs
@@ -27,7 +27,7 @@
 
 async fn start(backend: &Backend, kv: &Memory) -> Node {
     let settings = settings(backend.address, Kind::Service, 4);
-    Node::spawn_on(settings, kv.clone()).await
+    Node::spawn_with_kv(settings, kv.clone()).await
 }
 
 /// Runs a request to its end.
@@ -71,7 +71,7 @@
     drop(sent.await??);
     stream.send("ed").await;
     drop(stream);
-    node.sidecar.idle().await;
+    node.sidecar.wait_idle().await;
     expect_that!(
         text(node.send(&keyed(2, 5)).await).await,
         some(eq("booked"))
@@ -144,7 +144,7 @@
     );
     kv.lose(1);
     kv.set_down(false);
-    node.sidecar.home_written().await;
+    node.sidecar.wait_record_written().await;
     run(&node, &mut backend, &keyed(2, 5)).await;
     Ok(())
 }
@@ -171,7 +171,7 @@
     let old = start(&backend, &kv).await;
     run(&old, &mut backend, &keyed(1, 5)).await;
     let new = start(&backend, &kv).await;
-    new.sidecar.home_written().await;
+    new.sidecar.wait_record_written().await;
     let refused = old.send(&from(Incarnation(8), keyed(1, 6))).await;
     expect_that!(verdict(&refused), some(eq("full")));
     expect_that!(verdict(&old.send(&keyed(2, 7)).await), some(eq("full")));
@@ -185,7 +185,7 @@
     let (backend, kv) = (Backend::spawn().await, Memory::default());
     kv.put(HOME, b"{}");
     let node = start(&backend, &kv).await;
-    node.sidecar.home_written().await;
+    node.sidecar.wait_record_written().await;
     node.link.recall(context(), ROUTER, true, vec![]).await?;
     expect_that!(
         verdict(&node.send(&keyed(1, 5)).await),
@@ -236,7 +236,7 @@
     resume.notify_one();
     drop(backend.call().await.answer("text/plain"));
     sent.await??;
-    node.sidecar.idle().await;
+    node.sidecar.wait_idle().await;
     let repeat = node.send(&keyed(3, 5)).await;
     expect_that!(repeat.headers().contains_key("idempotent-replay"), eq(true));
     expect_that!(backend.count(), eq(1));
--- a/crates/daemon/tests/sidecar/node.rs
+++ b/crates/daemon/tests/sidecar/node.rs
@@ -62,12 +62,12 @@
 
 impl Node {
     pub async fn spawn(settings: settings::Sidecar) -> Self {
-        Self::spawn_on(settings, Memory::default()).await
+        Self::spawn_with_kv(settings, Memory::default()).await
     }
 
-    pub async fn spawn_on(settings: settings::Sidecar, kv: Memory) -> Self {
+    pub async fn spawn_with_kv(settings: settings::Sidecar, kv: Memory) -> Self {
         let logger = Logger::root(Discard, o!());
-        let sidecar = Sidecar::spawn_on(settings, Arc::new(kv), logger).await;
+        let sidecar = Sidecar::spawn_with_kv(settings, Arc::new(kv), logger).await;
         let sidecar = sidecar.expect("starts");
         let link = wire::connect_sidecar(sidecar.control(), Arc::default())
             .await
