--- a/crates/daemon/src/sidecar/backend.rs
+++ b/crates/daemon/src/sidecar/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server beside the sidecar.
+//! HTTP client of the backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,55 +16,55 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::header;
+use super::hop_by_hop;
 
-/// How long an idle connection is kept. Shorter than servers usually wait
-/// before they close one.
-const IDLE: Duration = Duration::from_secs(4);
+/// Idle timeout of pooled connections; shorter than the usual keep-alive timeout
+/// of servers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long a connection may take to be set up.
-const CONNECT: Duration = Duration::from_secs(2);
+/// Timeout of connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a resume or a cancel may take to be answered.
-const RESUME: Duration = Duration::from_secs(2);
+/// Timeout of resuming or cancelling a stream.
+const STREAM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Response header by which an engine names a stream for resume and cancel.
-pub(crate) const STREAM_ID: &str = "x-stream-id";
+/// Response header with the engine's ID of a stream, used to resume or cancel it.
+pub(crate) const STREAM_ID_HEADER: &str = "x-stream-id";
 
-/// Body of a request to the backend.
-pub(crate) type Outgoing = Either<Incoming, Empty<Bytes>>;
+/// Request body.
+pub(crate) type RequestBody = Either<Incoming, Empty<Bytes>>;
 
 /// The backend server, reached over HTTP/1.1.
 #[derive(Clone, Debug)]
 pub(crate) struct Backend {
     address: SocketAddr,
-    /// Reuses connections.
-    pooled: Client<HttpConnector, Outgoing>,
-    /// Opens a connection for each request, so that none is sent on a
-    /// connection which the backend is just closing.
-    single: Client<HttpConnector, Outgoing>,
+    /// Reuses idle connections.
+    pooled: Client<HttpConnector, RequestBody>,
+    /// Opens a connection per request, so that no request is sent on a connection
+    /// that the backend is closing.
+    unpooled: Client<HttpConnector, RequestBody>,
 }
 
 impl Backend {
-    pub(crate) fn open(address: SocketAddr) -> Self {
+    pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             address,
             pooled: client(usize::MAX),
-            single: client(0),
+            unpooled: client(0),
         }
     }
 
-    /// Whether a connection can be set up.
-    pub(crate) async fn answers(&self) -> bool {
+    /// Whether the backend accepts connections.
+    pub(crate) async fn is_reachable(&self) -> bool {
         let connect = TcpStream::connect(self.address);
-        matches!(timeout(CONNECT, connect).await, Ok(Ok(_)))
+        matches!(timeout(CONNECT_TIMEOUT, connect).await, Ok(Ok(_)))
     }
 
-    /// Sends a request. `once` opens a connection for it.
+    /// Sends a request, on a new connection if `unpooled`.
     pub(crate) async fn send(
         &self,
         request: Request<Incoming>,
-        once: bool,
+        unpooled: bool,
     ) -> Result<Response<Incoming>, Error> {
         let (mut parts, body) = request.into_parts();
         let mut uri = parts.uri.into_parts();
@@ -74,44 +74,48 @@
         parts.version = Version::HTTP_11;
         parts.headers.remove(HOST);
         parts.headers.remove(ticket::HEADER);
-        header::strip(&mut parts.headers);
+        hop_by_hop::strip(&mut parts.headers);
         let request = Request::from_parts(parts, Either::Left(body));
-        let client = if once { &self.single } else { &self.pooled };
+        let client = if unpooled {
+            &self.unpooled
+        } else {
+            &self.pooled
+        };
         client.request(request).await
     }
 
-    /// Goes on with a stream after a number of events; `None` when the engine
-    /// cannot.
+    /// Resumes a stream after its first `after` events; `None` if the engine cannot
+    /// resume it.
     pub(crate) async fn resume(&self, id: &str, after: u64) -> Option<Incoming> {
-        let request = self.stream(Method::GET, &format!("{id}?from={after}"))?;
-        let sent = timeout(RESUME, self.single.request(request)).await;
+        let request = self.stream_request(Method::GET, &format!("{id}?from={after}"))?;
+        let sent = timeout(STREAM_TIMEOUT, self.unpooled.request(request)).await;
         let response = sent.ok()?.ok()?;
         let resumed = response.status() == StatusCode::OK;
         resumed.then(|| response.into_body())
     }
 
-    /// Cancels a stream.
+    /// Requests the cancellation of a stream.
     pub(crate) async fn cancel(&self, id: &str) {
-        if let Some(request) = self.stream(Method::DELETE, id) {
-            // An engine that cannot be told finds out by itself.
-            let _ = timeout(RESUME, self.pooled.request(request)).await;
+        if let Some(request) = self.stream_request(Method::DELETE, id) {
+            // Best effort: the engine also notices the closed connection.
+            let _ = timeout(STREAM_TIMEOUT, self.pooled.request(request)).await;
         }
     }
 
-    fn stream(&self, method: Method, name: &str) -> Option<Request<Outgoing>> {
-        let uri = format!("http://{}/v1/streams/{name}", self.address);
+    fn stream_request(&self, method: Method, target: &str) -> Option<Request<RequestBody>> {
+        let uri = format!("http://{}/v1/streams/{target}", self.address);
         let request = Request::builder().method(method).uri(uri);
         request.body(Either::Right(Empty::new())).ok()
     }
 }
 
-fn client(idle: usize) -> Client<HttpConnector, Outgoing> {
+fn client(max_idle: usize) -> Client<HttpConnector, RequestBody> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(CONNECT));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(IDLE)
-        .pool_max_idle_per_host(idle)
+        .pool_idle_timeout(IDLE_TIMEOUT)
+        .pool_max_idle_per_host(max_idle)
         .build(connector)
 }
--- a/crates/daemon/src/sidecar/chunk.rs
+++ b/crates/daemon/src/sidecar/chunk.rs
@@ -1,41 +1,41 @@
-//! The parts of a model's answer that tell its cost.
+//! Token counts in the responses of model servers.
 
 use serde::Deserialize;
 
-/// What one event of a model's answer means.
+/// Kind of one event in a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Meaning {
-    /// It has a token.
+pub(crate) enum ChunkKind {
+    /// Content; counted as one token.
     Content,
-    /// The engine tells the tokens of the whole answer.
+    /// The engine's token count of the complete response.
     Usage(u64),
-    /// The answer is whole.
+    /// End of the stream.
     Done,
-    /// Neither.
+    /// Any other event.
     Other,
 }
 
-/// Reads an event's data. One that cannot be read counts as a token.
-pub(crate) fn meaning(data: &[u8]) -> Meaning {
+/// Classifies an event by its data. Data that cannot be parsed counts as content.
+pub(crate) fn classify(data: &[u8]) -> ChunkKind {
     if data == b"[DONE]" {
-        return Meaning::Done;
+        return ChunkKind::Done;
     }
     let Ok(chunk) = serde_json::from_slice::<Chunk>(data) else {
-        return Meaning::Content;
+        return ChunkKind::Content;
     };
     if let Some(usage) = chunk.usage {
-        return Meaning::Usage(usage.completion_tokens);
+        return ChunkKind::Usage(usage.completion_tokens);
     }
     if chunk.choices.iter().any(Choice::has_content) {
-        return Meaning::Content;
+        return ChunkKind::Content;
     }
-    Meaning::Other
+    ChunkKind::Other
 }
 
-/// The tokens that a whole answer tells.
-pub(crate) fn completion_tokens(answer: &[u8]) -> Option<u64> {
-    let answer: Chunk = serde_json::from_slice(answer).ok()?;
-    Some(answer.usage?.completion_tokens)
+/// The token count in a response that is not streamed.
+pub(crate) fn completion_tokens(body: &[u8]) -> Option<u64> {
+    let response: Chunk = serde_json::from_slice(body).ok()?;
+    Some(response.usage?.completion_tokens)
 }
 
 #[derive(Debug, Deserialize)]
--- a/crates/daemon/src/sidecar/control.rs
+++ b/crates/daemon/src/sidecar/control.rs
@@ -1,4 +1,4 @@
-//! The control port: routers' links.
+//! The control port, which serves the links of routers.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use super::shared::Shared;
 use crate::clock;
 
-/// Accepts routers' links, until dropped.
+/// Accepts links from routers until dropped.
 pub(crate) async fn run(listener: wire::Listener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
@@ -41,7 +41,7 @@
     shared.disconnect(key);
 }
 
-/// One router's link.
+/// The link of one router.
 #[derive(Clone, Debug)]
 struct Link {
     shared: Arc<Shared>,
@@ -50,7 +50,7 @@
 }
 
 impl Link {
-    /// Waits until the poll is to be answered.
+    /// Waits until the response to a poll is due, at most until `until`.
     async fn wait(&self, until: mulberryyoke_model::Millis) {
         loop {
             let due = self
@@ -71,7 +71,7 @@
         }
     }
 
-    fn answer(&self) -> PollResponse {
+    fn poll_response(&self) -> PollResponse {
         let (load, (grants, report)) = self
             .shared
             .decide(|admission, now| (admission.load(), admission.poll_response(self.key, now)));
@@ -107,7 +107,7 @@
             );
         });
         self.wait(poll.until).await;
-        self.answer()
+        self.poll_response()
     }
 
     async fn decline(self, _: Context, grants: Vec<u64>) {
@@ -117,7 +117,10 @@
 
     async fn withdraw(self, _: Context, attempt: Attempt, key: Option<KeyId>) -> Withdrawal {
         if key.is_some() {
-            self.shared.home.name(&self.shared, attempt.origin).await;
+            self.shared
+                .registration
+                .register(&self.shared, attempt.origin)
+                .await;
         }
         let (outcome, doubtful) = self
             .shared
@@ -139,10 +142,10 @@
 
     async fn recall(self, _: Context, origin: Incarnation, complete: bool, keys: Vec<KeyId>) {
         let recovered = self.shared.decide(|admission, now| {
-            let before = admission.is_recovering(now);
+            let was_recovering = admission.is_recovering(now);
             admission.identify_router(self.key, origin, now);
             admission.add_sent_keys(origin, complete, &keys, now);
-            before && !admission.is_recovering(now)
+            was_recovering && !admission.is_recovering(now)
         });
         if recovered {
             log!(self.shared.logger, Event::KeysRecovered, "from" => "routers");
--- a/crates/daemon/src/sidecar/data.rs
+++ b/crates/daemon/src/sidecar/data.rs
@@ -1,4 +1,4 @@
-//! The data port: bodies from routers.
+//! The data port, which serves requests from routers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 use mulberryyoke_wire::{Verdict, ticket};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::answer::{self, Body};
 use super::exchange;
+use super::response::{self, Body};
 use super::shared::Shared;
 use super::slot::Slot;
 
-/// Most requests at once on one connection.
+/// Maximum number of concurrent requests per connection.
 const MAX_STREAMS: u32 = 16_384;
 
-/// Accepts routers' connections until the sidecar closes, then waits for the
-/// answers under way to be written.
+/// Accepts connections from routers until the sidecar closes, then shuts down
+/// gracefully.
 pub(crate) async fn run(listener: TcpListener, shared: Arc<Shared>) {
     let graceful = GracefulShutdown::new();
     loop {
@@ -53,7 +53,7 @@
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection.into_owned());
     tokio::spawn(async move {
-        // A connection that fails ends its requests by itself.
+        // Requests on a failed connection end on their own.
         let _ = connection.await;
     });
 }
@@ -62,15 +62,18 @@
     let header = request.headers().get(ticket::HEADER);
     let header = header.and_then(|value| value.to_str().ok());
     let Some(ticket) = header.and_then(|text| ticket::unpack(text).ok()) else {
-        return answer::refuse(Verdict::Malformed, None);
+        return response::reject(Verdict::Malformed, None);
     };
     if ticket.key.is_some() {
-        shared.home.name(shared, ticket.attempt.origin).await;
+        shared
+            .registration
+            .register(shared, ticket.attempt.origin)
+            .await;
     }
-    let arrival = shared.decide(|admission, now| admission.admit(&ticket, now));
-    match arrival {
+    let decision = shared.decide(|admission, now| admission.admit(&ticket, now));
+    match decision {
         Decision::Started => start(shared, ticket, request).await,
-        arrival => turn_away(shared, &ticket, &arrival),
+        decision => reject(shared, &ticket, &decision),
     }
 }
 
@@ -79,13 +82,13 @@
         "request" => ticket.attempt.request_id(), "attempt" => ticket.attempt.number,
         "customer" => ticket.customer.0, "class" => ticket.class.as_str(), "cost" => ticket.cost,
         "grant" => ticket.grant);
-    let slot = Slot::open(Arc::clone(shared), ticket);
+    let slot = Slot::new(Arc::clone(shared), ticket);
     exchange::spawn(slot, request).await
 }
 
-fn turn_away(shared: &Shared, ticket: &Ticket, arrival: &Decision) -> Response<Body> {
-    let (verdict, retry_at) = match arrival {
-        Decision::Replay(answer) => return answer::replay(answer),
+fn reject(shared: &Shared, ticket: &Ticket, decision: &Decision) -> Response<Body> {
+    let (verdict, retry_at) = match decision {
+        Decision::Replay(stored) => return response::replay(stored),
         Decision::RetryAt(at) => (Verdict::Full, Some(*at)),
         Decision::Started | Decision::Busy => (Verdict::Busy, None),
         Decision::Draining => (Verdict::Draining, None),
@@ -102,5 +105,5 @@
     metrics::counter!("sidecar_refusals_total",
         "server" => shared.settings.name.clone(), "verdict" => verdict.as_str())
     .increment(1);
-    answer::refuse(verdict, retry_at)
+    response::reject(verdict, retry_at)
 }
--- a/crates/daemon/src/sidecar/error.rs
+++ b/crates/daemon/src/sidecar/error.rs
@@ -6,21 +6,21 @@
 use displaydoc::Display;
 use mulberryyoke_wire as wire;
 
-/// Why a sidecar could not start.
+/// Startup errors of a sidecar.
 #[derive(Debug, Display)]
 pub enum Error {
     /// could not open control port: {address}: {source}
     Control {
-        /// The address.
+        /// Configured address.
         address: SocketAddr,
-        /// What failed.
+        /// Underlying error.
         source: wire::Error,
     },
     /// could not bind port: {address}: {source}
     Bind {
-        /// The address.
+        /// Configured address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Underlying error.
         source: io::Error,
     },
 }
--- a/crates/daemon/src/sidecar/exchange.rs
+++ b/crates/daemon/src/sidecar/exchange.rs
@@ -1,4 +1,4 @@
-//! One request passed to the backend.
+//! Forwarding of one request to the backend.
 
 use hyper::body::Incoming;
 use hyper::{Request, Response};
@@ -8,44 +8,44 @@
 use mulberryyoke_wire::{Verdict, verdict};
 use tokio::sync::{mpsc, oneshot};
 
-use super::answer::{self, Body};
-use super::header;
-use super::pump::Pump;
-use super::relay;
+use super::channel_body;
+use super::forwarder::Forwarder;
+use super::hop_by_hop;
+use super::response::{self, Body};
 use super::slot::Slot;
 
-/// Frames of an answer kept between the backend and a slow router.
-const FRAMES: usize = 4;
+/// Frames buffered between the backend and the router.
+const FRAME_BUFFER: usize = 4;
 
-/// Passes a request to the backend in a task of its own and returns its answer.
-/// When the router hangs up, the request is cancelled, unless it has a key: then
-/// it runs on, so that a repeat of the key gets the whole answer.
+/// Forwards a request to the backend in a separate task and returns the response.
+/// If the router disconnects, the request is cancelled, unless it has a key: it
+/// then runs to its end, so that a retry with the key gets the complete response.
 pub(crate) async fn spawn(slot: Slot, request: Request<Incoming>) -> Response<Body> {
-    let (head, answered) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     let tasks = slot.shared.tasks.clone();
-    tasks.spawn(run(slot, request, head));
-    let broken = |_| answer::refuse(Verdict::Broken, None);
-    answered.await.unwrap_or_else(broken)
+    tasks.spawn(run(slot, request, sender));
+    let interrupted = |_| response::reject(Verdict::Broken, None);
+    receiver.await.unwrap_or_else(interrupted)
 }
 
-async fn run(slot: Slot, request: Request<Incoming>, mut head: oneshot::Sender<Response<Body>>) {
+async fn run(slot: Slot, request: Request<Incoming>, mut sender: oneshot::Sender<Response<Body>>) {
     let shared = slot.shared.clone();
-    let once = slot.ticket.key.is_some();
-    let sent = shared.backend.send(request, once);
+    let has_key = slot.ticket.key.is_some();
+    let sent = shared.backend.send(request, has_key);
     let sent = tokio::select! {
         sent = sent => sent,
-        () = head.closed(), if !once => return cancelled(&slot),
-        () = shared.cut.cancelled() => return,
+        () = sender.closed(), if !has_key => return log_cancelled(&slot),
+        () = shared.drain_expired.cancelled() => return,
     };
     match sent {
-        Ok(response) => pass(slot, response, head).await,
+        Ok(response) => forward(slot, response, sender).await,
         Err(error) => {
-            let _ = head.send(fail(slot, &error));
+            let _ = sender.send(fail(slot, &error));
         }
     }
 }
 
-fn cancelled(slot: &Slot) {
+fn log_cancelled(slot: &Slot) {
     log!(slot.shared.logger, Event::Cancelled,
         "request" => slot.ticket.attempt.request_id(), "attempt" => slot.ticket.attempt.number);
 }
@@ -56,19 +56,23 @@
         "request" => slot.ticket.attempt.request_id(), "attempt" => slot.ticket.attempt.number,
         "sent" => sent, "error" => error.to_string());
     if sent {
-        return answer::refuse(Verdict::Broken, None);
+        return response::reject(Verdict::Broken, None);
     }
-    slot.shared.found_down();
+    slot.shared.mark_backend_down();
     slot.end(Termination::Unsent);
-    answer::refuse(Verdict::Unreachable, None)
+    response::reject(Verdict::Unreachable, None)
 }
 
-async fn pass(slot: Slot, response: Response<Incoming>, head: oneshot::Sender<Response<Body>>) {
+async fn forward(
+    slot: Slot,
+    response: Response<Incoming>,
+    sender: oneshot::Sender<Response<Body>>,
+) {
     let (mut parts, body) = response.into_parts();
-    header::strip(&mut parts.headers);
+    hop_by_hop::strip(&mut parts.headers);
     parts.headers.remove(verdict::HEADER);
-    let (frames, pieces) = mpsc::channel(FRAMES);
-    let pump = Pump::open(slot, &parts, body, frames);
-    let _ = head.send(Response::from_parts(parts, relay::body(pieces)));
-    pump.run().await;
+    let (messages, received) = mpsc::channel(FRAME_BUFFER);
+    let forwarder = Forwarder::new(slot, &parts, body, messages);
+    let _ = sender.send(Response::from_parts(parts, channel_body::body(received)));
+    forwarder.run().await;
 }
--- a/crates/daemon/src/sidecar/header.rs
+++ b/crates/daemon/src/sidecar/hop_by_hop.rs
@@ -1,9 +1,9 @@
-//! Headers that belong to one connection only.
+//! Hop-by-hop headers.
 
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName};
 
-/// Headers that are not passed on.
+/// Hop-by-hop headers with a name constant.
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     header::TE,
@@ -13,16 +13,15 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Removes headers that belong to one connection only, those that `Connection`
-/// names included.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub(crate) fn strip(headers: &mut HeaderMap) {
-    let named = headers.get_all(header::CONNECTION).iter();
-    let named = named.filter_map(|value| value.to_str().ok());
-    let named: Vec<HeaderName> = named
+    let listed = headers.get_all(header::CONNECTION).iter();
+    let listed = listed.filter_map(|value| value.to_str().ok());
+    let listed: Vec<HeaderName> = listed
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in listed.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/crates/daemon/src/sidecar/mod.rs
+++ b/crates/daemon/src/sidecar/mod.rs
@@ -1,22 +1,21 @@
-//! The sidecar role: one process beside each backend server. It alone starts
-//! requests on the server, in the order that [`mulberryyoke_decide::admission`]
-//! decides.
+//! The sidecar role: one process per backend server. Only the sidecar starts
+//! requests on the server, in the order set by [`mulberryyoke_decide::admission`].
 
-mod answer;
 mod backend;
+mod channel_body;
 mod chunk;
 mod control;
 mod data;
 mod error;
 mod exchange;
-mod header;
-mod home;
-mod keeper;
+mod forwarder;
+mod hop_by_hop;
 mod meter;
 mod probe;
-mod pump;
 mod record;
-mod relay;
+mod record_writer;
+mod registration;
+mod response;
 mod role;
 mod shared;
 mod slot;
--- a/crates/daemon/src/sidecar/probe.rs
+++ b/crates/daemon/src/sidecar/probe.rs
@@ -1,4 +1,4 @@
-//! Watching a backend that could not be reached.
+//! Reachability probe of the backend.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,18 +7,18 @@
 
 use super::shared::Shared;
 
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Interval between connection attempts.
+const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Each time the backend was found down, tries until it can be reached again;
-/// until dropped.
+/// Whenever the backend is marked down, probes it until it accepts a connection.
+/// Runs until dropped.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        shared.down.notified().await;
+        shared.backend_down.notified().await;
         log!(shared.logger, Event::BackendDown,
             "backend" => shared.settings.backend.to_string());
-        while !shared.backend.answers().await {
-            tokio::time::sleep(PAUSE).await;
+        while !shared.backend.is_reachable().await {
+            tokio::time::sleep(INTERVAL).await;
         }
         shared.decide(|admission, now| admission.set_backend_down(false, now));
         log!(shared.logger, Event::BackendUp,
--- a/crates/daemon/src/sidecar/record.rs
+++ b/crates/daemon/src/sidecar/record.rs
@@ -1,4 +1,4 @@
-//! The server's home record in the key-value service.
+//! The server's home record in the key-value store.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -6,24 +6,24 @@
 use mulberryyoke_model::{Incarnation, KeyId, Millis};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a packed key.
+/// Size of a key before base64 encoding.
 const KEY_BYTES: usize = size_of::<u64>();
 
-/// What one life of a sidecar leaves for the next.
+/// State that one instance of a sidecar hands to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Record {
-    /// The life that wrote it.
+    /// Instance that wrote the record.
     pub(crate) incarnation: Incarnation,
-    /// When that life began.
+    /// Start time of that instance.
     pub(crate) started_at: Millis,
-    /// Routers that may have sent keys to it or to earlier lives.
+    /// Routers that may have sent keys to this or an earlier instance.
     pub(crate) routers: Vec<Incarnation>,
-    /// Set by a planned stop: every key that matters.
+    /// Retained keys; written at a planned stop only.
     pub(crate) closed: Option<Keys>,
 }
 
-/// Keys by what became of them; eight bytes each, in base64.
+/// Keys by final state: little-endian `u64`s, base64-encoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Keys {
@@ -34,62 +34,62 @@
 }
 
 impl Keys {
-    pub(crate) fn pack(marks: &[(KeyId, SavedState)]) -> Self {
-        let pack = |wanted: SavedState| {
-            let keys = marks.iter().filter(|(_, mark)| *mark == wanted);
+    pub(crate) fn encode(states: &[(KeyId, SavedState)]) -> Self {
+        let encode = |wanted: SavedState| {
+            let keys = states.iter().filter(|(_, state)| *state == wanted);
             let bytes: Vec<u8> = keys.flat_map(|(key, _)| key.0.to_le_bytes()).collect();
             STANDARD.encode(bytes)
         };
         Self {
-            ran: pack(SavedState::Completed),
-            cut: pack(SavedState::Interrupted),
-            barred: pack(SavedState::Withdrawn),
-            doubtful: pack(SavedState::Indeterminate),
+            ran: encode(SavedState::Completed),
+            cut: encode(SavedState::Interrupted),
+            barred: encode(SavedState::Withdrawn),
+            doubtful: encode(SavedState::Indeterminate),
         }
     }
 
-    fn unpack(&self) -> Option<Vec<(KeyId, SavedState)>> {
-        let groups = [
+    fn decode(&self) -> Option<Vec<(KeyId, SavedState)>> {
+        let lists = [
             (&self.ran, SavedState::Completed),
             (&self.cut, SavedState::Interrupted),
             (&self.barred, SavedState::Withdrawn),
             (&self.doubtful, SavedState::Indeterminate),
         ];
-        let mut marks = Vec::new();
-        for (text, mark) in groups {
-            let bytes = STANDARD.decode(text).ok()?;
-            let (keys, rest) = bytes.as_chunks::<KEY_BYTES>();
-            if !rest.is_empty() {
+        let mut states = Vec::new();
+        for (encoded, state) in lists {
+            let bytes = STANDARD.decode(encoded).ok()?;
+            let (keys, remainder) = bytes.as_chunks::<KEY_BYTES>();
+            if !remainder.is_empty() {
                 return None;
             }
             let keys = keys.iter().map(|key| KeyId(u64::from_le_bytes(*key)));
-            marks.extend(keys.map(|key| (key, mark)));
+            states.extend(keys.map(|key| (key, state)));
         }
-        Some(marks)
+        Some(states)
     }
 }
 
 impl Record {
-    /// Reads a value of the key-value service; `None` when it is no record.
+    /// Decodes a stored value; `None` if it is not a valid record.
     pub(crate) fn parse(value: &[u8]) -> Option<Self> {
         serde_json::from_slice(value).ok()
     }
 
-    /// Writes a value for the key-value service.
+    /// Encodes the record as JSON.
     ///
     /// # Panics
     ///
-    /// Never: every record has a JSON form.
-    pub(crate) fn text(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("every record has a JSON form")
+    /// Never: a record always serializes to JSON.
+    pub(crate) fn to_json(&self) -> Vec<u8> {
+        serde_json::to_vec(self).expect("a record always serializes to JSON")
     }
 
-    /// What it tells the next life.
-    pub(crate) fn past(&self) -> PriorRecord {
+    /// The record as seen by the next instance.
+    pub(crate) fn prior(&self) -> PriorRecord {
         let Some(keys) = &self.closed else {
             return PriorRecord::Open(self.routers.clone());
         };
-        keys.unpack()
+        keys.decode()
             .map_or(PriorRecord::Unreadable, PriorRecord::Closed)
     }
 }
--- a/crates/daemon/src/sidecar/keeper.rs
+++ b/crates/daemon/src/sidecar/record_writer.rs
@@ -1,4 +1,4 @@
-//! Keeping the server's home record.
+//! Maintenance of the server's home record.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,108 +12,108 @@
 use super::record::{Keys, Record};
 use super::shared::Shared;
 
-/// Shortest and longest pause between two tries, in milliseconds.
-const PAUSE: (Millis, Millis) = (100, 5_000);
+/// Minimum and maximum backoff between attempts, in milliseconds.
+const BACKOFF_MS: (Millis, Millis) = (100, 5_000);
 
-/// Longest time for the last write at a planned stop.
-const CLOSING: Duration = Duration::from_secs(3);
+/// Timeout of the last write at a planned stop.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Keeps the home record.
-pub(crate) struct Keeper {
+/// Takes over, updates and closes the home record.
+pub(crate) struct RecordWriter {
     shared: Arc<Shared>,
     kv: Arc<dyn Kv>,
     key: String,
     backoff: Backoff,
-    /// What the earlier life left, once read.
-    earlier: Option<(PriorRecord, Vec<Incarnation>)>,
-    /// Revision of the record once it is this life's.
+    /// Record and routers of the prior instance, once read.
+    prior: Option<(PriorRecord, Vec<Incarnation>)>,
+    /// Revision of the record while this instance owns it.
     revision: Option<Revision>,
 }
 
-impl Keeper {
-    pub(crate) fn open(shared: Arc<Shared>, kv: Arc<dyn Kv>) -> Self {
+impl RecordWriter {
+    pub(crate) fn new(shared: Arc<Shared>, kv: Arc<dyn Kv>) -> Self {
         let settings = &shared.settings;
         Self {
             key: format!("{}home/{}", settings.prefix, settings.name),
             shared,
             kv,
-            backoff: Backoff::new(PAUSE.0, PAUSE.1),
-            earlier: None,
+            backoff: Backoff::new(BACKOFF_MS.0, BACKOFF_MS.1),
+            prior: None,
             revision: None,
         }
     }
 
-    /// Takes the record over, then names routers in it as they come, until the
-    /// sidecar stops; then closes it.
+    /// Takes over the record and registers routers in it until the sidecar stops,
+    /// then closes it.
     pub(crate) async fn run(mut self) {
         let stop = self.shared.idle.clone();
         tokio::select! {
-            () = self.keep() => return,
+            () = self.maintain() => return,
             () = stop.cancelled() => {}
         }
-        // A record that is not closed in time leaves the next life in doubt.
-        let _ = tokio::time::timeout(CLOSING, self.close()).await;
+        // After a timeout, the next instance starts in recovery.
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.close()).await;
     }
 
-    async fn keep(&mut self) {
+    async fn maintain(&mut self) {
         while self.revision.is_none() {
             if let Err(error) = self.take_over().await {
-                self.pause(&error).await;
+                self.back_off(&error).await;
             }
         }
         self.backoff.reset();
         loop {
-            self.shared.home.work.notified().await;
-            while !self.shared.home.wanted.lock().is_empty() {
-                match self.name().await {
+            self.shared.registration.added.notified().await;
+            while !self.shared.registration.pending.lock().is_empty() {
+                match self.register_pending().await {
                     Ok(true) => {}
-                    Ok(false) => return self.supersede(),
-                    Err(error) => self.pause(&error).await,
+                    Ok(false) => return self.abandon(),
+                    Err(error) => self.back_off(&error).await,
                 }
             }
         }
     }
 
-    async fn pause(&mut self, error: &Error) {
+    async fn back_off(&mut self, error: &Error) {
         log!(self.shared.logger, Event::KvDown, "error" => error.to_string());
         let at = self.backoff.next(Instant::now(), &mut rand::rng());
         tokio::time::sleep_until(at.into()).await;
     }
 
-    /// Reads what the earlier life left and makes the record this life's.
+    /// Reads the record of the prior instance and replaces it by this instance's.
     async fn take_over(&mut self) -> Result<(), Error> {
         let found = self.kv.get(&self.key).await?;
-        let (past, routers) = self.learn(found.as_ref());
+        let (prior, routers) = self.read_prior(found.as_ref());
         let expected = expect(found.as_ref());
         if !self.write(expected, &self.record(routers.clone())).await? {
             return Ok(());
         }
         let missing = self.shared.decide(|admission, now| {
-            admission.restore_record(&past, &routers, now);
-            let doubtful = admission.is_recovering(now);
-            doubtful.then(|| admission.missing_reports())
+            admission.restore_record(&prior, &routers, now);
+            let is_recovering = admission.is_recovering(now);
+            is_recovering.then(|| admission.missing_reports())
         });
         if let Some(missing) = missing {
             log!(self.shared.logger, Event::KeysIndeterminate, "routers" => missing);
         }
-        self.shared.home.note_written();
+        self.shared.registration.notify_written();
         Ok(())
     }
 
-    /// What the earlier life left. A record of this life is one whose write was
-    /// not answered.
-    fn learn(&mut self, found: Option<&Pair>) -> (PriorRecord, Vec<Incarnation>) {
+    /// The record of the prior instance. A record that is already this instance's
+    /// comes from a write whose response was lost.
+    fn read_prior(&mut self, found: Option<&Pair>) -> (PriorRecord, Vec<Incarnation>) {
         let record = found.map(|pair| Record::parse(&pair.value));
-        let earlier = match record {
+        let prior = match record {
             None => (PriorRecord::Absent, Vec::new()),
             Some(None) => (PriorRecord::Unreadable, Vec::new()),
             Some(Some(record)) if self.is_own(&record) => {
-                let earlier = self.earlier.clone();
-                earlier.unwrap_or((PriorRecord::Unreadable, record.routers))
+                let prior = self.prior.clone();
+                prior.unwrap_or((PriorRecord::Unreadable, record.routers))
             }
-            Some(Some(record)) => (record.past(), record.routers),
+            Some(Some(record)) => (record.prior(), record.routers),
         };
-        self.earlier.insert(earlier).clone()
+        self.prior.insert(prior).clone()
     }
 
     fn is_own(&self, record: &Record) -> bool {
@@ -130,11 +130,11 @@
         }
     }
 
-    /// Writes the record if the key is as expected, or already holds it because
-    /// the answer to the same write was lost. Otherwise remembers the revision if
-    /// the record is still this life's. Returns whether it was written.
+    /// Writes the record by compare-and-swap. On a conflict, updates the revision if
+    /// this instance still owns the record, or clears it. Returns whether the store
+    /// holds `record`, also from an earlier write whose response was lost.
     async fn write(&mut self, expected: Expect, record: &Record) -> Result<bool, Error> {
-        let value = record.text();
+        let value = record.to_json();
         let swap = self.kv.swap(&self.key, expected, Some(value.clone()), None);
         match swap.await? {
             Swap::Done(revision) => {
@@ -143,29 +143,29 @@
             }
             Swap::Conflict(found) => {
                 let found = found.as_ref();
-                let held = found.and_then(|pair| Record::parse(&pair.value));
-                let own = found.filter(|_| held.is_some_and(|held| self.is_own(&held)));
+                let stored = found.and_then(|pair| Record::parse(&pair.value));
+                let own = found.filter(|_| stored.is_some_and(|stored| self.is_own(&stored)));
                 self.revision = own.map(|pair| pair.revision);
                 Ok(own.is_some_and(|pair| pair.value == value))
             }
         }
     }
 
-    /// Names the routers that are wanted. Returns whether the record is still this
-    /// life's.
-    async fn name(&mut self) -> Result<bool, Error> {
+    /// Registers the pending routers. Returns whether this instance still owns the
+    /// record.
+    async fn register_pending(&mut self) -> Result<bool, Error> {
         let Some(revision) = self.revision else {
             return Ok(false);
         };
-        let wanted = self.shared.home.wanted.lock().clone();
-        let (mut routers, has_room) = self.shared.decide(|admission, now| {
+        let pending = self.shared.registration.pending.lock().clone();
+        let (mut routers, can_register) = self.shared.decide(|admission, now| {
             (
                 admission.refresh_routers(now),
                 admission.can_register_router(),
             )
         });
-        if has_room {
-            routers.extend(&wanted);
+        if can_register {
+            routers.extend(&pending);
         }
         let record = self.record(routers.clone());
         if !self.write(Expect::Revision(revision), &record).await? {
@@ -174,35 +174,35 @@
         self.shared
             .decide(|admission, now| admission.register_routers(&routers, now));
         self.backoff.reset();
-        let mut still_wanted = self.shared.home.wanted.lock();
-        still_wanted.retain(|origin| !wanted.contains(origin));
-        drop(still_wanted);
-        self.shared.home.note_written();
+        let mut still_pending = self.shared.registration.pending.lock();
+        still_pending.retain(|origin| !pending.contains(origin));
+        drop(still_pending);
+        self.shared.registration.notify_written();
         Ok(true)
     }
 
-    fn supersede(&self) {
+    fn abandon(&self) {
         log!(self.shared.logger, Event::Superseded, "key" => &self.key);
         self.shared
             .decide(|admission, _| admission.abandon_record());
     }
 
-    /// Writes what the next life has to know.
+    /// Writes the retained keys for the next instance.
     async fn close(&mut self) {
-        let (routers, marks) = self.shared.decide(|admission, now| {
+        let (routers, states) = self.shared.decide(|admission, now| {
             let routers = admission.refresh_routers(now);
             (routers, admission.close_record(now))
         });
-        let Some(marks) = marks else {
+        let Some(states) = states else {
             return;
         };
         let mut record = self.record(routers);
-        record.closed = Some(Keys::pack(&marks));
+        record.closed = Some(Keys::encode(&states));
         while let Some(revision) = self.revision {
             match self.write(Expect::Revision(revision), &record).await {
                 Ok(true) => return,
                 Ok(false) => {}
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
--- a/crates/daemon/src/sidecar/role.rs
+++ b/crates/daemon/src/sidecar/role.rs
@@ -1,4 +1,4 @@
-//! The running sidecar.
+//! A running sidecar.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-use super::keeper::Keeper;
+use super::record_writer::RecordWriter;
 use super::shared::Shared;
 use super::{Error, control, data, probe, status, timer};
 use crate::{clock, metric};
 
-/// Longest time for the last answers to be written out after the last request
-/// has ended, in milliseconds.
-const FLUSH: Millis = 5_000;
+/// Timeout of flushing the last responses after the last request has ended, in
+/// milliseconds.
+const FLUSH_TIMEOUT_MS: Millis = 5_000;
 
 /// A running sidecar.
 #[derive(Debug)]
@@ -28,13 +28,13 @@
     control: SocketAddr,
     data: SocketAddr,
     status: SocketAddr,
-    keeper: JoinHandle<()>,
+    record_task: JoinHandle<()>,
     data_task: JoinHandle<()>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Sidecar {
-    /// Binds the ports and starts to serve.
+    /// Binds the ports and starts serving.
     ///
     /// # Errors
     ///
@@ -44,7 +44,7 @@
         Self::spawn_with_kv(settings, Arc::new(kv), logger).await
     }
 
-    /// As [`Self::spawn`], with another client of the key-value service.
+    /// Like [`Self::spawn`], with the given client of the key-value store.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         logger: Logger,
     ) -> Result<Self, Error> {
         metric::install();
-        let shared = Shared::open(settings, logger);
+        let shared = Shared::new(settings, logger);
         let settings = &shared.settings;
         let control_port = bind_control(&shared).await?;
         let data_port = bind(settings.data).await?;
@@ -65,7 +65,7 @@
             .map_err(control_error(settings.control))?;
         let data = local(&data_port, settings.data)?;
         let status = local(&status_port, settings.status)?;
-        let keeper = tokio::spawn(Keeper::open(Arc::clone(&shared), kv).run());
+        let record_task = tokio::spawn(RecordWriter::new(Arc::clone(&shared), kv).run());
         let data_task = tokio::spawn(data::run(data_port, Arc::clone(&shared)));
         let tasks = vec![
             tokio::spawn(control::run(control_port, Arc::clone(&shared))),
@@ -81,42 +81,42 @@
             control,
             data,
             status,
-            keeper,
+            record_task,
             data_task,
             tasks,
         })
     }
 
-    /// Where routers connect for control.
+    /// Address of the control port.
     #[must_use]
     pub fn control(&self) -> SocketAddr {
         self.control
     }
 
-    /// Where routers send bodies.
+    /// Address of the data port.
     #[must_use]
     pub fn data(&self) -> SocketAddr {
         self.data
     }
 
-    /// Where metrics and health are served.
+    /// Address of the status port.
     #[must_use]
     pub fn status(&self) -> SocketAddr {
         self.status
     }
 
-    /// Waits until no request runs.
+    /// Waits until no request is running.
     pub async fn wait_idle(&self) {
         wait_idle(&self.shared).await;
     }
 
-    /// Waits until the home record is this life's.
+    /// Waits until this instance has written the home record.
     pub async fn wait_record_written(&self) {
-        self.shared.home.wait_written().await;
+        self.shared.registration.wait_written().await;
     }
 
-    /// Refuses new work, lets running answers end until the drain deadline, cuts
-    /// off what remains, and closes.
+    /// Rejects new requests, drains running ones until the drain deadline, interrupts
+    /// the rest, and closes the ports.
     pub async fn stop(mut self) {
         let shared = Arc::clone(&self.shared);
         let deadline = clock::now() + shared.settings.drain_ms;
@@ -127,28 +127,28 @@
             .await
             .is_err()
         {
-            shared.cut.cancel();
+            shared.drain_expired.cancel();
         }
         shared.tasks.close();
         shared.tasks.wait().await;
         shared.idle.cancel();
-        // A keeper that failed has left the record open.
-        let _ = (&mut self.keeper).await;
+        // If the task failed, the record stays open and the next instance recovers.
+        let _ = (&mut self.record_task).await;
         shared.closed.cancel();
-        let flushed = clock::instant(clock::now() + FLUSH);
-        // Routers that do not read by then find their connection closed.
+        let flushed = clock::instant(clock::now() + FLUSH_TIMEOUT_MS);
+        // Responses that routers have not read by then are interrupted.
         let _ = tokio::time::timeout_at(flushed, &mut self.data_task).await;
         log!(shared.logger, Event::Stopped, "role" => "sidecar");
     }
 }
 
 impl Drop for Sidecar {
-    /// Ends at once what [`Sidecar::stop`] has not ended.
+    /// Aborts whatever [`Sidecar::stop`] has not ended.
     fn drop(&mut self) {
-        self.shared.cut.cancel();
+        self.shared.drain_expired.cancel();
         self.shared.closed.cancel();
         let tasks = self.tasks.iter();
-        for task in tasks.chain([&self.keeper, &self.data_task]) {
+        for task in tasks.chain([&self.record_task, &self.data_task]) {
             task.abort();
         }
     }
@@ -156,7 +156,7 @@
 
 async fn wait_idle(shared: &Shared) {
     loop {
-        let ended = shared.ended.notified();
+        let ended = shared.request_ended.notified();
         if shared.decide(|admission, _| admission.running_count()) == 0 {
             return;
         }
--- a/crates/daemon/src/sidecar/shared.rs
+++ b/crates/daemon/src/sidecar/shared.rs
@@ -14,10 +14,11 @@
 use tokio_util::task::TaskTracker;
 
 use super::backend::Backend;
-use super::home::Home;
+use super::registration::Registration;
 use crate::clock;
 
-/// What the one lock guards: a start and a withdrawal exclude each other.
+/// State under one lock, so that starting and withdrawing an attempt are mutually
+/// exclusive.
 #[derive(Debug)]
 struct State {
     admission: Admission,
@@ -33,20 +34,20 @@
     pub(crate) settings: settings::Sidecar,
     pub(crate) logger: Logger,
     pub(crate) backend: Backend,
-    /// Requests' side of the home record.
-    pub(crate) home: Home,
-    /// Cancelled at a planned stop once nothing runs any more.
+    /// Registration of routers in the home record.
+    pub(crate) registration: Registration,
+    /// Cancelled at a planned stop once no request is running.
     pub(crate) idle: CancellationToken,
-    /// Bytes on the control links.
+    /// Bytes transferred on the control links.
     pub(crate) control_bytes: Arc<wire::ByteCounter>,
-    /// Fires when slots were reserved, for the timer of lapses.
-    pub(crate) reserved: Notify,
-    /// Fires when the backend was found down.
-    pub(crate) down: Notify,
-    /// Fires when a request ended.
-    pub(crate) ended: Notify,
-    /// Cancelled when a planned stop's deadline has passed.
-    pub(crate) cut: CancellationToken,
+    /// Notified when slots were reserved; wakes the expiry timer.
+    pub(crate) slots_reserved: Notify,
+    /// Notified when the backend was marked down.
+    pub(crate) backend_down: Notify,
+    /// Notified when a request ended.
+    pub(crate) request_ended: Notify,
+    /// Cancelled when the drain deadline has passed.
+    pub(crate) drain_expired: CancellationToken,
     /// Cancelled when the ports close.
     pub(crate) closed: CancellationToken,
     /// Tasks of running requests.
@@ -54,7 +55,7 @@
 }
 
 impl Shared {
-    pub(crate) fn open(settings: settings::Sidecar, logger: Logger) -> Arc<Self> {
+    pub(crate) fn new(settings: settings::Sidecar, logger: Logger) -> Arc<Self> {
         let now = clock::now();
         let setup = Setup {
             server: ServerId::of(&settings.name),
@@ -76,23 +77,23 @@
         };
         Arc::new(Self {
             state: Mutex::new(state),
-            backend: Backend::open(settings.backend),
+            backend: Backend::new(settings.backend),
             setup,
             settings,
             logger,
-            home: Home::open(),
+            registration: Registration::new(),
             idle: CancellationToken::new(),
             control_bytes: Arc::default(),
-            reserved: Notify::new(),
-            down: Notify::new(),
-            ended: Notify::new(),
-            cut: CancellationToken::new(),
+            slots_reserved: Notify::new(),
+            backend_down: Notify::new(),
+            request_ended: Notify::new(),
+            drain_expired: CancellationToken::new(),
             closed: CancellationToken::new(),
             tasks: TaskTracker::new(),
         })
     }
 
-    /// Runs one decision under the lock, then wakes the polls it concerns.
+    /// Runs a decision under the lock, then wakes the polls that are due.
     pub(crate) fn decide<T>(&self, decision: impl FnOnce(&mut Admission, Millis) -> T) -> T {
         let mut state = self.state.lock();
         let before = state.admission.reserved_count();
@@ -105,24 +106,24 @@
         }
         drop(state);
         if has_reserved {
-            self.reserved.notify_one();
+            self.slots_reserved.notify_one();
         }
         result
     }
 
-    /// Notes that the backend cannot be reached.
-    pub(crate) fn found_down(&self) {
+    /// Marks the backend as unreachable and starts the probe.
+    pub(crate) fn mark_backend_down(&self) {
         let was_down = self.decide(|admission, now| {
             let was_down = admission.is_backend_down();
             admission.set_backend_down(true, now);
             was_down
         });
         if !was_down {
-            self.down.notify_one();
+            self.backend_down.notify_one();
         }
     }
 
-    /// A control link came up; the notification wakes its poll.
+    /// Registers a control link; the returned notification wakes its poll.
     pub(crate) fn connect(&self) -> (LinkKey, Arc<Notify>) {
         let poll = Arc::new(Notify::new());
         let mut state = self.state.lock();
@@ -131,13 +132,13 @@
         (link, poll)
     }
 
-    /// A control link closed.
+    /// Removes a control link.
     pub(crate) fn disconnect(&self, link: LinkKey) {
         self.decide(|admission, now| admission.disconnect(link, now));
         self.state.lock().polls.remove(link);
     }
 
-    /// Applies accepted configuration.
+    /// Applies committed configuration changes.
     pub(crate) fn configure(&self, changes: Vec<Change>) -> Revision {
         let mut state = self.state.lock();
         let State {
@@ -152,12 +153,12 @@
         }
         let revision = config.revision;
         drop(state);
-        // Wakes the polls that the configuration concerns.
+        // Wakes the polls that are due after the change.
         self.decide(|_, _| ());
         revision
     }
 
-    /// Configuration newer than a revision.
+    /// Configuration changes after a revision.
     pub(crate) fn changes(&self, since: Revision) -> Vec<Change> {
         self.state.lock().config.since(since)
     }
--- a/crates/daemon/src/sidecar/slot.rs
+++ b/crates/daemon/src/sidecar/slot.rs
@@ -1,4 +1,4 @@
-//! A slot of the server in use.
+//! A server slot held by a running request.
 
 use std::sync::Arc;
 
@@ -8,26 +8,26 @@
 
 use super::shared::Shared;
 
-/// A slot in use by a started request. Dropping it ends the request, cut off
-/// unless another ending was set.
+/// A slot held by a running request. Dropping it ends the request as
+/// interrupted, unless [`Slot::end`] set another termination.
 #[derive(Debug)]
 pub(crate) struct Slot {
     pub(crate) shared: Arc<Shared>,
     pub(crate) ticket: Ticket,
-    ending: Termination,
+    termination: Termination,
 }
 
 impl Slot {
-    pub(crate) fn open(shared: Arc<Shared>, ticket: Ticket) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, ticket: Ticket) -> Self {
         Self {
             shared,
             ticket,
-            ending: Termination::Interrupted,
+            termination: Termination::Interrupted,
         }
     }
 
-    /// Counts streamed tokens.
-    pub(crate) fn meter(&self, tokens: u64) {
+    /// Records generated tokens.
+    pub(crate) fn record_tokens(&self, tokens: u64) {
         if tokens > 0 {
             let attempt = self.ticket.attempt;
             self.shared
@@ -35,31 +35,31 @@
         }
     }
 
-    /// Ends the request.
-    pub(crate) fn end(mut self, ending: Termination) {
-        self.ending = ending;
+    /// Ends the request with the given termination.
+    pub(crate) fn end(mut self, termination: Termination) {
+        self.termination = termination;
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         let attempt = self.ticket.attempt;
-        let ending = std::mem::replace(&mut self.ending, Termination::Interrupted);
-        let word = match ending {
+        let termination = std::mem::replace(&mut self.termination, Termination::Interrupted);
+        let label = match termination {
             Termination::Complete(_) => "whole",
             Termination::Interrupted => "cut",
             Termination::Unsent => "unsent",
         };
         let tokens = self
             .shared
-            .decide(|admission, now| admission.end(attempt, ending, now));
-        self.shared.ended.notify_waiters();
-        metrics::counter!("sidecar_requests_total", "server" => self.shared.settings.name.clone(), "end" => word)
+            .decide(|admission, now| admission.end(attempt, termination, now));
+        self.shared.request_ended.notify_waiters();
+        metrics::counter!("sidecar_requests_total", "server" => self.shared.settings.name.clone(), "end" => label)
             .increment(1);
         metrics::counter!("sidecar_tokens_total", "server" => self.shared.settings.name.clone())
             .increment(tokens);
         log!(self.shared.logger, Event::Ended,
             "request" => attempt.request_id(), "attempt" => attempt.number,
-            "customer" => self.ticket.customer.0, "end" => word, "tokens" => tokens);
+            "customer" => self.ticket.customer.0, "end" => label, "tokens" => tokens);
     }
 }
--- a/crates/daemon/src/sidecar/status.rs
+++ b/crates/daemon/src/sidecar/status.rs
@@ -15,7 +15,7 @@
 use super::shared::Shared;
 use crate::metric;
 
-/// Answers until dropped.
+/// Serves connections until dropped.
 pub(crate) async fn run(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
@@ -29,30 +29,30 @@
 
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
     let service = service_fn(|request| {
-        let response = answer(&shared, &request);
+        let response = respond(&shared, &request);
         async move { Ok::<_, Infallible>(response) }
     });
     let mut builder = Builder::new(TokioExecutor::new());
     builder.http1().timer(TokioTimer::new());
-    // A client that breaks off needs no answer.
+    // Connection errors concern the client only.
     let _ = builder
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let (status, text) = match (request.method(), request.uri().path()) {
+fn respond(shared: &Shared, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    let (status, body) = match (request.method(), request.uri().path()) {
         (&Method::GET, "/healthz") => (StatusCode::OK, "ok\n".to_owned()),
-        (&Method::GET, "/readyz") => ready(shared),
-        (&Method::GET, "/metrics") => (StatusCode::OK, metrics(shared)),
+        (&Method::GET, "/readyz") => readiness(shared),
+        (&Method::GET, "/metrics") => (StatusCode::OK, render_metrics(shared)),
         _ => (StatusCode::NOT_FOUND, "not found\n".to_owned()),
     };
-    let mut response = Response::new(Full::from(text));
+    let mut response = Response::new(Full::from(body));
     *response.status_mut() = status;
     response
 }
 
-fn ready(shared: &Shared) -> (StatusCode, String) {
+fn readiness(shared: &Shared) -> (StatusCode, String) {
     if shared.decide(|admission, _| admission.is_draining()) {
         return (StatusCode::SERVICE_UNAVAILABLE, "draining\n".to_owned());
     }
@@ -62,7 +62,7 @@
     (StatusCode::OK, "ready\n".to_owned())
 }
 
-fn metrics(shared: &Shared) -> String {
+fn render_metrics(shared: &Shared) -> String {
     let (load, running, backlogged) = shared.decide(|admission, _| {
         let backlogged = admission.ledger().backlogged();
         (admission.load(), admission.running_count(), backlogged)
--- a/crates/daemon/src/sidecar/timer.rs
+++ b/crates/daemon/src/sidecar/timer.rs
@@ -1,11 +1,11 @@
-//! Lapse of reserved slots.
+//! Expiry of grants.
 
 use std::sync::Arc;
 
 use super::shared::Shared;
 use crate::clock;
 
-/// Frees reserved slots that were not used in time, until dropped.
+/// Frees the reserved slots of expired grants. Runs until dropped.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let next = shared.decide(|admission, now| {
@@ -14,7 +14,7 @@
         });
         match next {
             Some(at) => tokio::time::sleep_until(clock::instant(at)).await,
-            None => shared.reserved.notified().await,
+            None => shared.slots_reserved.notified().await,
         }
     }
 }
