--- a/crates/daemon/tests/sidecar/backend.rs
+++ b/crates/daemon/tests/sidecar/backend.rs
@@ -1,4 +1,4 @@
-//! A backend that answers as the test tells it.
+//! A backend whose responses are controlled by the test.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,41 +16,41 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, mpsc};
 
-/// One request that reached the backend; the test answers it.
+/// A request received by the backend, to be answered by the test.
 pub struct Call {
     pub request: Request<Incoming>,
-    respond: tokio::sync::oneshot::Sender<Response<BoxBody<Bytes, Broken>>>,
+    responder: tokio::sync::oneshot::Sender<Response<BoxBody<Bytes, Aborted>>>,
 }
 
-/// The rest of an answer. Dropped without [`Stream::end`] it breaks off.
+/// A response body. Dropping it ends the body.
 pub struct Stream {
-    pieces: mpsc::Sender<Result<Frame<Bytes>, Broken>>,
+    frames: mpsc::Sender<Result<Frame<Bytes>, Aborted>>,
 }
 
 #[derive(Debug, displaydoc::Display)]
-/// broken off by the test
-pub struct Broken;
+/// response body aborted by the test
+pub struct Aborted;
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Aborted {}
 
 impl Call {
-    /// Sends a head and returns the stream of its body.
-    pub fn answer(self, content_type: &str) -> Stream {
-        self.answer_with(content_type, &[])
+    /// Sends the response head and returns the body.
+    pub fn respond(self, content_type: &str) -> Stream {
+        self.respond_with(content_type, &[])
     }
 
-    pub fn answer_with(self, content_type: &str, headers: &[(&str, &str)]) -> Stream {
-        let (pieces, mut received) = mpsc::channel(1);
+    pub fn respond_with(self, content_type: &str, headers: &[(&str, &str)]) -> Stream {
+        let (frames, mut received) = mpsc::channel(1);
         let mut ended = false;
         let body = futures::stream::poll_fn(move |cx| {
             if ended {
                 return std::task::Poll::Ready(None);
             }
-            received.poll_recv(cx).map(|piece| match piece {
+            received.poll_recv(cx).map(|frame| match frame {
                 Some(Ok(frame)) => Some(Ok(frame)),
-                Some(Err(Broken)) => {
+                Some(Err(Aborted)) => {
                     ended = true;
-                    Some(Err(Broken))
+                    Some(Err(Aborted))
                 }
                 None => None,
             })
@@ -62,9 +62,9 @@
         let response = response
             .body(BoxBody::new(StreamBody::new(body)))
             .expect("valid head");
-        // A sidecar that hung up needs no answer.
-        let _ = self.respond.send(response);
-        Stream { pieces }
+        // Fails if the sidecar has disconnected.
+        let _ = self.responder.send(response);
+        Stream { frames }
     }
 }
 
@@ -72,27 +72,30 @@
     /// Sends a part of the body.
     pub async fn send(&self, text: &str) {
         let frame = Frame::data(Bytes::copy_from_slice(text.as_bytes()));
-        self.pieces.send(Ok(frame)).await.expect("sidecar reads");
+        self.frames
+            .send(Ok(frame))
+            .await
+            .expect("sidecar reads the body");
     }
 
-    /// Sends one event with a token.
-    pub async fn token(&self) {
+    /// Sends an event with one token.
+    pub async fn send_token(&self) {
         self.send("data: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\n")
             .await;
     }
 
-    /// Breaks the body off.
-    pub async fn fail(self) {
-        let _ = self.pieces.send(Err(Broken)).await;
+    /// Ends the body with an error.
+    pub async fn abort(self) {
+        let _ = self.frames.send(Err(Aborted)).await;
     }
 
-    /// Waits until the sidecar has hung up.
-    pub async fn hung_up(&self) {
-        self.pieces.closed().await;
+    /// Waits until the sidecar disconnects.
+    pub async fn disconnected(&self) {
+        self.frames.closed().await;
     }
 }
 
-/// A backend on loopback.
+/// A backend on the loopback interface.
 pub struct Backend {
     pub address: SocketAddr,
     pub calls: mpsc::UnboundedReceiver<Call>,
@@ -106,18 +109,18 @@
         backend
     }
 
-    /// A backend that reads nothing before it is told to go on.
+    /// A backend that accepts no connection until notified.
     pub async fn spawn_paused() -> (Self, Arc<Notify>) {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
-        let address = listener.local_addr().expect("address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("can bind");
+        let address = listener.local_addr().expect("has an address");
         let (sender, calls) = mpsc::unbounded_channel();
         let count = Arc::new(AtomicUsize::new(0));
         let resume = Arc::new(Notify::new());
-        let resumed = Arc::clone(&resume);
-        let counted = Arc::clone(&count);
+        let started = Arc::clone(&resume);
+        let counter = Arc::clone(&count);
         tokio::spawn(async move {
-            resumed.notified().await;
-            accept(listener, sender, counted).await;
+            started.notified().await;
+            accept(listener, sender, counter).await;
         });
         let backend = Self {
             address,
@@ -127,12 +130,12 @@
         (backend, resume)
     }
 
-    /// The next request that reaches the backend.
-    pub async fn call(&mut self) -> Call {
-        self.calls.recv().await.expect("backend runs")
+    /// Waits for the next request.
+    pub async fn next_call(&mut self) -> Call {
+        self.calls.recv().await.expect("backend is running")
     }
 
-    /// Requests that reached it so far.
+    /// Number of requests received.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
@@ -148,8 +151,8 @@
         let count = Arc::clone(&count);
         let service = service_fn(move |request| {
             count.fetch_add(1, Ordering::SeqCst);
-            let (respond, response) = tokio::sync::oneshot::channel();
-            let _ = sender.send(Call { request, respond });
+            let (responder, response) = tokio::sync::oneshot::channel();
+            let _ = sender.send(Call { request, responder });
             async move {
                 match response.await {
                     Ok(response) => Ok::<_, Infallible>(response),
--- a/crates/daemon/tests/sidecar/pass.rs
+++ b/crates/daemon/tests/sidecar/forward.rs
@@ -1,34 +1,34 @@
-//! Requests pass to the backend and answers back.
+//! Forwarding of requests to the backend and of responses to the router.
 
 use googletest::prelude::*;
 use http_body_util::BodyExt;
 use mulberryyoke_model::{CustomerId, Kind, Outcome};
 
 use crate::backend::Backend;
-use crate::node::{Node, context, settings, text, ticket, verdict};
+use crate::node::{Node, body_text, context, settings, ticket, verdict};
 
 #[gtest]
 #[tokio::test]
-async fn passes_request_and_streams_answer() -> Result<()> {
+async fn forwards_request_and_streams_response() -> Result<()> {
     let mut backend = Backend::spawn().await;
     let node = Node::spawn(settings(backend.address, Kind::Model, 2)).await;
     let sent = tokio::spawn(node.try_send(&ticket(1)));
-    let call = backend.call().await;
+    let call = backend.next_call().await;
     expect_that!(
         call.request.uri().to_string(),
         eq("/v1/chat/completions?x=1")
     );
     expect_that!(call.request.headers().contains_key("x-extra"), eq(true));
     expect_that!(call.request.headers().contains_key("ticket"), eq(false));
-    let stream = call.answer("text/event-stream");
-    stream.token().await;
+    let stream = call.respond("text/event-stream");
+    stream.send_token().await;
     let mut response = sent.await??;
     let first = response.body_mut().frame().await;
     expect_that!(first.is_some(), eq(true));
-    stream.token().await;
+    stream.send_token().await;
     stream.send("data: [DONE]\n\n").await;
     drop(stream);
-    let rest = text(response).await;
+    let rest = body_text(response).await;
     expect_that!(rest, some(ends_with("data: [DONE]\n\n")));
     node.sidecar.stop().await;
     Ok(())
@@ -36,20 +36,20 @@
 
 #[gtest]
 #[tokio::test]
-async fn answer_without_end_is_broken_off() -> Result<()> {
-    for fails in [false, true] {
+async fn truncated_response_is_interrupted() -> Result<()> {
+    for aborts in [false, true] {
         let mut backend = Backend::spawn().await;
         let node = Node::spawn(settings(backend.address, Kind::Model, 2)).await;
         let sent = tokio::spawn(node.try_send(&ticket(1)));
-        let stream = backend.call().await.answer("text/event-stream");
-        stream.token().await;
+        let stream = backend.next_call().await.respond("text/event-stream");
+        stream.send_token().await;
         let response = sent.await??;
-        if fails {
-            stream.fail().await;
+        if aborts {
+            stream.abort().await;
         } else {
             drop(stream);
         }
-        expect_that!(text(response).await, none());
+        expect_that!(body_text(response).await, none());
         let outcome = node
             .link
             .outcome(context(), ticket(1).attempt, None)
@@ -61,41 +61,41 @@
 
 #[gtest]
 #[tokio::test]
-async fn hang_up_cancels_on_the_backend() -> Result<()> {
+async fn disconnect_cancels_the_request() -> Result<()> {
     let mut backend = Backend::spawn().await;
     let node = Node::spawn(settings(backend.address, Kind::Model, 1)).await;
     let sent = tokio::spawn(node.try_send(&ticket(1)));
-    let stream = backend.call().await.answer("text/event-stream");
-    stream.token().await;
+    let stream = backend.next_call().await.respond("text/event-stream");
+    stream.send_token().await;
     drop(sent.await??);
-    stream.hung_up().await;
+    stream.disconnected().await;
     node.declare(CustomerId::of("acme"), 1).await;
-    expect_that!(node.grants().await.len(), eq(1));
+    expect_that!(node.wait_grants().await.len(), eq(1));
     Ok(())
 }
 
 #[gtest]
 #[tokio::test]
-async fn full_server_turns_away_and_grants_later() -> Result<()> {
+async fn full_server_rejects_and_grants_later() -> Result<()> {
     let mut backend = Backend::spawn().await;
     let node = Node::spawn(settings(backend.address, Kind::Service, 1)).await;
     let sent = tokio::spawn(node.try_send(&ticket(1)));
-    let call = backend.call().await;
-    let refused = node.send(&ticket(2)).await;
-    expect_that!(verdict(&refused), some(eq("busy")));
+    let call = backend.next_call().await;
+    let rejected = node.send(&ticket(2)).await;
+    expect_that!(verdict(&rejected), some(eq("busy")));
     node.declare(CustomerId::of("acme"), 1).await;
-    let stream = call.answer("text/plain");
+    let stream = call.respond("text/plain");
     stream.send("first").await;
     drop(stream);
-    expect_that!(text(sent.await??).await, some(eq("first")));
-    let grants = node.grants().await;
+    expect_that!(body_text(sent.await??).await, some(eq("first")));
+    let grants = node.wait_grants().await;
     expect_that!(grants.len(), eq(1));
     let busy = node.send(&ticket(3)).await;
     expect_that!(verdict(&busy), some(eq("busy")));
     let mut granted = ticket(4);
     granted.grant = Some(grants[0].id);
     let sent = tokio::spawn(node.try_send(&granted));
-    drop(backend.call().await.answer("text/plain"));
+    drop(backend.next_call().await.respond("text/plain"));
     expect_that!(verdict(&sent.await??), none());
     Ok(())
 }
@@ -105,17 +105,20 @@
 async fn withdrawn_attempt_never_runs() -> Result<()> {
     let backend = Backend::spawn().await;
     let node = Node::spawn(settings(backend.address, Kind::Service, 1)).await;
-    let late = ticket(1);
-    let withdrawal = node.link.withdraw(context(), late.attempt, None).await?;
+    let withdrawn = ticket(1);
+    let withdrawal = node
+        .link
+        .withdraw(context(), withdrawn.attempt, None)
+        .await?;
     expect_that!(withdrawal.outcome, eq(Outcome::NotRun));
-    expect_that!(verdict(&node.send(&late).await), some(eq("tombstone")));
+    expect_that!(verdict(&node.send(&withdrawn).await), some(eq("tombstone")));
     expect_that!(backend.count(), eq(0));
     Ok(())
 }
 
 #[gtest]
 #[tokio::test]
-async fn unreachable_backend_is_told_as_not_run_and_gets_nothing_until_it_is_back() -> Result<()> {
+async fn unreachable_backend_is_reported_and_gets_no_grants() -> Result<()> {
     let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let address = closed.local_addr()?;
     drop(closed);
@@ -125,27 +128,27 @@
     expect_that!(verdict(&node.send(&ticket(2)).await), some(eq("busy")));
     node.declare(CustomerId::of("acme"), 1).await;
     expect_that!(node.poll(0).await.grants.len(), eq(0));
-    let _back = tokio::net::TcpListener::bind(address).await?;
-    expect_that!(node.grants().await.len(), eq(1));
+    let _restored = tokio::net::TcpListener::bind(address).await?;
+    expect_that!(node.wait_grants().await.len(), eq(1));
     Ok(())
 }
 
 #[gtest]
 #[tokio::test]
-async fn planned_stop_lets_running_answers_end() -> Result<()> {
+async fn planned_stop_drains_running_requests() -> Result<()> {
     let mut backend = Backend::spawn().await;
     let node = Node::spawn(settings(backend.address, Kind::Service, 2)).await;
     let sent = tokio::spawn(node.try_send(&ticket(1)));
-    let call = backend.call().await;
-    let mut polled = node.poll(crate::node::now()).await;
+    let call = backend.next_call().await;
+    let mut response = node.poll(crate::node::now()).await;
     let stop = tokio::spawn(node.sidecar.stop());
-    while !polled.load.draining {
-        polled = poll_link(&node.link).await;
+    while !response.load.draining {
+        response = poll_link(&node.link).await;
     }
-    let stream = call.answer("text/plain");
+    let stream = call.respond("text/plain");
     stream.send("whole").await;
     drop(stream);
-    expect_that!(text(sent.await??).await, some(eq("whole")));
+    expect_that!(body_text(sent.await??).await, some(eq("whole")));
     stop.await?;
     Ok(())
 }
--- a/crates/daemon/tests/sidecar/kv.rs
+++ b/crates/daemon/tests/sidecar/kv.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory, for the home record.
+//! In-memory key-value store for the home record.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
     pairs: BTreeMap<String, (Vec<u8>, Revision)>,
     revision: Revision,
     down: bool,
-    lost: u32,
+    responses_to_lose: u32,
 }
 
-/// Holds keys; can be down, or lose answers of writes that took effect.
+/// A store that can be made unavailable, or lose the responses of applied writes.
 #[derive(Clone, Default)]
 pub struct Memory {
     state: Arc<Mutex<State>>,
 }
 
-fn failed() -> HttpError {
-    HttpError::Malformed("switched off by the test".to_owned())
+fn unavailable() -> HttpError {
+    HttpError::Malformed("unavailable in this test".to_owned())
 }
 
 impl Memory {
@@ -32,12 +32,12 @@
         self.state.lock().down = down;
     }
 
-    /// Loses the answers of the next writes.
-    pub fn lose(&self, count: u32) {
-        self.state.lock().lost = count;
+    /// Loses the responses of the next `count` writes.
+    pub fn lose_responses(&self, count: u32) {
+        self.state.lock().responses_to_lose = count;
     }
 
-    /// Writes a value beside the sidecar's back.
+    /// Writes a value directly.
     pub fn put(&self, key: &str, value: &[u8]) {
         let mut state = self.state.lock();
         state.revision += 1;
@@ -55,7 +55,7 @@
     fn read(&self, key: &str) -> Result<Option<Pair>, Error> {
         let state = self.state.lock();
         if state.down {
-            return Err(Error::Unsent(failed()));
+            return Err(Error::Unsent(unavailable()));
         }
         let found = state.pairs.get(key);
         Ok(found.map(|(value, revision)| Pair {
@@ -79,9 +79,9 @@
         }
         self.put(key, &value.expect("home records are never deleted"));
         let mut state = self.state.lock();
-        if state.lost > 0 {
-            state.lost -= 1;
-            return Err(Error::Unknown(failed()));
+        if state.responses_to_lose > 0 {
+            state.responses_to_lose -= 1;
+            return Err(Error::Unknown(unavailable()));
         }
         Ok(Swap::Done(state.revision))
     }
@@ -89,7 +89,7 @@
 
 impl Kv for Memory {
     fn range<'a>(&'a self, _prefix: &'a str) -> Call<'a, Listing> {
-        unimplemented!("sidecars read one key")
+        unimplemented!("sidecars read a single key")
     }
 
     fn get<'a>(&'a self, key: &'a str) -> Call<'a, Option<Pair>> {
@@ -107,7 +107,7 @@
     }
 
     fn watch<'a>(&'a self, _prefix: &'a str, _from: Revision) -> Call<'a, Watch> {
-        unimplemented!("sidecars watch nothing")
+        unimplemented!("sidecars do not watch")
     }
 
     fn lease_grant(&self, _ttl_ms: u64) -> Call<'_, Lease> {
--- a/crates/daemon/tests/sidecar/main.rs
+++ b/crates/daemon/tests/sidecar/main.rs
@@ -1,8 +1,8 @@
-//! The sidecar role against a small backend in this process.
+//! Tests of the sidecar role against an in-process backend.
 
 mod backend;
+mod forward;
 mod keys;
 mod kv;
 mod node;
-mod pass;
 mod resume;
--- a/crates/daemon/tests/sidecar/node.rs
+++ b/crates/daemon/tests/sidecar/node.rs
@@ -1,4 +1,4 @@
-//! A sidecar under test and a router's side of it.
+//! A sidecar under test with the connections of one router.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,8 +22,8 @@
 
 pub const ROUTER: Incarnation = Incarnation(7);
 
-/// Longest time that a test waits for an event; reached only by a fault.
-const PATIENCE: Millis = 60_000;
+/// Timeout of a test's waits, in milliseconds.
+const TIMEOUT_MS: Millis = 60_000;
 
 pub fn now() -> Millis {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -45,14 +45,14 @@
         slots,
         kv: Vec::new(),
         prefix: "/mulberryyoke/".to_owned(),
-        drain_ms: PATIENCE,
+        drain_ms: TIMEOUT_MS,
         retention_ms: 600_000,
         policy: settings::Policy::Fair,
         log: settings::LogFormat::Json,
     }
 }
 
-/// A sidecar and one router's link and data connection to it.
+/// A sidecar with a control link and a data client.
 pub struct Node {
     pub sidecar: Sidecar,
     pub link: SidecarClient,
@@ -68,7 +68,7 @@
     pub async fn spawn_with_kv(settings: settings::Sidecar, kv: Memory) -> Self {
         let logger = Logger::root(Discard, o!());
         let sidecar = Sidecar::spawn_with_kv(settings, Arc::new(kv), logger).await;
-        let sidecar = sidecar.expect("starts");
+        let sidecar = sidecar.expect("sidecar starts");
         let link = wire::connect_sidecar(sidecar.control(), Arc::default())
             .await
             .expect("control port answers");
@@ -126,12 +126,12 @@
         self.link.poll(context(), poll).await.expect("link is up")
     }
 
-    /// Polls until slots are reserved.
-    pub async fn grants(&self) -> Vec<mulberryyoke_model::Grant> {
+    /// Polls until grants are returned.
+    pub async fn wait_grants(&self) -> Vec<mulberryyoke_model::Grant> {
         loop {
-            let polled = self.poll(now() + PATIENCE).await;
-            if !polled.grants.is_empty() {
-                return polled.grants;
+            let response = self.poll(now() + TIMEOUT_MS).await;
+            if !response.grants.is_empty() {
+                return response.grants;
             }
         }
     }
@@ -139,7 +139,7 @@
 
 pub fn context() -> Context {
     let mut context = Context::current();
-    context.deadline = std::time::Instant::now() + Duration::from_millis(PATIENCE);
+    context.deadline = std::time::Instant::now() + Duration::from_millis(TIMEOUT_MS);
     context
 }
 
@@ -152,7 +152,7 @@
         },
         customer: CustomerId::of("acme"),
         class: Class::Normal,
-        deadline: now() + PATIENCE,
+        deadline: now() + TIMEOUT_MS,
         hint: 0,
         cost: 10,
         grant: None,
@@ -160,14 +160,14 @@
     }
 }
 
-/// The sidecar's own verdict on a request.
+/// The verdict header of a response.
 pub fn verdict(response: &Response<Incoming>) -> Option<&str> {
     let value = response.headers().get("verdict")?;
     value.to_str().ok()
 }
 
-/// The body of an answer; `None` when it broke off.
-pub async fn text(response: Response<Incoming>) -> Option<String> {
+/// The response body; `None` if it is truncated.
+pub async fn body_text(response: Response<Incoming>) -> Option<String> {
     let body = response.into_body().collect().await.ok()?;
     String::from_utf8(body.to_bytes().to_vec()).ok()
 }
