--- a/crates/daemon/src/sidecar/control.rs
+++ b/crates/daemon/src/sidecar/control.rs
@@ -51,7 +51,7 @@
 
 impl Link {
     /// Waits until the response to a poll is due, at most until `until`.
-    async fn wait(&self, until: mulberryyoke_model::Millis) {
+    async fn wait_due(&self, until: mulberryyoke_model::Millis) {
         loop {
             let due = self
                 .shared
@@ -106,7 +106,7 @@
                 now,
             );
         });
-        self.wait(poll.until).await;
+        self.wait_due(poll.until).await;
         self.poll_response()
     }
 
--- a/crates/daemon/src/sidecar/mod.rs
+++ b/crates/daemon/src/sidecar/mod.rs
@@ -8,6 +8,7 @@
 mod data;
 mod error;
 mod exchange;
+mod expiry;
 mod forwarder;
 mod hop_by_hop;
 mod meter;
@@ -20,7 +21,6 @@
 mod shared;
 mod slot;
 mod status;
-mod timer;
 
 pub use error::Error;
 pub use role::Sidecar;
--- a/crates/daemon/src/sidecar/role.rs
+++ b/crates/daemon/src/sidecar/role.rs
@@ -14,7 +14,7 @@
 
 use super::record_writer::RecordWriter;
 use super::shared::Shared;
-use super::{Error, control, data, probe, status, timer};
+use super::{Error, control, data, expiry, probe, status};
 use crate::{clock, metric};
 
 /// Timeout of flushing the last responses after the last request has ended, in
@@ -63,14 +63,14 @@
         let control = control_port
             .address()
             .map_err(control_error(settings.control))?;
-        let data = local(&data_port, settings.data)?;
-        let status = local(&status_port, settings.status)?;
+        let data = local_address(&data_port, settings.data)?;
+        let status = local_address(&status_port, settings.status)?;
         let record_task = tokio::spawn(RecordWriter::new(Arc::clone(&shared), kv).run());
         let data_task = tokio::spawn(data::run(data_port, Arc::clone(&shared)));
         let tasks = vec![
             tokio::spawn(control::run(control_port, Arc::clone(&shared))),
             tokio::spawn(status::run(status_port, Arc::clone(&shared))),
-            tokio::spawn(timer::run(Arc::clone(&shared))),
+            tokio::spawn(expiry::run(Arc::clone(&shared))),
             tokio::spawn(probe::run(Arc::clone(&shared))),
         ];
         log!(shared.logger, Event::Ready, "role" => "sidecar",
@@ -135,9 +135,9 @@
         // If the task failed, the record stays open and the next instance recovers.
         let _ = (&mut self.record_task).await;
         shared.closed.cancel();
-        let flushed = clock::instant(clock::now() + FLUSH_TIMEOUT_MS);
+        let flush_deadline = clock::instant(clock::now() + FLUSH_TIMEOUT_MS);
         // Responses that routers have not read by then are interrupted.
-        let _ = tokio::time::timeout_at(flushed, &mut self.data_task).await;
+        let _ = tokio::time::timeout_at(flush_deadline, &mut self.data_task).await;
         log!(shared.logger, Event::Stopped, "role" => "sidecar");
     }
 }
@@ -169,7 +169,7 @@
     bound.map_err(|source| Error::Bind { address, source })
 }
 
-fn local(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
+fn local_address(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
     let local = listener.local_addr();
     local.map_err(|source| Error::Bind { address, source })
 }
--- a/crates/daemon/src/sidecar/shared.rs
+++ b/crates/daemon/src/sidecar/shared.rs
@@ -1,4 +1,4 @@
-//! State shared by the ports of one sidecar.
+//! State shared by the tasks of one sidecar.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     polls: SecondaryMap<LinkKey, Arc<Notify>>,
 }
 
-/// State shared by the ports of one sidecar.
+/// State shared by the tasks of one sidecar.
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
@@ -40,13 +40,13 @@
     pub(crate) idle: CancellationToken,
     /// Bytes transferred on the control links.
     pub(crate) control_bytes: Arc<wire::ByteCounter>,
-    /// Notified when slots were reserved; wakes the expiry timer.
+    /// Notified when slots were reserved; wakes the expiry task.
     pub(crate) slots_reserved: Notify,
     /// Notified when the backend was marked down.
     pub(crate) backend_down: Notify,
     /// Notified when a request ended.
     pub(crate) request_ended: Notify,
-    /// Cancelled when the drain deadline has passed.
+    /// Cancelled when the drain deadline has passed or the sidecar is dropped.
     pub(crate) drain_expired: CancellationToken,
     /// Cancelled when the ports close.
     pub(crate) closed: CancellationToken,
