--- a/crates/wire/src/aggregate.rs
+++ b/crates/wire/src/aggregate.rs
@@ -65,7 +65,7 @@
 /// A server that announced to a gateway that it is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaving {
-    /// The server.
+    /// Instance of the server.
     pub server: ServerId,
     /// Time since the announcement, in milliseconds.
     pub age_ms: u64,
