--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -29,7 +29,7 @@
     may_have_run: bool,
     is_isolated: bool,
 ) -> Result<InFlight, Refusal> {
-    let running = core.registry.with_pool(call.pool, |servers| {
+    let in_flight = core.registry.with_pool(call.pool, |servers| {
         let now = Instant::now();
         let (now_ms, is_view_fresh) = (clock::now_ms(), core.view.is_fresh());
         let mut open: Vec<&Arc<Backend>> = servers
@@ -66,9 +66,9 @@
         Ok(InFlight::start(backend, None))
     })?;
     if is_isolated {
-        return Ok(running.isolate());
+        return Ok(in_flight.isolate());
     }
-    Ok(running)
+    Ok(in_flight)
 }
 
 /// Returns the refusal while every open server of the pool asks for pushback, `None` otherwise.
--- a/crates/gateway/src/body_relay.rs
+++ b/crates/gateway/src/body_relay.rs
@@ -23,37 +23,37 @@
 pub(crate) fn spawn(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: InFlight,
-    (conn, reading): (Connection, ResponseHead),
+    in_flight: InFlight,
+    (conn, response_head): (Connection, ResponseHead),
     prefix: Bytes,
-    rest: Incoming,
+    remaining: Incoming,
 ) -> mpsc::Receiver<Result<Bytes, BodyError>> {
     let (chunks, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let (core, call) = (Arc::clone(core), Arc::clone(call));
     tokio::spawn(async move {
         let relayed = tokio::select! {
             () = chunks.closed() => return,
-            relayed = relay(&chunks, prefix, rest) => relayed,
+            relayed = relay(&chunks, prefix, remaining) => relayed,
             () = clock::wait_until(call.deadline_ms) => Err(BodyError::TimedOut),
             () = core.shutdown.terminate.cancelled() => Err(BodyError::Stopping),
         };
         match relayed {
             Ok(()) => {
                 quarantine::record_success(&core, || call.digest());
-                running.complete(conn, reading);
+                in_flight.complete(conn, response_head);
             }
             Err(error) => {
                 failure::record(
                     &core,
                     &call,
-                    &running,
+                    &in_flight,
                     "response truncated",
                     &error.to_string(),
                 );
                 // The receiver may be gone.
                 let _ = chunks.send(Err(error)).await;
                 if error == BodyError::Truncated {
-                    quarantine::record_failure(&core, &call, &running).await;
+                    quarantine::record_failure(&core, &call, &in_flight).await;
                 }
             }
         }
@@ -64,13 +64,13 @@
 async fn relay(
     chunks: &mpsc::Sender<Result<Bytes, BodyError>>,
     prefix: Bytes,
-    mut rest: Incoming,
+    mut remaining: Incoming,
 ) -> Result<(), BodyError> {
     let mut chunk = Some(prefix);
     while let Some(bytes) = chunk {
         // The calling task detects a dropped receiver.
         let _ = chunks.send(Ok(bytes)).await;
-        let frame = rest.frame().await.transpose();
+        let frame = remaining.frame().await.transpose();
         let frame = frame.map_err(|_| BodyError::Truncated)?;
         chunk = frame.map(|frame| frame.into_data().unwrap_or_default());
     }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -111,12 +111,12 @@
         self.is_suspect = verdict.crashes() > 0;
         self.is_admitted = self.is_suspect;
         let is_isolated = verdict.crashes() >= ISOLATION_CRASHES;
-        let running =
+        let in_flight =
             balance::assign(core, call, &self.tried, self.possible_runs > 0, is_isolated)?;
-        let server = running.backend.server.id;
+        let server = in_flight.backend.server.id;
         self.tried.push(server);
-        log_routed(core, call, &running, self.possible_runs + self.not_run);
-        let outcome = send::send(core, call, running, self, resume_after).await;
+        log_routed(core, call, &in_flight, self.possible_runs + self.not_run);
+        let outcome = send::send(core, call, in_flight, self, resume_after).await;
         match outcome {
             Outcome::Rejected | Outcome::WrongServer | Outcome::NotSent | Outcome::Withheld => {
                 // A withheld request was not sent, so it doesn't count as an attempt.
@@ -196,15 +196,15 @@
     attempts.run(core, call, None, Refusal::NoServer).await
 }
 
-fn log_routed(core: &Core, call: &Call, running: &InFlight, attempt: u32) {
+fn log_routed(core: &Core, call: &Call, in_flight: &InFlight, attempt: u32) {
     log!(core.logger, Event::Routed,
         "request" => &call.id,
         "attempt" => attempt,
         "customer" => call.customer_name(),
         "route" => &call.route.name,
-        "server" => &running.backend.server.name,
-        "unread" => running.queued_tokens(),
-        "uncached" => running.prompt_tokens,
+        "server" => &in_flight.backend.server.name,
+        "unread" => in_flight.queued_tokens(),
+        "uncached" => in_flight.prompt_tokens,
         "view_age_ms" => core.view.age_ms(),
         "elapsed_ms" => clock::between_ms(call.received_at, Instant::now()));
 }
--- a/crates/gateway/src/dispatch/send.rs
+++ b/crates/gateway/src/dispatch/send.rs
@@ -26,11 +26,11 @@
 pub(super) async fn send(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: InFlight,
+    in_flight: InFlight,
     attempts: &Attempts,
     resume_after: Option<u64>,
 ) -> Outcome {
-    let backend = Arc::clone(&running.backend);
+    let backend = Arc::clone(&in_flight.backend);
     let opened = tokio::select! {
         opened = backend.conns.acquire() => opened,
         () = clock::wait_until(call.deadline_ms) => return Outcome::NotSent,
@@ -41,7 +41,7 @@
             failure::record(
                 core,
                 call,
-                &running,
+                &in_flight,
                 "could not connect",
                 &error.to_string(),
             );
@@ -52,21 +52,21 @@
     if !backend.is_open() || backend.instance.is_pushing_back(clock::now_ms()) {
         return Outcome::Withheld;
     }
-    let request = build_request(core, call, &running, resume_after);
+    let request = build_request(core, call, &in_flight, resume_after);
     let mut sent = Box::pin(conn.sender.try_send_request(request));
     let mut stall = attempts.stall_deadline(call);
     let sent = loop {
         tokio::select! {
             sent = &mut sent => break sent,
             () = clock::wait_until(call.deadline_ms) => {
-                failure::record(core, call, &running, "response timed out", "");
+                failure::record(core, call, &in_flight, "response timed out", "");
                 return Outcome::TimedOut;
             }
             () = clock::sleep_until_opt(stall) => {}
         }
         stall = None;
         if core.retry_budgets.try_withdraw(call.pool) {
-            failure::record(core, call, &running, "response stalled", "");
+            failure::record(core, call, &in_flight, "response stalled", "");
             return Outcome::Stalled;
         }
     };
@@ -75,34 +75,34 @@
         Err(error) => {
             let is_unsent = error.message().is_some();
             let text = error.error().to_string();
-            failure::record(core, call, &running, "connection failed", &text);
+            failure::record(core, call, &in_flight, "connection failed", &text);
             if is_unsent {
                 return Outcome::NotSent;
             }
-            quarantine::record_failure(core, call, &running).await;
+            quarantine::record_failure(core, call, &in_flight).await;
             return Outcome::Unknown;
         }
     };
-    read_response(core, call, running, attempts, conn, response).await
+    read_response(core, call, in_flight, attempts, conn, response).await
 }
 
 fn build_request(
     core: &Core,
     call: &Call,
-    running: &InFlight,
+    in_flight: &InFlight,
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.path.clone().into();
     let mut headers = call.headers.clone();
-    let order = Forwarding {
+    let forwarding = Forwarding {
         remaining_ms: call.remaining_ms().max(1),
-        server: &running.backend.server.name,
+        server: &in_flight.backend.server.name,
         customer: call.customer_name(),
         resume_after,
     };
-    core.protocol.rewrite_headers(&mut headers, &order);
+    core.protocol.rewrite_headers(&mut headers, &forwarding);
     *request.headers_mut() = headers;
     request
 }
@@ -110,49 +110,49 @@
 async fn read_response(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: InFlight,
+    in_flight: InFlight,
     attempts: &Attempts,
     conn: Connection,
     response: Response<Incoming>,
 ) -> Outcome {
     let (mut head, body) = response.into_parts();
-    let reading = core.protocol.parse_response(&head, &call.id);
-    if let Some(left_ms) = reading.cold_left_ms.filter(|left_ms| *left_ms > 0) {
-        running.backend.cold.extend(clock::now_ms() + left_ms);
+    let response_head = core.protocol.parse_response(&head, &call.id);
+    if let Some(left_ms) = response_head.cold_left_ms.filter(|left_ms| *left_ms > 0) {
+        in_flight.backend.cold.extend(clock::now_ms() + left_ms);
     }
-    notice::apply(core, &running.backend, reading, &call.id);
-    match reading.verification {
+    notice::apply(core, &in_flight.backend, response_head, &call.id);
+    match response_head.verification {
         Verification::Sealed if !head.headers.contains_key(CONTENT_ENCODING) => {}
         Verification::Sealed | Verification::Unverified => {
             failure::record(
                 core,
                 call,
-                &running,
+                &in_flight,
                 "unverified response",
                 head.status.as_str(),
             );
             return Outcome::InvalidResponse;
         }
         Verification::Mismatched => {
-            failure::record(core, call, &running, "response to another request", "");
+            failure::record(core, call, &in_flight, "response to another request", "");
             return Outcome::InvalidResponse;
         }
         Verification::WrongServer => {
             failure::record(
                 core,
                 call,
-                &running,
+                &in_flight,
                 "address belongs to another server",
                 "",
             );
-            running.backend.close();
+            in_flight.backend.close();
             return Outcome::WrongServer;
         }
         Verification::NotExecuted => {
             failure::record(
                 core,
                 call,
-                &running,
+                &in_flight,
                 "request rejected",
                 head.status.as_str(),
             );
@@ -163,35 +163,43 @@
     header::strip_hop_by_hop(&mut head.headers);
     if call.route.kind.is_stream() && is_success {
         let attempts = attempts.after_run();
-        let chunks = stream_relay::spawn(core, call, running, attempts, (conn, reading), body);
+        let chunks =
+            stream_relay::spawn(core, call, in_flight, attempts, (conn, response_head), body);
         return Outcome::Completed(Response::from_parts(head, ResponseBody::Stream(chunks)));
     }
     let collected = tokio::select! {
         collected = collect(body) => collected,
         () = clock::wait_until(call.deadline_ms) => {
-            failure::record(core, call, &running, "response body timed out", "");
+            failure::record(core, call, &in_flight, "response body timed out", "");
             return Outcome::TimedOut;
         }
     };
     let body = match collected {
         Ok(Collected::Complete(bytes)) => {
             quarantine::record_success(core, || call.digest());
-            running.complete(conn, reading);
+            in_flight.complete(conn, response_head);
             ResponseBody::full(bytes)
         }
-        Ok(Collected::Partial(prefix, rest)) => {
-            let chunks = body_relay::spawn(core, call, running, (conn, reading), prefix, rest);
+        Ok(Collected::Partial(prefix, remaining)) => {
+            let chunks = body_relay::spawn(
+                core,
+                call,
+                in_flight,
+                (conn, response_head),
+                prefix,
+                remaining,
+            );
             ResponseBody::Stream(chunks)
         }
         Err(error) => {
             failure::record(
                 core,
                 call,
-                &running,
+                &in_flight,
                 "response truncated",
                 &error.to_string(),
             );
-            quarantine::record_failure(core, call, &running).await;
+            quarantine::record_failure(core, call, &in_flight).await;
             return Outcome::Unknown;
         }
     };
@@ -205,7 +213,7 @@
 /// A response body, buffered up to [`MAX_BUFFERED_BYTES`].
 enum Collected {
     Complete(Bytes),
-    /// The buffered prefix and the unread rest.
+    /// The buffered prefix and the remaining body.
     Partial(Bytes, Incoming),
 }
 
--- a/crates/gateway/src/exchange/prefix_queue.rs
+++ b/crates/gateway/src/exchange/prefix_queue.rs
@@ -31,7 +31,7 @@
     pub(super) fn record(
         &mut self,
         key: u64,
-        read: impl FnOnce() -> Prefill,
+        prefill: impl FnOnce() -> Prefill,
         is_new: bool,
         server: ServerId,
         now: u64,
@@ -42,26 +42,26 @@
             return;
         }
         self.queued_at.insert((server, key), now);
-        let read = read();
-        push(&mut self.zone, &read);
-        push(&mut self.fleet, &read);
-        self.own.push(read);
+        let prefill = prefill();
+        push(&mut self.zone, &prefill);
+        push(&mut self.fleet, &prefill);
+        self.own.push(prefill);
     }
 
     /// Forwards another gateway's prefixes, to other zones only if it is of this zone.
-    pub(super) fn forward(&mut self, reads: &[Prefill], is_same_zone: bool, now: u64) {
-        for read in reads {
-            let Some(last) = read.shared.last() else {
+    pub(super) fn forward(&mut self, prefills: &[Prefill], is_same_zone: bool, now: u64) {
+        for prefill in prefills {
+            let Some(last) = prefill.shared.last() else {
                 continue;
             };
-            let queued_at = self.queued_at.insert((read.server, last.key), now);
+            let queued_at = self.queued_at.insert((prefill.server, last.key), now);
             if queued_at.is_some_and(|at| now.saturating_sub(at) < RESEND_MS) {
                 continue;
             }
             if is_same_zone {
-                push(&mut self.zone, read);
+                push(&mut self.zone, prefill);
             }
-            push(&mut self.fleet, read);
+            push(&mut self.fleet, prefill);
         }
     }
 
@@ -84,8 +84,8 @@
     }
 }
 
-fn push(reads: &mut Vec<Prefill>, read: &Prefill) {
-    if reads.len() < MAX_FORWARDED {
-        reads.push(read.clone());
+fn push(prefills: &mut Vec<Prefill>, prefill: &Prefill) {
+    if prefills.len() < MAX_FORWARDED {
+        prefills.push(prefill.clone());
     }
 }
--- a/crates/gateway/src/failure.rs
+++ b/crates/gateway/src/failure.rs
@@ -9,14 +9,14 @@
 use crate::core::Core;
 
 /// Records a failed attempt in the server's health and in the log.
-pub(crate) fn record(core: &Core, call: &Call, running: &InFlight, what: &str, error: &str) {
-    let backend = &running.backend;
+pub(crate) fn record(core: &Core, call: &Call, in_flight: &InFlight, failure: &str, error: &str) {
+    let backend = &in_flight.backend;
     backend.health.lock().record_failure(Instant::now());
     log!(core.logger, Event::BackendFailed,
         "request" => &call.id,
         "digest" => call.digest().to_string(),
         "server" => &backend.server.name,
-        "what" => what,
+        "what" => failure,
         "error" => error,
         "elapsed_ms" => clock::between_ms(call.received_at, Instant::now()));
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -29,7 +29,7 @@
 
 /// Follows the key-value service until the gateway stops.
 pub(crate) async fn run(core: Arc<Core>) {
-    let end = core.shutdown.terminate.clone();
+    let terminate = core.shutdown.terminate.clone();
     let mut follower = Follower {
         applier: Applier::new(&core),
         sources: Sources::new(Arc::clone(&core.feed)),
@@ -37,7 +37,7 @@
         is_down: false,
     };
     tokio::select! {
-        () = end.cancelled() => {}
+        () = terminate.cancelled() => {}
         () = follower.run() => {}
     }
 }
@@ -116,8 +116,8 @@
             Source::Peer(_) => received < known,
         };
         if is_stale {
-            let why = format!("response at {received} is older than the known {known}");
-            return Err(Error::Unknown(HttpError::Malformed(why)));
+            let reason = format!("response at {received} is older than the known {known}");
+            return Err(Error::Unknown(HttpError::Malformed(reason)));
         }
         Ok(relayed)
     }
--- a/crates/gateway/src/stream_relay.rs
+++ b/crates/gateway/src/stream_relay.rs
@@ -58,7 +58,7 @@
 struct StreamRelay {
     core: Arc<Core>,
     call: Arc<Call>,
-    running: InFlight,
+    in_flight: InFlight,
     body: Incoming,
     events: EventBuffer,
     chunks: mpsc::Sender<Result<Bytes, BodyError>>,
@@ -75,16 +75,16 @@
 pub(crate) fn spawn(
     core: &Arc<Core>,
     call: &Arc<Call>,
-    running: InFlight,
+    in_flight: InFlight,
     attempts: Attempts,
-    (conn, reading): (Connection, ResponseHead),
+    (conn, response_head): (Connection, ResponseHead),
     body: Incoming,
 ) -> mpsc::Receiver<Result<Bytes, BodyError>> {
     let (chunks, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let relay = StreamRelay {
         core: Arc::clone(core),
         call: Arc::clone(call),
-        running,
+        in_flight,
         body,
         events: EventBuffer::default(),
         chunks,
@@ -94,12 +94,12 @@
         last_event: call.resume_after,
         attempts,
     };
-    tokio::spawn(relay.run(conn, reading));
+    tokio::spawn(relay.run(conn, response_head));
     receiver
 }
 
 impl StreamRelay {
-    async fn run(mut self, conn: Connection, reading: ResponseHead) {
+    async fn run(mut self, conn: Connection, response_head: ResponseHead) {
         let end = self.relay().await;
         let is_stalled = end == End::Stalled;
         if is_stalled
@@ -122,12 +122,12 @@
         match end {
             End::Complete => {
                 quarantine::record_success(&self.core, || self.call.digest());
-                self.running.complete(conn, reading);
+                self.in_flight.complete(conn, response_head);
             }
             End::Truncated | End::Stalled => {
                 let (core, call) = (&self.core, &self.call);
-                failure::record(core, call, &self.running, "stream truncated", "");
-                quarantine::record_failure(core, call, &self.running).await;
+                failure::record(core, call, &self.in_flight, "stream truncated", "");
+                quarantine::record_failure(core, call, &self.in_flight).await;
             }
             End::TimedOut | End::CallerClosed | End::Stopping => drop(conn),
         }
@@ -137,25 +137,25 @@
     async fn resume(mut self, end: End) {
         self.log_end(end);
         let (core, call) = (&Arc::clone(&self.core), &Arc::clone(&self.call));
-        failure::record(core, call, &self.running, "stream truncated", "resuming");
+        failure::record(core, call, &self.in_flight, "stream truncated", "resuming");
         if end == End::Truncated {
-            quarantine::record_failure(core, call, &self.running).await;
+            quarantine::record_failure(core, call, &self.in_flight).await;
         }
-        let rest = self
+        let resumed = self
             .attempts
             .run(core, call, self.last_event, Refusal::OutcomeUnknown);
-        let rest: Pin<Box<dyn Future<Output = _> + Send + '_>> = Box::pin(rest);
-        let rest = rest.await;
+        let resumed: Pin<Box<dyn Future<Output = _> + Send + '_>> = Box::pin(resumed);
+        let resumed = resumed.await;
         log!(core.logger, Event::Resumed,
             "request" => &call.id,
             "after" => self.last_event,
-            "outcome" => rest.as_ref().map_or_else(|refusal| refusal.code(), |_| "answered"));
-        let Ok(response) = rest else {
+            "outcome" => resumed.as_ref().map_or_else(|refusal| refusal.code(), |_| "answered"));
+        let Ok(response) = resumed else {
             // The receiver may be gone.
             let _ = self.chunks.send(Err(BodyError::Truncated)).await;
             return;
         };
-        let ResponseBody::Stream(mut rest) = response.into_body() else {
+        let ResponseBody::Stream(mut remaining) = response.into_body() else {
             let _ = self.chunks.send(Err(BodyError::Truncated)).await;
             return;
         };
@@ -163,7 +163,7 @@
             let chunk = tokio::select! {
                 biased;
                 () = self.chunks.closed() => return,
-                chunk = rest.recv() => chunk,
+                chunk = remaining.recv() => chunk,
             };
             let Some(chunk) = chunk else { return };
             if self.chunks.send(chunk).await.is_err() {
@@ -216,7 +216,7 @@
             if events.is_empty() {
                 continue;
             }
-            self.running.record_first_token();
+            self.in_flight.record_first_token();
             self.record_relayed();
             self.last_event = sse::last_id(&events).or(self.last_event);
             if self.chunks.send(Ok(events)).await.is_err() {
@@ -246,7 +246,7 @@
         let elapsed_ms = clock::between_ms(self.call.received_at, Instant::now());
         log!(self.core.logger, Event::Streamed,
             "request" => &self.call.id,
-            "server" => &self.running.backend.server.name,
+            "server" => &self.in_flight.backend.server.name,
             "end" => end.label(),
             "pieces" => self.relayed,
             "pause_ms" => self.max_pause_ms,
