--- a/crates/gateway/src/backend/instance.rs
+++ b/crates/gateway/src/backend/instance.rs
@@ -97,7 +97,7 @@
         self.pushback.lock().wait_ms(now_ms)
     }
 
-    /// Records a sign of life.
+    /// Records that the instance was seen.
     pub(crate) fn touch(&self, now_ms: u64) {
         self.last_seen_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -15,7 +15,7 @@
 /// A request that was read completely, routed and authorized.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// Request id, unique for each attempt of the caller.
+    /// Request ID, unique for each attempt of the caller.
     pub(crate) id: String,
     pub(crate) route: Arc<Route>,
     /// Pool selected among those of the route.
--- a/crates/gateway/src/exchange/registration.rs
+++ b/crates/gateway/src/exchange/registration.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// A lease and the service's era in which it was granted. In a later era, the id may belong to
+/// A lease and the service's era in which it was granted. In a later era, the ID may belong to
 /// another gateway's lease.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -193,10 +193,10 @@
             .retain(|_, at| clock::between_ms(*at, now) < REMOVED_RETENTION_MS);
     }
 
-    fn remove_server(&mut self, name: &str, why: &str) {
+    fn remove_server(&mut self, name: &str, reason: &str) {
         if self.core.registry.remove(name) {
             self.removed.insert(name.to_owned(), Instant::now());
-            log!(self.core.logger, Event::ServerRemoved, "server" => name, "why" => why);
+            log!(self.core.logger, Event::ServerRemoved, "server" => name, "why" => reason);
         }
     }
 
--- a/crates/gateway/src/quarantine/conviction.rs
+++ b/crates/gateway/src/quarantine/conviction.rs
@@ -69,9 +69,9 @@
     }
     let core = Arc::clone(core);
     tokio::spawn(async move {
-        let end = core.shutdown.terminate.clone();
+        let terminate = core.shutdown.terminate.clone();
         tokio::select! {
-            () = end.cancelled() => {}
+            () = terminate.cancelled() => {}
             () = put_with_retries(&core, digest) => {}
         }
         core.quarantine
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -65,11 +65,11 @@
 
 /// Returns whether the balancer should send callers to this node.
 pub(crate) fn is_ready(core: &Core) -> bool {
-    let has_plan = core.view.config().is_some();
+    let has_config = core.view.config().is_some();
     let is_fresh =
         core.view.age_ms() < MAX_AGE_MS && core.view.kv_contact_age_ms() < MAX_CONTACT_AGE_MS;
     let is_fresh = is_fresh && !core.view.predates_suspension();
-    has_plan && is_fresh && !core.overload.is_backing_off() && !core.shutdown.drain.is_cancelled()
+    has_config && is_fresh && !core.overload.is_backing_off() && !core.shutdown.drain.is_cancelled()
 }
 
 /// Handles a readiness probe.
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -63,7 +63,7 @@
             | Self::Busy(_)
             | Self::Rejected
             | Self::Stopping => StatusCode::SERVICE_UNAVAILABLE,
-            // A quarantined request has run under an earlier id, which rules out 503.
+            // A quarantined request has run under an earlier ID, which rules out 503.
             Self::Quarantined | Self::OutcomeUnknown | Self::InvalidResponse => {
                 StatusCode::BAD_GATEWAY
             }
--- a/crates/gateway/src/stream_relay.rs
+++ b/crates/gateway/src/stream_relay.rs
@@ -66,7 +66,7 @@
     relayed_at: Instant,
     /// Longest pause between chunks, in milliseconds.
     max_pause_ms: u64,
-    /// Id of the last event sent to the caller.
+    /// ID of the last event sent to the caller.
     last_event: Option<u64>,
     attempts: Attempts,
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -82,8 +82,8 @@
     /// Whether the configuration was last confirmed before a suspension of the machine, in which
     /// it may have changed.
     pub(crate) fn predates_suspension(&self) -> bool {
-        let woke_ms = clock::last_resume_ms();
-        woke_ms > 0 && self.confirmed_ms.load(Ordering::Relaxed) < woke_ms
+        let resumed_ms = clock::last_resume_ms();
+        resumed_ms > 0 && self.confirmed_ms.load(Ordering::Relaxed) < resumed_ms
     }
 
     /// Records a successful call to the key-value service that started at an instant, in
