--- a/crates/gateway/examples/cost.rs
+++ b/crates/gateway/examples/cost.rs
@@ -64,7 +64,7 @@
     let (requests, callers, servers) = (number(4_000), number(16), number(DEFAULT_SERVERS));
     let mode = args.next().unwrap_or_default();
     let is_refused = mode == "refused";
-    let way = match mode.as_str() {
+    let behavior = match mode.as_str() {
         "refused" => Behavior::Hang,
         "long" => Behavior::LongStream,
         _ => Behavior::Stream,
@@ -75,7 +75,7 @@
     thread::spawn(move || {
         let runtime = Builder::new_current_thread().enable_all().build();
         runtime.expect("a runtime").block_on(async {
-            start_servers(&servers_service, way, servers).await;
+            start_servers(&servers_service, behavior, servers).await;
             sender.send(()).expect("the main thread waits");
             std::future::pending::<()>().await;
         });
@@ -110,10 +110,10 @@
     );
 }
 
-async fn start_servers(service: &Service, way: Behavior, servers: u32) {
+async fn start_servers(service: &Service, behavior: Behavior, servers: u32) {
     service.set("config", Some("1 secret"));
     for index in 0..servers {
-        let backend = Backend::spawn(way).await;
+        let backend = Backend::spawn(behavior).await;
         let value = format!("model {} ready", backend.address);
         service.set(&format!("servers/model-{index}"), Some(&value));
     }
@@ -143,10 +143,10 @@
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let feed = feed::Client::new(service);
-        let words = TestProtocol {
+        let protocol = TestProtocol {
             gateway: "g0".to_owned(),
         };
-        let gateway = Gateway::spawn(settings, Arc::new(words), feed, logger).await;
+        let gateway = Gateway::spawn(settings, Arc::new(protocol), feed, logger).await;
         let _gateway = gateway.expect("the gateway starts");
         std::future::pending::<()>().await;
     });
--- a/crates/gateway/tests/gateway/admission.rs
+++ b/crates/gateway/tests/gateway/admission.rs
@@ -25,7 +25,7 @@
     let (_service, node) = ready(&[&backend]).await;
     let _stream = occupy(&node).await;
     let start = Instant::now();
-    let response = node.ask("/stream/", "x-tokens: 2000\r\n").await;
+    let response = node.send("/stream/", "x-tokens: 2000\r\n").await;
     expect_that!(response.status, eq(503));
     expect_that!(response.head, contains_substring("retry-after: "));
     expect_that!(start.elapsed(), lt(Duration::from_millis(50)));
@@ -38,7 +38,7 @@
     let backend = Backend::spawn(Behavior::Stream).await;
     let (_service, node) = ready(&[&backend]).await;
     let header_lines = format!("x-tokens: {LONG_PROMPT}\r\n");
-    expect_that!(node.ask("/stream/", &header_lines).await.status, eq(200));
+    expect_that!(node.send("/stream/", &header_lines).await.status, eq(200));
 }
 
 #[gtest]
@@ -64,13 +64,13 @@
     sleep(Duration::from_millis(600)).await;
     let keyed = "Authorization: Bearer secret\r\nx-tokens: 500\r\n";
     for _ in 0..6 {
-        expect_that!(node.ask("/keyed/", keyed).await.status, eq(503));
+        expect_that!(node.send("/keyed/", keyed).await.status, eq(503));
     }
     backend.state.set_behavior(Behavior::Hang, "");
     let long_prompt = format!("x-tokens: {LONG_PROMPT}\r\n");
     let _stream = caller::open(node.callers, &caller::request("/once/", &long_prompt)).await;
     sleep(Duration::from_millis(100)).await;
-    let response = node.ask("/keyed/", keyed).await;
+    let response = node.send("/keyed/", keyed).await;
     expect_that!(
         response.body,
         contains_substring("busy"),
@@ -94,13 +94,13 @@
     sleep(Duration::from_millis(600)).await;
     let keyed = "Authorization: Bearer secret\r\nx-tokens: 500\r\n";
     for _ in 0..7 {
-        expect_that!(node.ask("/keyed/", keyed).await.status, eq(200));
+        expect_that!(node.send("/keyed/", keyed).await.status, eq(200));
     }
     busy.state.set_behavior(Behavior::Hang, "");
     let long_prompt = format!("x-tokens: {LONG_PROMPT}\r\n");
     let _stream = caller::open(node.callers, &caller::request("/once/", &long_prompt)).await;
     sleep(Duration::from_millis(100)).await;
-    node.ask("/keyed/", keyed).await.body
+    node.send("/keyed/", keyed).await.body
 }
 
 #[gtest]
--- a/crates/gateway/tests/gateway/backend.rs
+++ b/crates/gateway/tests/gateway/backend.rs
@@ -70,7 +70,7 @@
     /// Body of the list of cached prompt parts.
     cached_parts: Mutex<String>,
     /// Additional header lines of each response.
-    fields: Mutex<String>,
+    header_lines: Mutex<String>,
     heads: Mutex<Vec<String>>,
     disconnects: AtomicU32,
     /// Number of requests for the list of cached prompt parts.
@@ -82,7 +82,7 @@
         Self {
             behavior: Mutex::new(behavior),
             cached_parts: Mutex::default(),
-            fields: Mutex::default(),
+            header_lines: Mutex::default(),
             heads: Mutex::default(),
             disconnects: AtomicU32::new(0),
             cached_parts_requests: AtomicU32::new(0),
@@ -96,9 +96,9 @@
 
     /// Sets the behavior and additional header lines, each terminated by CRLF.
     #[allow(dead_code, reason = "not used by every test binary")]
-    pub(crate) fn set_behavior(&self, behavior: Behavior, fields: &str) {
+    pub(crate) fn set_behavior(&self, behavior: Behavior, header_lines: &str) {
         *self.behavior.lock() = behavior;
-        fields.clone_into(&mut self.fields.lock());
+        header_lines.clone_into(&mut self.header_lines.lock());
     }
 
     /// Sets the body of the list of cached prompt parts.
@@ -177,17 +177,17 @@
     state.heads.lock().push(head.to_owned());
     let behavior = *state.behavior.lock();
     let id = field(head, "x-id").unwrap_or("");
-    let extra_fields = state.fields.lock().clone();
-    let sealed = format!("{extra_fields}x-id: {id}\r\nx-seal: s");
+    let extra_lines = state.header_lines.lock().clone();
+    let sealed = format!("{extra_lines}x-id: {id}\r\nx-seal: s");
     let text = match behavior {
         Behavior::Answer => full_response(200, &sealed, 4),
         Behavior::Fail => full_response(500, &sealed, 4),
-        Behavior::Reject => full_response(503, &format!("{extra_fields}x-not-run: 1"), 4),
-        Behavior::WrongServer => full_response(421, &format!("{extra_fields}x-any: 1"), 4),
+        Behavior::Reject => full_response(503, &format!("{extra_lines}x-not-run: 1"), 4),
+        Behavior::WrongServer => full_response(421, &format!("{extra_lines}x-any: 1"), 4),
         Behavior::WrongRequestId => {
-            full_response(200, &format!("{extra_fields}x-id: another\r\nx-seal: s"), 4)
+            full_response(200, &format!("{extra_lines}x-id: another\r\nx-seal: s"), 4)
         }
-        Behavior::Unsealed => full_response(200, &format!("{extra_fields}x-id: {id}"), 4),
+        Behavior::Unsealed => full_response(200, &format!("{extra_lines}x-id: {id}"), 4),
         Behavior::Encode => full_response(200, &format!("{sealed}\r\ncontent-encoding: gzip"), 4),
         Behavior::Truncate => full_response(200, &sealed, 40),
         Behavior::Close => return false,
@@ -215,8 +215,8 @@
         Behavior::SlowStream => {
             events(stream, &sealed, head, 2).await;
             sleep(Duration::from_millis(600)).await;
-            let rest = "f\r\nid: 3\ndata: a\n\n\r\nf\r\nid: 4\ndata: a\n\n\r\n0\r\n\r\n";
-            return stream.write_all(rest.as_bytes()).await.is_ok();
+            let remaining = "f\r\nid: 3\ndata: a\n\n\r\nf\r\nid: 4\ndata: a\n\n\r\n0\r\n\r\n";
+            return stream.write_all(remaining.as_bytes()).await.is_ok();
         }
         Behavior::HangStream => {
             events(stream, &sealed, head, 2).await;
@@ -228,8 +228,8 @@
     is_sent && behavior != Behavior::Truncate
 }
 
-fn full_response(status: u16, fields: &str, length: usize) -> String {
-    format!("HTTP/1.1 {status} Any\r\n{fields}\r\ncontent-length: {length}\r\n\r\ndone")
+fn full_response(status: u16, header_lines: &str, length: usize) -> String {
+    format!("HTTP/1.1 {status} Any\r\n{header_lines}\r\ncontent-length: {length}\r\n\r\ndone")
 }
 
 async fn hang(stream: &mut TcpStream, state: &State) {
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -48,8 +48,8 @@
     for _ in 0..8 {
         for path in ["/once/", "/stream/"] {
             // Rejections are immediate.
-            let _ = node.ask(path, "x-tokens: 10\r\n").await;
-            let _ = other.ask(path, "x-tokens: 10\r\n").await;
+            let _ = node.send(path, "x-tokens: 10\r\n").await;
+            let _ = other.send(path, "x-tokens: 10\r\n").await;
         }
     }
     expect_that!(started_at.elapsed(), lt(Duration::from_millis(800)));
@@ -61,7 +61,7 @@
     sleep(Duration::from_millis(COLD_MS)).await;
     let before = backend.state.heads().len();
     for _ in 0..20 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     expect_that!(requests_since(&backend, before), eq(20.0));
 }
@@ -73,14 +73,18 @@
     let (service, node) = ready(&[]).await;
     register(&service, &cold, 5, 30_000);
     sleep(PROPAGATION).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(503), "just started");
+    expect_that!(
+        node.send("/once/", "").await.status,
+        eq(503),
+        "just started"
+    );
     sleep(SETTLED).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(200));
+    expect_that!(node.send("/once/", "").await.status, eq(200));
     node.kv.set_failing(true);
     sleep(Duration::from_secs(3)).await;
     let before = cold.state.heads().len();
     for _ in 0..4 {
-        expect_that!(node.ask("/once/", "").await.status, eq(503));
+        expect_that!(node.send("/once/", "").await.status, eq(503));
     }
     expect_that!(cold.state.heads().len(), eq(before));
 }
--- a/crates/gateway/tests/gateway/configuration.rs
+++ b/crates/gateway/tests/gateway/configuration.rs
@@ -22,12 +22,12 @@
     let service = Service::new();
     let node = Node::spawn(&service, "g0").await;
     for path in ["/keyed/", "/nowhere/", "/once/"] {
-        expect_that!(node.ask(path, "").await.status, eq(503), "{path}");
+        expect_that!(node.send(path, "").await.status, eq(503), "{path}");
     }
     expect_that!(node.ready().await, eq(503));
     service.set("config", Some("1 secret"));
     node.wait_ready().await;
-    expect_that!(node.ask("/nowhere/", "").await.status, eq(404));
+    expect_that!(node.send("/nowhere/", "").await.status, eq(404));
 }
 
 #[gtest]
@@ -35,14 +35,14 @@
 async fn a_revoked_key_stops_working_and_an_older_version_does_not_restore_it() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
-    expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
+    expect_that!(node.send("/keyed/", KEY).await.status, eq(200));
     service.set("config", Some("7 other"));
     sleep(PROPAGATION).await;
-    expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
+    expect_that!(node.send("/keyed/", KEY).await.status, eq(401));
     service.set("config", Some("6 secret"));
     service.compact();
     sleep(PROPAGATION).await;
-    expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
+    expect_that!(node.send("/keyed/", KEY).await.status, eq(401));
 }
 
 #[gtest]
@@ -57,14 +57,14 @@
             node.kv.set_failing(true);
         }
         sleep(Duration::from_millis(KEYS_FRESH_MS + 100)).await;
-        expect_that!(node.ask("/keyed/", KEY).await.status, eq(503));
+        expect_that!(node.send("/keyed/", KEY).await.status, eq(503));
         expect_that!(
-            node.ask("/keyed/", "").await.status,
+            node.send("/keyed/", "").await.status,
             eq(503),
             "a missing key is not denied either"
         );
         expect_that!(
-            node.ask("/once/", "").await.status,
+            node.send("/once/", "").await.status,
             eq(200),
             "no key is needed"
         );
@@ -72,7 +72,7 @@
         node.kv.set_failing(false);
         node.kv.set_hanging(false);
         node.wait_ready().await;
-        expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
+        expect_that!(node.send("/keyed/", KEY).await.status, eq(200));
     }
 }
 
@@ -88,8 +88,8 @@
     service.compact();
     node.kv.set_failing(false);
     sleep(Duration::from_millis(2_600)).await;
-    expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
-    expect_that!(node.ask("/once/", "").await.status, eq(503));
+    expect_that!(node.send("/keyed/", KEY).await.status, eq(401));
+    expect_that!(node.send("/once/", "").await.status, eq(503));
 }
 
 #[gtest]
@@ -109,7 +109,7 @@
         sleep(PROPAGATION).await;
         let before = leaving.state.heads().len();
         for _ in 0..6 {
-            expect_that!(node.ask("/once/", "").await.status, eq(200), "{state}");
+            expect_that!(node.send("/once/", "").await.status, eq(200), "{state}");
         }
         expect_that!(leaving.state.heads().len(), eq(before), "{state}");
     }
@@ -125,10 +125,10 @@
     service.set("servers/plain-0", None);
     node.kv.set_failing(false);
     sleep(PROPAGATION + PROPAGATION).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(200));
+    expect_that!(node.send("/once/", "").await.status, eq(200));
     sleep(Duration::from_millis(2_400)).await;
     expect_that!(
-        node.ask("/once/", "").await.status,
+        node.send("/once/", "").await.status,
         eq(503),
         "the server did not register again"
     );
@@ -158,14 +158,14 @@
     sleep(FAST_PROPAGATION).await;
     let short = "x-tokens: 2000\r\n";
     expect_that!(
-        node.ask("/stream/", short).await.status,
+        node.send("/stream/", short).await.status,
         eq(503),
         "the server is processing the long prompt"
     );
     register_instance(&service, &backend, 4);
     sleep(FAST_PROPAGATION).await;
     expect_that!(
-        node.ask("/stream/", short).await.status,
+        node.send("/stream/", short).await.status,
         eq(503),
         "an earlier instance is ignored"
     );
@@ -191,14 +191,14 @@
     sleep(PROPAGATION).await;
     let before = first.state.heads().len();
     for _ in 0..6 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     expect_that!(first.state.heads().len(), eq(before));
     register(&service, 0, &first, "ready");
     service.set("servers/plain-1", None);
     sleep(PROPAGATION).await;
     expect_that!(
-        node.ask("/once/", "").await.status,
+        node.send("/once/", "").await.status,
         eq(200),
         "the server registered again"
     );
--- a/crates/gateway/tests/gateway/convictions.rs
+++ b/crates/gateway/tests/gateway/convictions.rs
@@ -18,7 +18,7 @@
 async fn convictions_survive_a_restart_of_all_gateways_and_can_be_lifted() {
     let mut fleet = Fleet::spawn(RestartName::New, 2, Behavior::Stream).await;
     for round in 0..3 {
-        fleet.ask(round, "/resumable/", CRASH_BODY).await;
+        fleet.send(round, "/resumable/", CRASH_BODY).await;
         sleep(RETRY_PAUSE).await;
     }
     fleet.nodes.clear();
@@ -26,7 +26,7 @@
     fleet.nodes[0].wait_ready().await;
     sleep(RETRY_PAUSE).await;
     let before = crash_count(&fleet.servers);
-    let refused = fleet.ask(0, "/resumable/", CRASH_BODY).await;
+    let refused = fleet.send(0, "/resumable/", CRASH_BODY).await;
     expect_that!(refused.body, contains_substring("quarantined"));
     expect_that!(
         crash_count(&fleet.servers),
@@ -36,7 +36,7 @@
     expect_that!(keys, len(eq(1)));
     fleet.service.set(&keys[0], None);
     sleep(2 * RETRY_PAUSE).await;
-    fleet.ask(0, "/resumable/", CRASH_BODY).await;
+    fleet.send(0, "/resumable/", CRASH_BODY).await;
     expect_that!(crash_count(&fleet.servers), gt(before));
 }
 
@@ -48,7 +48,7 @@
         node.kv.set_failing(true);
     }
     for round in 0..6 {
-        fleet.ask(round, "/resumable/", CRASH_BODY).await;
+        fleet.send(round, "/resumable/", CRASH_BODY).await;
         sleep(RETRY_PAUSE).await;
     }
     expect_that!(crash_count(&fleet.servers), le(MAX_CRASHES));
@@ -64,7 +64,7 @@
     let mut fleet = Fleet::spawn(RestartName::Same, 3, Behavior::Stream).await;
     fleet.service.back_up();
     for round in 0..3 {
-        fleet.ask(round, "/resumable/", CRASH_BODY).await;
+        fleet.send(round, "/resumable/", CRASH_BODY).await;
         sleep(RETRY_PAUSE).await;
     }
     let before = fleet.service.keys(CONVICTIONS);
@@ -77,7 +77,7 @@
     fleet.nodes.push(Node::spawn(&fleet.service, "g7").await);
     fleet.nodes[0].wait_ready().await;
     sleep(RETRY_PAUSE).await;
-    let refused = fleet.ask(0, "/resumable/", CRASH_BODY).await;
+    let refused = fleet.send(0, "/resumable/", CRASH_BODY).await;
     expect_that!(refused.body, contains_substring("quarantined"));
     expect_that!(crash_count(&fleet.servers), eq(crashes_before));
 }
--- a/crates/gateway/tests/gateway/crash_fleet.rs
+++ b/crates/gateway/tests/gateway/crash_fleet.rs
@@ -55,7 +55,7 @@
     }
 
     /// Sends a request to the gateway with this index, modulo the number of gateways.
-    pub(crate) async fn ask(&self, node: usize, path: &str, body: &str) -> Response {
+    pub(crate) async fn send(&self, node: usize, path: &str, body: &str) -> Response {
         let request = caller::request_with_body(path, PROMPT, body);
         caller::send(self.nodes[node % self.nodes.len()].callers, &request).await
     }
--- a/crates/gateway/tests/gateway/crashes.rs
+++ b/crates/gateway/tests/gateway/crashes.rs
@@ -34,24 +34,28 @@
 #[gtest]
 #[tokio::test]
 async fn a_retried_request_crashes_at_most_three_servers() {
-    let kinds = KINDS
-        .map(|(path, way)| [RestartName::New, RestartName::Same].map(|name| (path, way, name)));
-    let cases = kinds.as_flattened().iter().map(async |&(path, way, name)| {
-        let fleet = Fleet::spawn(name, 3, way).await;
-        for round in 0..8 {
-            fleet.ask(round, path, CRASH_BODY).await;
-            sleep(RETRY_PAUSE).await;
-        }
-        expect_that!(
-            crash_count(&fleet.servers),
-            le(MAX_CRASHES),
-            "{path} {name:?}"
-        );
-        let last = fleet.ask(0, path, CRASH_BODY).await;
-        expect_that!(last.status, eq(502), "{path} {name:?}");
-        expect_that!(last.head, not(contains_substring("retry-after")));
-        expect_that!(fleet.ask(1, path, "good").await.status, eq(200));
+    let kinds = KINDS.map(|(path, behavior)| {
+        [RestartName::New, RestartName::Same].map(|name| (path, behavior, name))
     });
+    let cases = kinds
+        .as_flattened()
+        .iter()
+        .map(async |&(path, behavior, name)| {
+            let fleet = Fleet::spawn(name, 3, behavior).await;
+            for round in 0..8 {
+                fleet.send(round, path, CRASH_BODY).await;
+                sleep(RETRY_PAUSE).await;
+            }
+            expect_that!(
+                crash_count(&fleet.servers),
+                le(MAX_CRASHES),
+                "{path} {name:?}"
+            );
+            let last = fleet.send(0, path, CRASH_BODY).await;
+            expect_that!(last.status, eq(502), "{path} {name:?}");
+            expect_that!(last.head, not(contains_substring("retry-after")));
+            expect_that!(fleet.send(1, path, "good").await.status, eq(200));
+        });
     join_all(cases).await;
 }
 
@@ -61,7 +65,7 @@
     let cases = [2, 3].map(async |nodes| {
         let fleet = Fleet::spawn(RestartName::New, nodes, Behavior::Stream).await;
         for _ in 0..4 {
-            join_all((0..nodes).map(|node| fleet.ask(node, "/resumable/", CRASH_BODY))).await;
+            join_all((0..nodes).map(|node| fleet.send(node, "/resumable/", CRASH_BODY))).await;
             sleep(RETRY_PAUSE).await;
         }
         expect_that!(
@@ -78,12 +82,12 @@
 async fn one_copy_of_a_suspect_runs_at_a_time_until_one_succeeds() {
     let fleet = Fleet::spawn(RestartName::New, 3, Behavior::SlowStream).await;
     let body = crash_times_body(1, "a");
-    let first = fleet.ask(0, "/resumable/", &body);
+    let first = fleet.send(0, "/resumable/", &body);
     let copies = async {
         sleep(Duration::from_millis(300)).await;
         [
-            fleet.ask(1, "/resumable/", &body).await,
-            fleet.ask(2, "/resumable/", &body).await,
+            fleet.send(1, "/resumable/", &body).await,
+            fleet.send(2, "/resumable/", &body).await,
         ]
     };
     let (first, copies) = tokio::join!(first, copies);
@@ -93,7 +97,7 @@
         expect_that!(copy.body, contains_substring("quarantined"));
     }
     sleep(RETRY_PAUSE).await;
-    let copies = (0..3).map(|node| fleet.ask(node, "/resumable/", &body));
+    let copies = (0..3).map(|node| fleet.send(node, "/resumable/", &body));
     for copy in join_all(copies).await {
         expect_that!((copy.status, copy.is_complete), eq((200, true)));
     }
@@ -106,17 +110,17 @@
     let fleet = Fleet::spawn(RestartName::New, 1, Behavior::SlowStream).await;
     let bodies = ["a", "b"].map(|name| crash_times_body(2, name));
     for body in &bodies {
-        fleet.ask(0, "/resumable/", body).await;
+        fleet.send(0, "/resumable/", body).await;
     }
     sleep(3 * RETRY_PAUSE).await;
     // Without isolation, both would be sent to the server that has cached their shared part.
-    let fields = format!("{PROMPT}x-shared: 7\r\n");
+    let header_lines = format!("{PROMPT}x-shared: 7\r\n");
     let calls = bodies.each_ref().map(async |body| {
-        let request = caller::request_with_body("/resumable/", &fields, body);
+        let request = caller::request_with_body("/resumable/", &header_lines, body);
         caller::send(fleet.nodes[0].callers, &request).await
     });
-    for reply in join_all(calls).await {
-        expect_that!(reply.is_complete, eq(true));
+    for response in join_all(calls).await {
+        expect_that!(response.is_complete, eq(true));
     }
     let has_shared_part = |head: &String| head.contains("x-shared");
     let servers = fleet.servers.iter();
@@ -131,16 +135,16 @@
     for round in 0..4 {
         let others = (0..24).map(async |index| {
             let body = format!("{round}-{index}");
-            (body.clone(), fleet.ask(index, "/resumable/", &body).await)
+            (body.clone(), fleet.send(index, "/resumable/", &body).await)
         });
         let bad = async {
             sleep(Duration::from_millis(200)).await;
-            fleet.ask(round, "/resumable/", CRASH_BODY).await
+            fleet.send(round, "/resumable/", CRASH_BODY).await
         };
         let (others, _) = tokio::join!(join_all(others), bad);
         sleep(RETRY_PAUSE).await;
         for (body, first) in others.into_iter().filter(|(_, first)| !first.is_complete) {
-            let again = fleet.ask(round + 1, "/resumable/", &body).await;
+            let again = fleet.send(round + 1, "/resumable/", &body).await;
             expect_that!(again.status, eq(200), "{body} after {}", first.status);
         }
     }
@@ -154,7 +158,7 @@
     for _ in 0..3 {
         let running = (0..24).map(async |index: usize| {
             let body = index.to_string();
-            fleet.ask(index, "/resumable/", &body).await
+            fleet.send(index, "/resumable/", &body).await
         });
         let kill = async {
             sleep(Duration::from_millis(200)).await;
@@ -164,7 +168,7 @@
         sleep(3 * RETRY_PAUSE).await;
     }
     for index in 0..24 {
-        let again = fleet.ask(index, "/resumable/", &index.to_string()).await;
+        let again = fleet.send(index, "/resumable/", &index.to_string()).await;
         expect_that!(again.status, eq(200), "{index}");
     }
 }
@@ -174,7 +178,7 @@
 async fn failures_without_a_crash_are_no_evidence() {
     let fleet = Fleet::spawn(RestartName::New, 2, Behavior::Close).await;
     for round in 0..12 {
-        fleet.ask(round, "/once/", "good").await;
+        fleet.send(round, "/once/", "good").await;
     }
     let heads = fleet
         .servers
@@ -207,7 +211,7 @@
         fleet.service.set("evacuate/a", None);
         sleep(RETRY_PAUSE).await;
     }
-    let last = fleet.ask(0, "/once/", "any").await;
+    let last = fleet.send(0, "/once/", "any").await;
     expect_that!(last.body, contains_substring("quarantined"));
 }
 
@@ -215,7 +219,7 @@
 #[tokio::test]
 async fn a_panic_in_the_gateway_closes_only_the_connection_of_the_request() {
     let fleet = Fleet::spawn(RestartName::New, 1, Behavior::SlowStream).await;
-    let running = fleet.ask(0, "/resumable/", "good");
+    let running = fleet.send(0, "/resumable/", "good");
     let failing = async {
         sleep(Duration::from_millis(100)).await;
         let request = caller::request_with_body("/resumable/", PANIC_HEADER, "good");
@@ -226,5 +230,5 @@
     expect_that!(running.is_complete, eq(true));
     // Reporting the panic can delay the gateway for seconds.
     fleet.nodes[0].wait_ready().await;
-    expect_that!(fleet.ask(0, "/resumable/", "good").await.status, eq(200));
+    expect_that!(fleet.send(0, "/resumable/", "good").await.status, eq(200));
 }
--- a/crates/gateway/tests/gateway/crashing_server.rs
+++ b/crates/gateway/tests/gateway/crashing_server.rs
@@ -74,12 +74,12 @@
         service: &Arc<Service>,
         index: usize,
         name: RestartName,
-        way: Behavior,
+        behavior: Behavior,
         crash_counts: &CrashCounts,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = Self {
-            state: Arc::new(State::new(way)),
+            state: Arc::new(State::new(behavior)),
             crashes: Arc::default(),
             crash_token: Arc::default(),
         };
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -43,7 +43,7 @@
     sleep(PROPAGATION).await;
     let before = in_a.state.heads().len();
     for _ in 0..6 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     expect_that!(in_a.state.heads().len(), eq(before));
     // A server that registers during the evacuation gets no requests either.
@@ -60,7 +60,7 @@
     }
     sleep(PROPAGATION).await;
     expect_that!(
-        node.ask("/once/", "").await.status,
+        node.send("/once/", "").await.status,
         eq(503),
         "the servers of the other zone are removed"
     );
@@ -68,7 +68,7 @@
     sleep(PROPAGATION).await;
     let mut served = 0;
     for _ in 0..20 {
-        served += u32::from(node.ask("/once/", "").await.status == 200);
+        served += u32::from(node.send("/once/", "").await.status == 200);
     }
     expect_that!(
         served,
@@ -77,7 +77,7 @@
     );
     sleep(Duration::from_millis(COLD_MS)).await;
     for _ in 0..20 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     expect_that!(in_b.state.heads().len(), ge(6));
 }
@@ -91,7 +91,7 @@
     }
     sleep(PROPAGATION).await;
     for _ in 0..6 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
 }
 
@@ -104,10 +104,10 @@
     sleep(PROPAGATION).await;
     node.kv.set_failing(true);
     sleep(Duration::from_millis(1_500)).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(503));
+    expect_that!(node.send("/once/", "").await.status, eq(503));
     let started = Node::spawn(&service, "g1").await;
     started.wait_ready().await;
-    expect_that!(started.ask("/once/", "").await.status, eq(503));
+    expect_that!(started.send("/once/", "").await.status, eq(503));
     let heads = in_a.state.heads().len() + in_b.state.heads().len();
     expect_that!(heads, eq(0));
 }
@@ -124,14 +124,14 @@
     service.set("evacuate/b", Some("{}"));
     register(&service, 1, &in_b, "b");
     sleep(PROPAGATION).await;
-    let streaming = node.ask("/resumable/", "x-tokens: 10\r\n");
+    let streaming = node.send("/resumable/", "x-tokens: 10\r\n");
     let evacuation = async {
         sleep(Duration::from_millis(150)).await;
         service.set("evacuate/a", Some("{}"));
     };
-    let (reply, ()) = tokio::join!(streaming, evacuation);
+    let (response, ()) = tokio::join!(streaming, evacuation);
     expect_that!(
-        reply.body.contains("id: 4"),
+        response.body.contains("id: 4"),
         eq(false),
         "all zones are evacuated"
     );
--- a/crates/gateway/tests/gateway/exchange.rs
+++ b/crates/gateway/tests/gateway/exchange.rs
@@ -39,17 +39,17 @@
 
 /// Sends a long prompt through a node. It runs until the connection is dropped.
 async fn open_long_prompt(node: &Node) -> TcpStream {
-    let fields = format!("x-tokens: {LONG_PROMPT}\r\n");
-    caller::open(node.callers, &caller::request("/stream/", &fields)).await
+    let header_lines = format!("x-tokens: {LONG_PROMPT}\r\n");
+    caller::open(node.callers, &caller::request("/stream/", &header_lines)).await
 }
 
 /// Returns whether a node refuses a prompt because of the long one. Call it once per node: a prompt
 /// that the node has sent itself leads to a refusal as well.
 async fn refuses_prompt(node: &Node) -> bool {
     let request = caller::request("/stream/", "x-tokens: 2000\r\n");
-    let reply = caller::send(node.callers, &request);
-    let reply = timeout(Duration::from_millis(80), reply).await;
-    reply.is_ok_and(|reply| reply.status == 503)
+    let response = caller::send(node.callers, &request);
+    let response = timeout(Duration::from_millis(80), response).await;
+    response.is_ok_and(|response| response.status == 503)
 }
 
 #[gtest]
@@ -110,7 +110,7 @@
         sleep(Duration::from_millis(200)).await;
         let second = caller::send(node.callers, &request);
         let second = tokio::time::timeout(Duration::from_millis(300), second).await;
-        let refusal = second.ok().map(|reply| reply.status);
+        let refusal = second.ok().map(|response| response.status);
         expect_that!(refusal, eq(status), "{peers} peers");
     }
 }
--- a/crates/gateway/tests/gateway/fleet.rs
+++ b/crates/gateway/tests/gateway/fleet.rs
@@ -88,8 +88,8 @@
     }
 
     /// Sends a request.
-    pub(crate) async fn ask(&self, path: &str, fields: &str) -> Response {
-        caller::send(self.callers, &caller::request(path, fields)).await
+    pub(crate) async fn send(&self, path: &str, header_lines: &str) -> Response {
+        caller::send(self.callers, &caller::request(path, header_lines)).await
     }
 
     /// Status of the readiness check.
--- a/crates/gateway/tests/gateway/handoff.rs
+++ b/crates/gateway/tests/gateway/handoff.rs
@@ -69,20 +69,20 @@
 async fn a_larger_node_serves_complete_responses_until_the_node_has_recovered() {
     let zone = Zone::new(Behavior::Stream).await;
     expect_that!(
-        zone.small.ask("/stream/", "x-tokens: 10\r\n").await.status,
+        zone.small.send("/stream/", "x-tokens: 10\r\n").await.status,
         eq(200)
     );
     expect_that!(zone.large_node_requests(), eq(0));
     delay_runtime().await;
     for _ in 0..3 {
-        let reply = zone.small.ask("/stream/", "x-tokens: 10\r\n").await;
-        expect_that!(reply.status, eq(200));
-        expect_that!(reply.body.contains("id: 4"), eq(true));
+        let response = zone.small.send("/stream/", "x-tokens: 10\r\n").await;
+        expect_that!(response.status, eq(200));
+        expect_that!(response.body.contains("id: 4"), eq(true));
     }
     expect_that!(zone.large_node_requests(), eq(3));
     sleep(Duration::from_millis(3_600)).await;
     expect_that!(
-        zone.small.ask("/stream/", "x-tokens: 10\r\n").await.status,
+        zone.small.send("/stream/", "x-tokens: 10\r\n").await.status,
         eq(200)
     );
     expect_that!(zone.large_node_requests(), eq(3), "it has recovered");
@@ -96,8 +96,8 @@
     gateway.stop().await;
     delay_runtime().await;
     let before = zone.backend.state.heads().len();
-    let reply = zone.small.ask("/once/", "").await;
-    expect_that!(reply.status, eq(200), "{}", reply.body);
+    let response = zone.small.send("/once/", "").await;
+    expect_that!(response.status, eq(200), "{}", response.body);
     expect_that!(zone.backend.state.heads().len(), eq(before + 1));
 }
 
@@ -142,13 +142,13 @@
 async fn no_connections_are_handed_off_to_a_node_that_shuts_down() {
     let mut zone = Zone::new(Behavior::Answer).await;
     delay_runtime().await;
-    expect_that!(zone.small.ask("/once/", "").await.status, eq(200));
+    expect_that!(zone.small.send("/once/", "").await.status, eq(200));
     expect_that!(zone.large_node_requests(), eq(1));
     let gateway = zone.large.gateway.take().expect("gateway is running");
     let shutdown = tokio::spawn(gateway.stop());
     sleep(Duration::from_millis(100)).await;
     for _ in 0..3 {
-        expect_that!(zone.small.ask("/once/", "").await.status, eq(200));
+        expect_that!(zone.small.send("/once/", "").await.status, eq(200));
     }
     expect_that!(zone.large_node_requests(), eq(1));
     shutdown.await.expect("shutdown does not panic");
@@ -202,7 +202,7 @@
     zone.service.set("config", Some("7 other"));
     sleep(PROPAGATION).await;
     for _ in 0..3 {
-        expect_that!(zone.small.ask("/keyed/", KEY).await.status, eq(401));
+        expect_that!(zone.small.send("/keyed/", KEY).await.status, eq(401));
     }
     expect_that!(zone.large_node_requests(), eq(0));
 }
@@ -219,7 +219,7 @@
     zone.small.kv.set_hanging(true);
     zone.service.set("config", Some("7 other"));
     sleep(PROPAGATION).await;
-    let status = zone.small.ask("/keyed/", KEY).await.status;
+    let status = zone.small.send("/keyed/", KEY).await.status;
     expect_that!(status, eq(401), "the large node has the new configuration");
     let request = caller::request("/keyed/", KEY);
     keep_alive
@@ -265,8 +265,8 @@
     sleep(PROPAGATION).await;
     delay_runtime().await;
     for _ in 0..3 {
-        let reply = zone.small.ask("/once/", "").await;
-        expect_that!(reply.status, eq(200), "{}", reply.body);
+        let response = zone.small.send("/once/", "").await;
+        expect_that!(response.status, eq(200), "{}", response.body);
     }
     expect_that!(zone.backend.state.heads().len(), eq(3));
 }
--- a/crates/gateway/tests/gateway/lagging.rs
+++ b/crates/gateway/tests/gateway/lagging.rs
@@ -69,7 +69,7 @@
     let until = Instant::now() + DURATION;
     let mut status = 200;
     while Instant::now() < until && status == 200 {
-        status = node.ask("/once/", "").await.status;
+        status = node.send("/once/", "").await.status;
     }
     expect_that!(status, eq(200));
 }
--- a/crates/gateway/tests/gateway/leaving.rs
+++ b/crates/gateway/tests/gateway/leaving.rs
@@ -44,7 +44,7 @@
     let deadline = Instant::now() + RELAY_TIME;
     while request_count(server) == before {
         assert!(Instant::now() < deadline, "the server gets a request");
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
 }
 
@@ -52,7 +52,7 @@
 async fn sends_to(node: &Node, server: &Backend) -> bool {
     let before = request_count(server);
     for _ in 0..6 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     request_count(server) > before
 }
@@ -97,12 +97,12 @@
     let (service, [first, second]) = start_two_gateways(&[&one, &other]).await;
     announce_leaving(&one, &first).await;
     announce_leaving(&other, &first).await;
-    expect_that!(first.ask("/once/", "").await.status, eq(503));
+    expect_that!(first.send("/once/", "").await.status, eq(503));
     for server in [&one, &other] {
         server.state.set_behavior(Behavior::Answer, "");
     }
     sleep(RELAY_TIME).await;
-    expect_that!(second.ask("/once/", "").await.status, eq(200));
+    expect_that!(second.send("/once/", "").await.status, eq(200));
     let value = format!("plain {} ready 7", other.address);
     service.set("servers/plain-1", Some(&value));
     sleep(RELAY_TIME).await;
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -2,6 +2,7 @@
 
 mod admission;
 mod backend;
+mod cache_report;
 mod caller;
 mod cold;
 mod configuration;
@@ -14,7 +15,6 @@
 mod feed;
 mod fleet;
 mod handoff;
-mod kept;
 mod lagging;
 mod leaving;
 mod notices;
--- a/crates/gateway/tests/gateway/notices.rs
+++ b/crates/gateway/tests/gateway/notices.rs
@@ -47,10 +47,10 @@
     node.kv.set_hanging(true);
     leaving.state.set_behavior(Behavior::Answer, LEAVING_HEADER);
     while request_count(&leaving) == 0 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     for _ in 0..10 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     expect_that!(request_count(&leaving), eq(1));
 }
@@ -65,7 +65,7 @@
 async fn gets_requests(node: &Node, backend: &Backend) -> bool {
     let before = request_count(backend);
     for _ in 0..6 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     request_count(backend) > before
 }
@@ -148,7 +148,7 @@
         );
         let before = request_count(&leaving);
         for _ in 0..4 {
-            expect_that!(node.ask(path, "x-tokens: 10\r\n").await.status, eq(200));
+            expect_that!(node.send(path, "x-tokens: 10\r\n").await.status, eq(200));
         }
         expect_that!(request_count(&leaving), eq(before), "{behavior:?}");
     }
@@ -167,13 +167,21 @@
             server.state.set_behavior(behavior, LEAVING_HEADER);
         }
         for _ in 0..4 {
-            expect_that!(node.ask("/once/", "").await.status, eq(502), "{behavior:?}");
+            expect_that!(
+                node.send("/once/", "").await.status,
+                eq(502),
+                "{behavior:?}"
+            );
         }
         for server in [&first, &second] {
             server.state.set_behavior(Behavior::Answer, "");
         }
         sleep(PROPAGATION).await;
-        expect_that!(node.ask("/once/", "").await.status, eq(200), "{behavior:?}");
+        expect_that!(
+            node.send("/once/", "").await.status,
+            eq(200),
+            "{behavior:?}"
+        );
     }
 }
 
@@ -188,12 +196,12 @@
     for server in [&first, &second] {
         server.state.set_behavior(Behavior::Answer, LEAVING_HEADER);
     }
-    let statuses = [node.ask("/once/", "").await, node.ask("/once/", "").await];
-    expect_that!(statuses.map(|reply| reply.status), eq([200, 200]));
+    let statuses = [node.send("/once/", "").await, node.send("/once/", "").await];
+    expect_that!(statuses.map(|response| response.status), eq([200, 200]));
     let started_at = Instant::now();
-    let reply = node.ask("/once/", "").await;
-    expect_that!(reply.status, eq(503));
-    expect_that!(reply.head, contains_substring("retry-after"));
+    let response = node.send("/once/", "").await;
+    expect_that!(response.status, eq(503));
+    expect_that!(response.head, contains_substring("retry-after"));
     expect_that!(started_at.elapsed(), lt(IMMEDIATE));
     expect_that!((request_count(&first), request_count(&second)), eq((1, 1)));
 }
@@ -213,7 +221,7 @@
         .into_iter()
         .any(|server| request_count(server) == 0)
     {
-        expect_that!(node.ask("/once/", "").await.status, eq(503));
+        expect_that!(node.send("/once/", "").await.status, eq(503));
     }
     let all_pushed_back = Instant::now();
     sleep(IN_FLIGHT).await;
@@ -221,7 +229,7 @@
     // Counts from the first pushback, the earliest one to end.
     let end = started_at + PUSHBACK;
     while Instant::now() < end {
-        expect_that!(node.ask("/once/", "").await.status, eq(503));
+        expect_that!(node.send("/once/", "").await.status, eq(503));
         sleep(Duration::from_millis(50)).await;
     }
     expect_that!(all_pushed_back.duration_since(started_at), lt(IN_FLIGHT));
@@ -245,11 +253,11 @@
     // The first request is sent to both servers.
     for _ in 0..3 {
         let started_at = Instant::now();
-        let reply = node.ask("/once/", "").await;
+        let response = node.send("/once/", "").await;
         expect_that!(started_at.elapsed(), lt(IMMEDIATE));
-        expect_that!(reply.status, eq(503));
-        expect_that!(reply.body, contains_substring("resting"));
-        let after = field(&reply.head, "retry-after").expect("a retry time");
+        expect_that!(response.status, eq(503));
+        expect_that!(response.body, contains_substring("resting"));
+        let after = field(&response.head, "retry-after").expect("a retry time");
         let after: f64 = after.parse().expect("seconds");
         expect_that!(after, all!(gt(1.8), le(4.5)));
     }
@@ -264,7 +272,7 @@
     server
         .state
         .set_behavior(Behavior::Reject, "x-rest-ms: 300\r\n");
-    expect_that!(node.ask("/once/", "").await.status, eq(503));
+    expect_that!(node.send("/once/", "").await.status, eq(503));
     server.state.set_behavior(Behavior::Hang, "");
     sleep(Duration::from_millis(350)).await;
     let mut waiting = Vec::new();
@@ -281,7 +289,7 @@
     server.state.set_behavior(Behavior::Answer, "");
     sleep(Duration::from_millis(500)).await;
     for _ in 0..10 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
 }
 
@@ -299,7 +307,7 @@
         .state
         .set_behavior(Behavior::Reject, "x-rest-ms: 60000\r\n");
     while request_count(&pushing_back) == 0 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
     pushing_back.state.set_behavior(Behavior::Answer, "");
     // The penalty of the failure has decayed.
--- a/crates/gateway/tests/gateway/overload.rs
+++ b/crates/gateway/tests/gateway/overload.rs
@@ -17,7 +17,7 @@
 async fn an_overloaded_node_refuses_connections_until_it_has_recovered() {
     let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(200));
+    expect_that!(node.send("/once/", "").await.status, eq(200));
     for _ in 0..5 {
         std::thread::sleep(BLOCKED);
         sleep(Duration::from_millis(60)).await;
@@ -26,7 +26,7 @@
     expect_that!(node.ready().await, eq(503));
     sleep(Duration::from_millis(1_200)).await;
     expect_that!(
-        node.ask("/once/", "").await.status,
+        node.send("/once/", "").await.status,
         eq(200),
         "it has recovered"
     );
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -31,7 +31,7 @@
 
 /// Waits until a node accepts a key, or the timeout has elapsed.
 async fn wait_accepted(node: &Node, key: &str, since: Instant) {
-    while node.ask("/keyed/", key).await.status != 200 && since.elapsed() < CHANGE_TIMEOUT {
+    while node.send("/keyed/", key).await.status != 200 && since.elapsed() < CHANGE_TIMEOUT {
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -68,7 +68,7 @@
     two.kv.set_failing(true);
     sleep(Duration::from_millis(KEYS_FRESH_MS + 500)).await;
     expect_that!(
-        two.ask("/keyed/", KEY).await.status,
+        two.send("/keyed/", KEY).await.status,
         eq(200),
         "its configuration is fresh"
     );
@@ -79,12 +79,12 @@
     );
     service.set("config", Some("8 other"));
     sleep(Duration::from_millis(1_500)).await;
-    expect_that!(two.ask("/keyed/", KEY).await.status, eq(401));
+    expect_that!(two.send("/keyed/", KEY).await.status, eq(401));
     one.kv.set_failing(true);
     sleep(Duration::from_millis(KEYS_FRESH_MS + 500)).await;
     let other = "Authorization: Bearer other\r\n";
     expect_that!(
-        two.ask("/keyed/", other).await.status,
+        two.send("/keyed/", other).await.status,
         eq(503),
         "neither has a fresh configuration"
     );
@@ -200,7 +200,7 @@
     for _ in 0..2 {
         register(&service, 0, &backend, "ready");
         let deadline = Instant::now() + CHANGE_TIMEOUT;
-        while last[0].ask("/idempotent/", "").await.status != 200 && Instant::now() < deadline {
+        while last[0].send("/idempotent/", "").await.status != 200 && Instant::now() < deadline {
             sleep(Duration::from_millis(20)).await;
         }
         sleep(Duration::from_secs(2)).await;
@@ -208,6 +208,6 @@
             service.set(&format!("servers/{pool}-0"), None);
         }
         sleep(REMOVAL).await;
-        expect_that!(last[0].ask("/idempotent/", "").await.status, eq(503));
+        expect_that!(last[0].send("/idempotent/", "").await.status, eq(503));
     }
 }
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -197,9 +197,9 @@
     }
 }
 
-fn parse_error(what: &str) -> ParseError {
+fn parse_error(subject: &str) -> ParseError {
     ParseError {
-        subject: what.to_owned(),
+        subject: subject.to_owned(),
         reason: "words are missing".to_owned(),
     }
 }
--- a/crates/gateway/tests/gateway/responses.rs
+++ b/crates/gateway/tests/gateway/responses.rs
@@ -27,13 +27,13 @@
         (Behavior::Close, "/idempotent/", 502),
         (Behavior::Answer, "/idempotent/", 200),
     ];
-    for (way, path, status) in table {
-        let backend = Backend::spawn(way).await;
+    for (behavior, path, status) in table {
+        let backend = Backend::spawn(behavior).await;
         let (_service, node) = ready(&[&backend]).await;
-        let response = node.ask(path, "").await;
-        expect_that!(response.status, eq(status), "{way:?} {path}");
-        expect_that!(response.is_complete, eq(true), "{way:?} {path}");
-        expect_that!(backend.state.heads().len(), eq(1), "{way:?} {path}");
+        let response = node.send(path, "").await;
+        expect_that!(response.status, eq(status), "{behavior:?} {path}");
+        expect_that!(response.is_complete, eq(true), "{behavior:?} {path}");
+        expect_that!(backend.state.heads().len(), eq(1), "{behavior:?} {path}");
     }
 }
 
@@ -42,7 +42,7 @@
 async fn rejected_request_gets_a_retry_after_header() {
     let backend = Backend::spawn(Behavior::Reject).await;
     let (_service, node) = ready(&[&backend]).await;
-    let response = node.ask("/once/", "").await;
+    let response = node.send("/once/", "").await;
     expect_that!(response.head, contains_substring("retry-after: 0."));
 }
 
@@ -52,7 +52,7 @@
     let backend = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&backend]).await;
     let header_lines = "Authorization: Bearer secret\r\nx-customer: forged\r\nx-own: kept\r\nx-patience-ms: 900\r\n";
-    let response = node.ask("/keyed/a/b?c=%20d", header_lines).await;
+    let response = node.send("/keyed/a/b?c=%20d", header_lines).await;
     expect_that!(response.status, eq(200));
     let heads = backend.state.heads();
     let head = &heads[0];
@@ -124,7 +124,7 @@
     let backend = Backend::spawn(Behavior::Hang).await;
     let (_service, node) = ready(&[&backend]).await;
     let start = Instant::now();
-    let response = node.ask("/once/", "").await;
+    let response = node.send("/once/", "").await;
     let elapsed = start.elapsed();
     expect_that!(response.status, eq(504));
     expect_that!(elapsed, ge(Duration::from_millis(TIMEOUT_MS - 50)));
@@ -173,7 +173,7 @@
     let backend = Backend::spawn(Behavior::Large).await;
     let (_service, node) = ready(&[&backend]).await;
     for path in ["/once/", "/idempotent/"] {
-        let response = node.ask(path, "").await;
+        let response = node.send(path, "").await;
         expect_that!(
             (response.status, response.is_complete),
             eq((200, true)),
--- a/crates/gateway/tests/gateway/restore.rs
+++ b/crates/gateway/tests/gateway/restore.rs
@@ -44,14 +44,14 @@
         service.back_up();
         service.set("config", Some("7 other"));
         sleep(PROPAGATION).await;
-        expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
+        expect_that!(node.send("/keyed/", KEY).await.status, eq(401));
         restore(&service, reuses_revisions);
         sleep(PROPAGATION).await;
-        expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
+        expect_that!(node.send("/keyed/", KEY).await.status, eq(401));
         service.set("config", Some("8 secret"));
         sleep(PROPAGATION).await;
         expect_that!(
-            node.ask("/keyed/", KEY).await.status,
+            node.send("/keyed/", KEY).await.status,
             eq(200),
             "a newer version restores the key"
         );
@@ -74,7 +74,7 @@
     advance_to(&service, revision);
     node.kv.set_failing(false);
     sleep(Duration::from_millis(1_600)).await;
-    expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
+    expect_that!(node.send("/keyed/", KEY).await.status, eq(401));
 }
 
 #[gtest]
@@ -87,11 +87,11 @@
     sleep(PROPAGATION).await;
     restore(&service, true);
     sleep(PROPAGATION).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(200));
+    expect_that!(node.send("/once/", "").await.status, eq(200));
     register(&service, 0, &backend, "ready");
     sleep(REMOVAL).await;
     expect_that!(
-        node.ask("/once/", "").await.status,
+        node.send("/once/", "").await.status,
         eq(200),
         "the server registered again"
     );
@@ -102,7 +102,7 @@
     restore(&service, false);
     sleep(REMOVAL).await;
     expect_that!(
-        node.ask("/once/", "").await.status,
+        node.send("/once/", "").await.status,
         eq(503),
         "no server registered again"
     );
@@ -122,14 +122,14 @@
                 register(&service, 0, &backend, state);
             }
             sleep(PROPAGATION).await;
-            expect_that!(node.ask("/once/", "").await.status, eq(503), "{state}");
+            expect_that!(node.send("/once/", "").await.status, eq(503), "{state}");
             restore(&service, reuses_revisions);
             sleep(PROPAGATION).await;
-            expect_that!(node.ask("/once/", "").await.status, eq(503), "{state}");
+            expect_that!(node.send("/once/", "").await.status, eq(503), "{state}");
             service.compact();
             sleep(PROPAGATION).await;
             expect_that!(
-                node.ask("/once/", "").await.status,
+                node.send("/once/", "").await.status,
                 eq(503),
                 "{state}, listed again"
             );
@@ -137,7 +137,7 @@
             service.set("servers/plain-0", Some(&value));
             sleep(PROPAGATION).await;
             expect_that!(
-                node.ask("/once/", "").await.status,
+                node.send("/once/", "").await.status,
                 eq(200),
                 "{state}, another instance"
             );
@@ -155,12 +155,12 @@
     sleep(PROPAGATION).await;
     restore(&service, true);
     sleep(PROPAGATION).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(503));
+    expect_that!(node.send("/once/", "").await.status, eq(503));
     service.set("evacuate/a", Some("{}"));
     sleep(PROPAGATION).await;
     service.set("evacuate/a", None);
     sleep(Duration::from_millis(3_500)).await;
-    expect_that!(node.ask("/once/", "").await.status, eq(200));
+    expect_that!(node.send("/once/", "").await.status, eq(200));
 }
 
 #[gtest]
@@ -206,8 +206,8 @@
         service.set("config", Some(&format!("{version} key-{version}")));
         sleep(PROPAGATION + PROPAGATION).await;
         for node in &nodes {
-            let fields = format!("Authorization: Bearer key-{version}\r\n");
-            let status = node.ask("/keyed/", &fields).await.status;
+            let header_lines = format!("Authorization: Bearer key-{version}\r\n");
+            let status = node.send("/keyed/", &header_lines).await.status;
             expect_that!(status, eq(503), "the key is valid and there is no server");
         }
     }
--- a/crates/gateway/tests/gateway/retries.rs
+++ b/crates/gateway/tests/gateway/retries.rs
@@ -29,13 +29,17 @@
         (Behavior::Truncate, "/idempotent/", 502, 2),
         (Behavior::Fail, "/idempotent/", 500, 2),
     ];
-    for (way, path, status, attempts) in table {
-        let [a, b, c] = [way; 3].map(Backend::spawn);
+    for (behavior, path, status, attempts) in table {
+        let [a, b, c] = [behavior; 3].map(Backend::spawn);
         let (a, b, c) = (a.await, b.await, c.await);
         let (_service, node) = ready(&[&a, &b, &c]).await;
-        let response = node.ask(path, "").await;
-        expect_that!(response.status, eq(status), "{way:?} {path}");
-        expect_that!(request_count(&[&a, &b, &c]), eq(attempts), "{way:?} {path}");
+        let response = node.send(path, "").await;
+        expect_that!(response.status, eq(status), "{behavior:?} {path}");
+        expect_that!(
+            request_count(&[&a, &b, &c]),
+            eq(attempts),
+            "{behavior:?} {path}"
+        );
     }
 }
 
@@ -43,15 +47,15 @@
 #[tokio::test]
 async fn request_that_has_not_run_is_sent_to_another_server() {
     for path in ["/once/", "/idempotent/"] {
-        for way in [Behavior::Reject, Behavior::WrongServer] {
+        for behavior in [Behavior::Reject, Behavior::WrongServer] {
             let (bad, good) = (
-                Backend::spawn(way).await,
+                Backend::spawn(behavior).await,
                 Backend::spawn(Behavior::Answer).await,
             );
             let (_service, node) = ready(&[&bad, &good]).await;
             for _ in 0..4 {
-                let response = node.ask(path, "").await;
-                expect_that!(response.status, eq(200), "{way:?} {path}");
+                let response = node.send(path, "").await;
+                expect_that!(response.status, eq(200), "{behavior:?} {path}");
             }
         }
     }
@@ -67,7 +71,7 @@
     let good = Backend::spawn(Behavior::Answer).await;
     let (_service, node) = ready(&[&unreachable, &good]).await;
     for _ in 0..4 {
-        expect_that!(node.ask("/once/", "").await.status, eq(200));
+        expect_that!(node.send("/once/", "").await.status, eq(200));
     }
 }
 
@@ -81,7 +85,7 @@
     let (_service, node) = ready(&[&hanging, &good]).await;
     for _ in 0..3 {
         let start = Instant::now();
-        expect_that!(node.ask("/idempotent/", "").await.status, eq(200));
+        expect_that!(node.send("/idempotent/", "").await.status, eq(200));
         expect_that!(
             start.elapsed(),
             lt(Duration::from_millis(OBJECTIVE_MS + 100))
@@ -99,8 +103,8 @@
     let (_service, node) = ready(&[&bad, &other]).await;
     let requests = 100;
     for _ in 0..requests {
-        node.ask("/stream/", "x-tokens: 10\r\n").await;
-        node.ask("/idempotent/", "").await;
+        node.send("/stream/", "x-tokens: 10\r\n").await;
+        node.send("/idempotent/", "").await;
     }
     let retries = request_count(&[&bad, &other]) - 2 * requests;
     // A gateway uses four fifths of the ratio of 1 and half of the slack of 20.
--- a/crates/gateway/tests/gateway/shutdown.rs
+++ b/crates/gateway/tests/gateway/shutdown.rs
@@ -18,13 +18,13 @@
     let shutdown = tokio::spawn(gateway.stop());
     sleep(Duration::from_millis(100)).await;
     expect_that!(node.ready().await, eq(503));
-    let reply = node.ask("/stream/", "x-tokens: 100\r\n").await;
-    expect_that!((reply.status, reply.is_complete), eq((200, true)));
-    expect_that!(reply.head, contains_substring("connection: close"));
+    let response = node.send("/stream/", "x-tokens: 100\r\n").await;
+    expect_that!((response.status, response.is_complete), eq((200, true)));
+    expect_that!(response.head, contains_substring("connection: close"));
     sleep(Duration::from_millis(2_700)).await;
     let requests = backend.state.heads().len();
-    let reply = node.ask("/stream/", "x-tokens: 100\r\n").await;
-    expect_that!(reply.status, eq(503));
+    let response = node.send("/stream/", "x-tokens: 100\r\n").await;
+    expect_that!(response.status, eq(503));
     expect_that!(backend.state.heads().len(), eq(requests));
     shutdown.await.expect("shutdown does not panic");
     expect_that!(started.elapsed(), lt(Duration::from_secs(6)));
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -27,7 +27,7 @@
     let backend = Backend::spawn(Behavior::Stream).await;
     let (_service, node) = ready(&[&backend]).await;
     for path in ["/stream/", "/resumable/"] {
-        let response = node.ask(path, PROMPT).await;
+        let response = node.send(path, PROMPT).await;
         expect_that!(response.status, eq(200));
         expect_that!(
             event_ids(&response),
@@ -45,7 +45,7 @@
         Backend::spawn(Behavior::CutStream).await,
     );
     let (_service, node) = ready(&[&cut, &other]).await;
-    let response = node.ask("/stream/", PROMPT).await;
+    let response = node.send("/stream/", PROMPT).await;
     expect_that!(response.status, eq(200));
     expect_that!(event_ids(&response), elements_are![eq(&1), eq(&2)]);
     expect_that!(response.is_complete, eq(false));
@@ -59,7 +59,7 @@
     let backend = Backend::spawn(Behavior::CutAtOnce).await;
     let (_service, node) = ready(&[&backend]).await;
     for _ in 0..5 {
-        let response = node.ask("/stream/", PROMPT).await;
+        let response = node.send("/stream/", PROMPT).await;
         expect_that!(event_ids(&response), elements_are![eq(&1), eq(&2)]);
         expect_that!(response.is_complete, eq(false));
     }
@@ -68,26 +68,26 @@
 #[gtest]
 #[tokio::test]
 async fn resumable_stream_continues_after_the_last_whole_event() {
-    for way in [Behavior::CutStream, Behavior::HangStream] {
+    for behavior in [Behavior::CutStream, Behavior::HangStream] {
         let (bad, good) = (
-            Backend::spawn(way).await,
+            Backend::spawn(behavior).await,
             Backend::spawn(Behavior::Stream).await,
         );
         let (_service, node) = ready(&[&bad, &good]).await;
         for _ in 0..3 {
-            let response = node.ask("/resumable/", PROMPT).await;
+            let response = node.send("/resumable/", PROMPT).await;
             expect_that!(
                 event_ids(&response),
                 elements_are![eq(&1), eq(&2), eq(&3), eq(&4)],
-                "{way:?}"
+                "{behavior:?}"
             );
-            expect_that!(response.is_complete, eq(true), "{way:?}");
+            expect_that!(response.is_complete, eq(true), "{behavior:?}");
         }
         let heads = good.state.heads();
         let resumed = heads
             .iter()
             .filter(|head| field(head, "x-after") == Some("2"));
-        expect_that!(resumed.count(), ge(1), "{way:?}");
+        expect_that!(resumed.count(), ge(1), "{behavior:?}");
     }
 }
 
@@ -97,7 +97,7 @@
     let backend = Backend::spawn(Behavior::HangStream).await;
     let (_service, node) = ready(&[&backend]).await;
     let start = tokio::time::Instant::now();
-    let response = node.ask("/stream/", PROMPT).await;
+    let response = node.send("/stream/", PROMPT).await;
     expect_that!(response.is_complete, eq(false));
     expect_that!(start.elapsed(), lt(Duration::from_millis(TIMEOUT_MS + 500)));
 }
@@ -122,7 +122,7 @@
         Backend::spawn(Behavior::SlowStream).await,
     );
     let (_service, node) = ready(&[&slow, &other]).await;
-    let requests = (0..40).map(|_| node.ask("/resumable/", PROMPT));
+    let requests = (0..40).map(|_| node.send("/resumable/", PROMPT));
     let responses = futures::future::join_all(requests).await;
     let completed = responses
         .iter()
@@ -139,11 +139,11 @@
     let long_prompt = caller::request("/stream/", &format!("x-tokens: {LONG_PROMPT}\r\n"));
     let _stream = caller::open(node.callers, &long_prompt).await;
     sleep(Duration::from_millis(100)).await;
-    expect_that!(node.ask("/resumable/", PROMPT).await.status, eq(503));
+    expect_that!(node.send("/resumable/", PROMPT).await.status, eq(503));
     let cut = Backend::spawn(Behavior::CutStream).await;
     register(&service, 1, &cut, "ready");
     sleep(Duration::from_millis(500)).await;
-    let response = node.ask("/resumable/", PROMPT).await;
+    let response = node.send("/resumable/", PROMPT).await;
     expect_that!(event_ids(&response), elements_are![eq(&1), eq(&2)]);
     let heads = busy.state.heads();
     expect_that!(field(&heads[heads.len() - 1], "x-after"), some(eq("2")));
@@ -162,7 +162,7 @@
     );
     for _ in 0..4 {
         let (_service, node) = ready(&[&cut, &rejecting, &also_rejecting, &free]).await;
-        let response = node.ask("/resumable/", PROMPT).await;
+        let response = node.send("/resumable/", PROMPT).await;
         expect_that!(
             event_ids(&response),
             elements_are![eq(&1), eq(&2), eq(&3), eq(&4)]
--- a/crates/gateway/tests/suspension/main.rs
+++ b/crates/gateway/tests/suspension/main.rs
@@ -61,7 +61,7 @@
     let _serial = SERIAL.lock().await;
     let backend = Backend::spawn(Behavior::Answer).await;
     let (service, node) = ready(&[&backend]).await;
-    expect_that!(node.ask("/keyed/", KEY).await.status, eq(200));
+    expect_that!(node.send("/keyed/", KEY).await.status, eq(200));
     node.kv.set_failing(true);
     sleep(Duration::from_millis(100)).await;
     // During the suspension, the key is revoked and the server deregistered.
@@ -69,18 +69,22 @@
     service.set("servers/plain-0", None);
     clock::simulate_suspension(LONG_MS);
     for path in ["/keyed/", "/idempotent/", "/once/"] {
-        let reply = node.ask(path, KEY).await;
-        expect_that!(reply.status, eq(503), "{path}");
-        expect_that!(reply.body, contains_substring("no_configuration"), "{path}");
+        let response = node.send(path, KEY).await;
+        expect_that!(response.status, eq(503), "{path}");
+        expect_that!(
+            response.body,
+            contains_substring("no_configuration"),
+            "{path}"
+        );
     }
     expect_that!(node.ready().await, eq(503));
     node.kv.set_failing(false);
     node.wait_ready().await;
-    expect_that!(node.ask("/keyed/", KEY).await.status, eq(401));
+    expect_that!(node.send("/keyed/", KEY).await.status, eq(401));
     // Registrations that end during an outage have a grace period.
     sleep(REGISTRATION_GRACE).await;
     expect_that!(
-        node.ask("/idempotent/", "").await.body,
+        node.send("/idempotent/", "").await.body,
         contains_substring("no_server")
     );
     expect_that!(backend.state.heads(), len(eq(1)));
@@ -95,12 +99,12 @@
         Backend::spawn(Behavior::Hang).await,
     );
     let (_service, node) = ready(&[&silent, &other]).await;
-    let reply = node.ask("/idempotent/", "");
+    let response = node.send("/idempotent/", "");
     let suspension = async {
         sleep(Duration::from_millis(50)).await;
         clock::simulate_suspension(SHORT_MS);
     };
-    tokio::join!(reply, suspension);
+    tokio::join!(response, suspension);
     let heads = [silent.state.heads(), other.state.heads()].concat();
     let left = heads
         .iter()
@@ -119,13 +123,13 @@
         let backend = Backend::spawn(Behavior::Hang).await;
         let (_service, node) = ready(&[&backend]).await;
         let started = Instant::now();
-        let reply = node.ask(path, "x-tokens: 10\r\n");
+        let response = node.send(path, "x-tokens: 10\r\n");
         let suspension = async {
             sleep(Duration::from_millis(50)).await;
             clock::simulate_suspension(LONG_MS);
         };
-        let (reply, ()) = tokio::join!(reply, suspension);
-        expect_that!(reply.status, eq(504), "{path}");
+        let (response, ()) = tokio::join!(response, suspension);
+        expect_that!(response.status, eq(504), "{path}");
         expect_that!(started.elapsed(), lt(Duration::from_millis(500)), "{path}");
     }
 }
