--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -87,7 +87,7 @@
         !self.is_closed() && !self.is_evacuated.load(Ordering::Relaxed)
     }
 
-    /// Whether the server is leaving or gone.
+    /// Whether the server is leaving or no longer registered.
     pub(crate) fn is_closed(&self) -> bool {
         // An announcement by the server counts without its registration, which an outage of the
         // key-value service may delay.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -92,13 +92,13 @@
         };
         let mut inner = self.inner.lock();
         if inner.peers.len() > 0 {
-            let read = || Prefill {
+            let prefill = || Prefill {
                 server,
                 shared: prompt.shared.to_vec(),
             };
             inner
                 .prefixes
-                .record(key, read, is_new, server, clock::now_ms());
+                .record(key, prefill, is_new, server, clock::now_ms());
         }
     }
 
@@ -152,9 +152,9 @@
         }
         inner.apply_if_due(core, now);
         drop(inner);
-        for read in &message.prefills {
-            if let Some(backend) = core.registry.get_by_id(read.server) {
-                backend.engine.lock().cache.insert(&read.shared);
+        for prefill in &message.prefills {
+            if let Some(backend) = core.registry.get_by_id(prefill.server) {
+                backend.engine.lock().cache.insert(&prefill.shared);
             }
         }
     }
