--- a/crates/gateway/tests/gateway/backend.rs
+++ b/crates/gateway/tests/gateway/backend.rs
@@ -243,10 +243,10 @@
 /// long stream.
 async fn events(stream: &mut TcpStream, sealed: &str, head: &str, last: u64) -> bool {
     let after = field(head, "x-after").and_then(|event| event.parse().ok());
-    let begin = format!(
+    let response_head = format!(
         "HTTP/1.1 200 OK\r\n{sealed}\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
     );
-    let _ = stream.write_all(begin.as_bytes()).await;
+    let _ = stream.write_all(response_head.as_bytes()).await;
     for event in after.unwrap_or(0) + 1..=last {
         let text = format!("id: {event}\ndata: t{event}\n\n");
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
--- a/crates/gateway/tests/gateway/leaving.rs
+++ b/crates/gateway/tests/gateway/leaving.rs
@@ -10,7 +10,7 @@
 use crate::feed::Service;
 use crate::fleet::{Node, register};
 
-const LEAVING: &str = "x-leaving: 1\r\n";
+const LEAVING_HEADER: &str = "x-leaving: 1\r\n";
 
 /// Time for an announcement to reach all gateways of a zone.
 const RELAY_TIME: Duration = Duration::from_millis(500);
@@ -39,7 +39,7 @@
 
 /// Makes a server announce to a gateway that it is leaving.
 async fn announce_leaving(server: &Backend, node: &Node) {
-    server.state.set_behavior(Behavior::Answer, LEAVING);
+    server.state.set_behavior(Behavior::Answer, LEAVING_HEADER);
     let before = request_count(server);
     let deadline = Instant::now() + RELAY_TIME;
     while request_count(server) == before {
--- a/crates/gateway/tests/gateway/protocol.rs
+++ b/crates/gateway/tests/gateway/protocol.rs
@@ -124,11 +124,13 @@
 
     fn parse_config(&self, value: &[u8]) -> Result<Config, ParseError> {
         let text = String::from_utf8_lossy(value);
-        let mut words = text.split_whitespace();
-        let version = words.next().and_then(|word| word.parse().ok());
+        let mut fields = text.split_whitespace();
+        let version = fields.next().and_then(|field| field.parse().ok());
         let version = version.ok_or_else(|| parse_error("configuration"))?;
-        let (numbers, keys): (Vec<&str>, Vec<&str>) = words.partition(|word| word.contains('='));
-        let tokens_per_s = numbers.iter().find_map(|word| word.strip_prefix("tokens="));
+        let (numbers, keys): (Vec<&str>, Vec<&str>) = fields.partition(|field| field.contains('='));
+        let tokens_per_s = numbers
+            .iter()
+            .find_map(|field| field.strip_prefix("tokens="));
         let customer = Customer {
             id: CustomerId::of("noor"),
             name: "noor".to_owned(),
@@ -166,8 +168,8 @@
 
     fn parse_cached_parts(&self, value: &[u8]) -> Result<Vec<PartId>, ParseError> {
         let text = String::from_utf8_lossy(value);
-        let parts = text.split_whitespace().map(|word| {
-            let part = word.parse().map_err(|_| parse_error("list"))?;
+        let parts = text.split_whitespace().map(|field| {
+            let part = field.parse().map_err(|_| parse_error("list"))?;
             Ok(PartId::new("m", part))
         });
         parts.collect()
@@ -175,13 +177,13 @@
 
     fn parse_server(&self, name: &str, value: &[u8]) -> Result<Server, ParseError> {
         let text = String::from_utf8_lossy(value);
-        let words: Vec<&str> = text.split_whitespace().collect();
-        let [pool, address, state, ..] = words[..] else {
+        let fields: Vec<&str> = text.split_whitespace().collect();
+        let [pool, address, state, ..] = fields[..] else {
             return Err(parse_error(name));
         };
-        let started = words.get(3).copied();
-        let cold = words.get(4).copied().unwrap_or("0");
-        let zone = words.get(5).copied().unwrap_or("a");
+        let started = fields.get(3).copied();
+        let cold = fields.get(4).copied().unwrap_or("0");
+        let zone = fields.get(5).copied().unwrap_or("a");
         let started_ms = started.map(|started| started.parse().map_err(|_| parse_error(name)));
         Ok(Server {
             id: ServerId::of(&format!("{name} {}", started.unwrap_or_default())),
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -12,7 +12,7 @@
 
 const PROMPT: &str = "x-tokens: 100\r\n";
 
-/// Returns the ids of the received events.
+/// Returns the IDs of the received events.
 fn event_ids(response: &Response) -> Vec<u64> {
     let lines = response
         .body
