--- a/crates/gateway/src/protocol/notice.rs
+++ b/crates/gateway/src/protocol/notice.rs
@@ -5,6 +5,6 @@
 pub struct Notice {
     /// Whether the server is leaving and wants no new requests.
     pub is_leaving: bool,
-    /// Time for which the server wants no requests from this router, in milliseconds.
+    /// Time for which the server wants no requests from this gateway, in milliseconds.
     pub pushback_ms: Option<u64>,
 }
--- a/crates/gateway/tests/gateway/backend.rs
+++ b/crates/gateway/tests/gateway/backend.rs
@@ -234,7 +234,7 @@
 
 async fn hang(stream: &mut TcpStream, state: &State) {
     let mut byte = [0];
-    // Waits for the router to close the connection, whatever it sends before.
+    // Waits for the gateway to close the connection, whatever it sends before.
     while matches!(stream.read(&mut byte).await, Ok(read) if read > 0) {}
     state.disconnects.fetch_add(1, Ordering::Relaxed);
 }
--- a/crates/gateway/tests/gateway/crashing_server.rs
+++ b/crates/gateway/tests/gateway/crashing_server.rs
@@ -214,7 +214,7 @@
                 head.starts_with("post /stream/") || head.starts_with("post /resumable/");
             if is_stream {
                 let response_head = "HTTP/1.1 200 OK\r\nx-id: q1\r\nx-seal: s\r\ntransfer-encoding: chunked\r\n\r\n";
-                // The router may have closed the connection.
+                // The gateway may have closed the connection.
                 let _ = stream.write_all(response_head.as_bytes()).await;
             }
             sleep(CRASH_DELAY).await;
--- a/crates/gateway/tests/suspension/main.rs
+++ b/crates/gateway/tests/suspension/main.rs
@@ -155,9 +155,16 @@
     service.set("config", Some("5 secret"));
     let mut servers = Vec::new();
     for index in 0..5 {
-        let luck = CrashCounts::default();
+        let crash_counts = CrashCounts::default();
         servers.push(
-            CrashingServer::spawn(&service, index, RestartName::New, Behavior::Answer, &luck).await,
+            CrashingServer::spawn(
+                &service,
+                index,
+                RestartName::New,
+                Behavior::Answer,
+                &crash_counts,
+            )
+            .await,
         );
     }
     let node = Node::spawn(&service, "g0").await;
