--- a/crates/gateway/tests/gateway/crashing_server.rs
+++ b/crates/gateway/tests/gateway/crashing_server.rs
@@ -74,12 +74,12 @@
         service: &Arc<Service>,
         index: usize,
         name: RestartName,
-        way: Behavior,
+        behavior: Behavior,
         crash_counts: &CrashCounts,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = Self {
-            state: Arc::new(State::new(way)),
+            state: Arc::new(State::new(behavior)),
             crashes: Arc::default(),
             crash_token: Arc::default(),
         };
@@ -213,9 +213,9 @@
             let is_stream =
                 head.starts_with("post /stream/") || head.starts_with("post /resumable/");
             if is_stream {
-                let begin = "HTTP/1.1 200 OK\r\nx-id: q1\r\nx-seal: s\r\ntransfer-encoding: chunked\r\n\r\n";
-                // The router may have closed the connection.
-                let _ = stream.write_all(begin.as_bytes()).await;
+                let response_head = "HTTP/1.1 200 OK\r\nx-id: q1\r\nx-seal: s\r\ntransfer-encoding: chunked\r\n\r\n";
+                // The gateway may have closed the connection.
+                let _ = stream.write_all(response_head.as_bytes()).await;
             }
             sleep(CRASH_DELAY).await;
             crash.cancel();
