--- a/crates/daemon/src/operator/port.rs
+++ b/crates/daemon/src/operator/api.rs
@@ -18,7 +18,7 @@
 use super::error::Error;
 use super::execute::Execute;
 use super::respond::Respond;
-use super::source::Source;
+use super::router_state::RouterState;
 use super::store::Store;
 use crate::metric;
 
@@ -32,7 +32,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What the port is made of.
-pub struct Setup {
+pub struct Options {
     /// Where to listen.
     pub address: SocketAddr,
     /// Who may give commands.
@@ -44,37 +44,37 @@
     /// The key-value service.
     pub kv: Arc<dyn Kv>,
     /// The router.
-    pub source: Arc<dyn Source>,
+    pub router: Arc<dyn RouterState>,
     /// The log.
     pub logger: Logger,
 }
 
 /// The running operators' port.
 #[derive(Debug)]
-pub struct Operator {
+pub struct Api {
     address: SocketAddr,
     stop: CancellationToken,
     task: JoinHandle<()>,
 }
 
-impl Operator {
+impl Api {
     /// Binds the port and serves it.
     ///
     /// # Errors
     ///
     /// [`Error::Bind`] when the address is taken or not ours.
-    pub async fn bind(setup: Setup) -> Result<Self, Error> {
+    pub async fn bind(options: Options) -> Result<Self, Error> {
         metric::install();
-        let address = setup.address;
+        let address = options.address;
         let bind = |source| Error::Bind { address, source };
         let listener = TcpListener::bind(address).await.map_err(bind)?;
         let address = listener.local_addr().map_err(bind)?;
-        let store = Store::new(setup.kv, &setup.prefix);
+        let store = Store::new(options.kv, &options.prefix);
         let respond = Arc::new(Respond {
-            access: Access::new(&setup.operators),
-            execute: Execute::new(store, Arc::clone(&setup.source), setup.retention_ms),
-            source: setup.source,
-            logger: setup.logger,
+            access: Access::new(&options.operators),
+            execute: Execute::new(store, Arc::clone(&options.router), options.retention_ms),
+            source: options.router,
+            logger: options.logger,
         });
         let stop = CancellationToken::new();
         let task = tokio::spawn(serve(listener, respond, stop.clone()));
--- a/crates/daemon/src/operator/execute.rs
+++ b/crates/daemon/src/operator/execute.rs
@@ -15,7 +15,7 @@
 use super::held::Held;
 use super::plan::Plan;
 use super::query;
-use super::source::Source;
+use super::router_state::RouterState;
 use super::store::{Store, conflict};
 
 /// Records of removed things that one command deletes at most.
@@ -28,13 +28,13 @@
 /// Carries out commands.
 pub(crate) struct Execute {
     store: Store,
-    source: Arc<dyn Source>,
+    source: Arc<dyn RouterState>,
     retention_ms: u64,
 }
 
 impl Execute {
     /// Carries out commands on `store` and `source`.
-    pub(crate) fn new(store: Store, source: Arc<dyn Source>, retention_ms: u64) -> Self {
+    pub(crate) fn new(store: Store, source: Arc<dyn RouterState>, retention_ms: u64) -> Self {
         Self {
             store,
             source,
--- a/crates/daemon/src/operator/gauge.rs
+++ b/crates/daemon/src/operator/gauge.rs
@@ -2,10 +2,10 @@
 
 use mulberryyoke_command::answer::{Node, Role};
 
-use super::source::Source;
+use super::router_state::RouterState;
 
 /// Sets the gauges of a router.
-pub(crate) fn set(source: &dyn Source) {
+pub(crate) fn set(source: &dyn RouterState) {
     let router = source.name().to_owned();
     let revision = source.config().revision;
     let tally = source.tally();
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -5,18 +5,18 @@
 //! its answer was lost, and an operator who lost a race learns to whom.
 
 mod access;
+mod api;
 mod author;
 mod error;
 mod execute;
 mod gauge;
 mod held;
 mod plan;
-mod port;
 mod query;
 mod respond;
-mod source;
+mod router_state;
 mod store;
 
+pub use api::{Api, Options};
 pub use error::Error;
-pub use port::{Operator, Setup};
-pub use source::Source;
+pub use router_state::RouterState;
--- a/crates/daemon/src/operator/query.rs
+++ b/crates/daemon/src/operator/query.rs
@@ -5,10 +5,10 @@
 use mulberryyoke_model::{Config, Object};
 
 use super::held::Held;
-use super::source::Source;
+use super::router_state::RouterState;
 
 /// The state of the fleet.
-pub(crate) fn status(source: &dyn Source, query: &command::Status) -> Answer {
+pub(crate) fn status(source: &dyn RouterState, query: &command::Status) -> Answer {
     let mut nodes = source.nodes();
     nodes.retain(|node| query.behind.is_none_or(|revision| node.lags(revision)));
     nodes.sort_by(|a, b| {
--- a/crates/daemon/src/operator/respond.rs
+++ b/crates/daemon/src/operator/respond.rs
@@ -17,7 +17,7 @@
 use super::author::Author;
 use super::execute::{self, Execute};
 use super::gauge;
-use super::source::Source;
+use super::router_state::RouterState;
 use crate::{clock, metric};
 
 /// Largest body of a command, in bytes.
@@ -27,7 +27,7 @@
 pub(crate) struct Respond {
     pub(crate) access: Access,
     pub(crate) execute: Execute,
-    pub(crate) source: Arc<dyn Source>,
+    pub(crate) source: Arc<dyn RouterState>,
     pub(crate) logger: Logger,
 }
 
--- a/crates/daemon/src/operator/source.rs
+++ b/crates/daemon/src/operator/router_state.rs
@@ -8,7 +8,7 @@
 use mulberryyoke_model::{Attempt, Config, Outcome};
 
 /// The router as the operators' port sees it.
-pub trait Source: Send + Sync {
+pub trait RouterState: Send + Sync {
     /// Name of the router.
     fn name(&self) -> &str;
 
--- a/crates/daemon/src/router/handle.rs
+++ b/crates/daemon/src/router/handle.rs
@@ -18,7 +18,7 @@
 use super::inspect::Inspect;
 use super::{links, operators, outcome};
 use crate::fleet::{Fleet, Local};
-use crate::operator::Operator;
+use crate::operator::Api;
 
 /// How long open connections stay open for requests that are on their way, only
 /// to be refused.
@@ -40,7 +40,7 @@
     address: SocketAddr,
     callers: JoinHandle<()>,
     links: JoinHandle<()>,
-    operators: Operator,
+    operators: Api,
 }
 
 impl Router {
--- a/crates/daemon/src/router/operators.rs
+++ b/crates/daemon/src/router/operators.rs
@@ -14,25 +14,25 @@
 use super::core::Core;
 use super::error::Error;
 use super::inspect::Inspect;
-use crate::operator::{Operator, Setup, Source};
+use crate::operator::{Api, Options, RouterState};
 
 /// Binds the operators' port.
-pub(crate) async fn bind(core: &Arc<Core>) -> Result<Operator, Error> {
+pub(crate) async fn bind(core: &Arc<Core>) -> Result<Api, Error> {
     let settings = &core.settings;
     let kv = kv::Etcd::new(settings.kv.clone(), kv::Options::default());
-    let setup = Setup {
+    let options = Options {
         address: settings.operators,
         operators: settings.operator_keys.clone(),
         prefix: settings.prefix.clone(),
         retention_ms: settings.retention_ms,
         kv: Arc::new(kv),
-        source: Arc::new(Standing {
+        router: Arc::new(Standing {
             core: Arc::clone(core),
             inspect: Inspect::new(core),
         }),
         logger: core.logger.clone(),
     };
-    Operator::bind(setup).await.map_err(Error::Operators)
+    Api::bind(options).await.map_err(Error::Operators)
 }
 
 /// The router as its operators' port sees it.
@@ -41,7 +41,7 @@
     inspect: Inspect,
 }
 
-impl Source for Standing {
+impl RouterState for Standing {
     fn name(&self) -> &str {
         &self.core.settings.name
     }
--- a/crates/daemon/tests/operator/port.rs
+++ b/crates/daemon/tests/operator/port.rs
@@ -12,7 +12,7 @@
 use mulberryyoke_command::answer::{Answer, Node, Refusal, Reply, Role, Tally, Waiting, Written};
 use mulberryyoke_model::{Attempt, Config, KeyHash, Outcome};
 use mulberryyoke_settings as settings;
-use mulberryyoked::operator::{Operator, Setup, Source};
+use mulberryyoked::operator::{Api, Options, RouterState};
 use parking_lot::Mutex;
 use slog::{Discard, Logger, o};
 use tokio::net::TcpStream;
@@ -28,7 +28,7 @@
     pub config: Mutex<Config>,
 }
 
-impl Source for Router {
+impl RouterState for Router {
     fn name(&self) -> &'static str {
         "entry-1"
     }
@@ -90,7 +90,7 @@
 pub struct Port {
     pub kv: Arc<Memory>,
     pub router: Arc<Router>,
-    pub operator: Operator,
+    pub operator: Api,
 }
 
 impl Port {
@@ -98,7 +98,7 @@
     pub async fn open() -> Self {
         let kv = Arc::new(Memory::default());
         let router = Arc::new(Router::default());
-        let setup = Setup {
+        let options = Options {
             address: ([127, 0, 0, 1], 0).into(),
             operators: vec![settings::Operator {
                 name: "noor".to_owned(),
@@ -107,10 +107,10 @@
             prefix: "/test/".to_owned(),
             retention_ms: 600_000,
             kv: kv.clone(),
-            source: router.clone(),
+            router: router.clone(),
             logger: Logger::root(Discard, o!()),
         };
-        let operator = Operator::bind(setup).await.expect("a free port is bound");
+        let operator = Api::bind(options).await.expect("a free port is bound");
         Self {
             kv,
             router,
