--- a/crates/daemon/src/operator/plan/mod.rs
+++ b/crates/daemon/src/operator/plan/mod.rs
@@ -27,7 +27,7 @@
 }
 
 fn already_exists(key: &str) -> Refusal {
-    Refusal::new(Code::Conflict, format!("{key}: exists already"))
+    Refusal::new(Code::Conflict, format!("{key}: already exists"))
 }
 
 fn not_found(key: &str) -> Refusal {
--- a/crates/daemon/src/operator/plan/pool.rs
+++ b/crates/daemon/src/operator/plan/pool.rs
@@ -38,7 +38,7 @@
         return Err(not_found(&key));
     };
     if old.kind == Kind::Model {
-        return Err(rejected(&key, "a model has no routes"));
+        return Err(rejected(&key, "a pool of kind model has no routes"));
     }
     let pool = Pool {
         routes: set.route.clone(),
@@ -64,7 +64,10 @@
     match remaining {
         Some(server) => Err(rejected(
             &key,
-            format_args!("it has servers, {} for one; remove them first", server.name),
+            format_args!(
+                "pool still has servers, for example {}; remove them first",
+                server.name
+            ),
         )),
         None => Ok(Plan::Write(None)),
     }
@@ -83,7 +86,7 @@
         }
         if let Some(route) = pool.routes.iter().find(|route| has_route(other, route)) {
             let reason = format_args!(
-                "route {} {} belongs to pool {} already",
+                "route {} {} already belongs to pool {}",
                 route.method, route.prefix, other.name
             );
             return Err(rejected(key, reason));
--- a/crates/daemon/src/operator/plan/server.rs
+++ b/crates/daemon/src/operator/plan/server.rs
@@ -35,7 +35,7 @@
     match old {
         Some(old) if old.state == State::Removed && old.pool != server.pool => {
             let reason = format_args!(
-                "it belonged to pool {}; choose another name for pool {}",
+                "server belonged to pool {}; choose another name for pool {}",
                 old.pool, server.pool
             );
             Err(rejected(&key, reason))
@@ -60,7 +60,7 @@
         return Ok(Plan::Unchanged);
     }
     if old.state == State::Removed {
-        return Err(rejected(&key, "it is removed; add it again"));
+        return Err(rejected(&key, "server has been removed; add it again"));
     }
     let server = Server {
         state,
@@ -96,7 +96,7 @@
         let addresses = [server.control, server.data];
         let shared = addresses.contains(&other.control) || addresses.contains(&other.data);
         if shared && other.state != State::Removed {
-            let reason = format_args!("server {} has one of its addresses", other.name);
+            let reason = format_args!("address already in use by server {}", other.name);
             return Err(rejected(key, reason));
         }
     }
--- a/crates/daemon/src/operator/store.rs
+++ b/crates/daemon/src/operator/store.rs
@@ -151,7 +151,7 @@
 pub(crate) fn conflict(key: &str, current: &Snapshot, author: &Author) -> Refusal {
     let entry = current.entry.clone().unwrap_or_default();
     let message = match current.revision {
-        None => format!("{key}: does not exist any more"),
+        None => format!("{key}: does not exist"),
         Some(revision) => format!(
             "{key}: changed at revision {revision} by {} (command {:016x}: {})",
             entry.operator, entry.command, entry.words
--- a/crates/daemon/tests/operator/changes.rs
+++ b/crates/daemon/tests/operator/changes.rs
@@ -90,7 +90,7 @@
         (
             "customer add scouts --share 2",
             Code::Conflict,
-            "exists already",
+            "already exists",
         ),
         (
             "customer add other --key the-key-of-scouts",
@@ -115,7 +115,7 @@
         (
             "pool remove chat",
             Code::Refused,
-            "it has servers, m-1 for one",
+            "pool still has servers, for example m-1",
         ),
         (
             "pool remove none",
@@ -130,12 +130,12 @@
         (
             "server add m-2 --pool chat --zone a --slots 8 --control 10.0.0.2:1 --data 10.0.0.1:7101",
             Code::Refused,
-            "server m-1 has one of its addresses",
+            "address already in use by server m-1",
         ),
         (
             "server add m-1 --pool chat --zone b --slots 8 --control 10.0.0.1:7100 --data 10.0.0.1:7101",
             Code::Conflict,
-            "exists already",
+            "already exists",
         ),
         (
             "server drain m-9",
@@ -195,7 +195,7 @@
     let message = reply.error.expect("the route is taken").message;
     assert_that!(
         message,
-        contains_substring("belongs to pool booking already")
+        contains_substring("already belongs to pool booking")
     );
     let other = add("other", "GET /bookings repeatable 4");
     assert_that!(port.ask(key, other).await.1.ok, eq(true));
