--- a/crates/daemon/tests/operator/access.rs
+++ b/crates/daemon/tests/operator/access.rs
@@ -1,50 +1,58 @@
-//! Keys of operators, health and malformed requests.
+//! Authentication, malformed commands, health checks and shutdown.
 
 use googletest::prelude::*;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 use mulberryyoke_command::answer::{Answer, Code};
 
-use crate::port::{KEY, Port};
+use crate::fixture::{Fixture, KEY};
 
 const STATUS: &str = r#"{"words":["status"]}"#;
 
 #[tokio::test]
-async fn only_known_keys_are_let_in() {
-    let port = Port::open().await;
+async fn unknown_bearer_keys_are_denied() {
+    let fixture = Fixture::open().await;
     for key in ["", "noor", "the-key-of-noor-2"] {
-        let (status, reply) = port.ask(key, STATUS.to_owned()).await;
+        let (status, reply) = fixture.send_command(key, STATUS.to_owned()).await;
         assert_that!(status, eq(StatusCode::UNAUTHORIZED));
         assert_that!(
             reply.error.map(|refusal| refusal.code),
             some(eq(Code::Denied))
         );
     }
-    let bare = Request::post("/v1/command").header("host", "operators");
-    let bare = bare.body(Full::from(STATUS)).expect("it is a request");
-    assert_that!(port.send(bare).await.0, eq(StatusCode::UNAUTHORIZED));
-    let (status, _) = port.ask(KEY, STATUS.to_owned()).await;
+    let without_key = Request::post("/v1/command").header("host", "operators");
+    let without_key = without_key
+        .body(Full::from(STATUS))
+        .expect("request is valid");
+    assert_that!(
+        fixture.send_request(without_key).await.0,
+        eq(StatusCode::UNAUTHORIZED)
+    );
+    let (status, _) = fixture.send_command(KEY, STATUS.to_owned()).await;
     assert_that!(status, eq(StatusCode::OK));
 }
 
 #[tokio::test]
 async fn malformed_commands_are_refused() {
-    let port = Port::open().await;
+    let fixture = Fixture::open().await;
     let long = format!(r#"{{"words":["{}"]}}"#, "x".repeat(300 << 10));
     for body in ["", "{", "[]", r#"{"word":[]}"#, r#"{"words":[1]}"#, &long] {
-        let (status, reply) = port.ask(KEY, body.to_owned()).await;
+        let (status, reply) = fixture.send_command(KEY, body.to_owned()).await;
         assert_that!(status, eq(StatusCode::BAD_REQUEST));
         assert_that!(
             reply.error.map(|refusal| refusal.code),
             some(eq(Code::Usage))
         );
     }
-    let refusal = port
+    let refusal = fixture
         .run(1, "customer burn x")
         .await
-        .expect_err("no command");
+        .expect_err("command is unknown");
     assert_that!(refusal.code, eq(Code::Usage));
-    let help = port.run(1, "server drain --help").await.expect("help");
+    let help = fixture
+        .run(1, "server drain --help")
+        .await
+        .expect("help is returned");
     assert_that!(
         help,
         matches_pattern!(Answer::Help(contains_substring("server drain m-3")))
@@ -52,17 +60,17 @@
 }
 
 #[tokio::test]
-async fn health_readiness_and_metrics_need_no_key() {
-    let port = Port::open().await;
-    assert_that!(port.get("/healthz").await.0, eq(StatusCode::OK));
+async fn health_readiness_and_metrics_need_no_bearer_key() {
+    let fixture = Fixture::open().await;
+    assert_that!(fixture.get("/healthz").await.0, eq(StatusCode::OK));
     assert_that!(
-        port.get("/readyz").await.0,
+        fixture.get("/readyz").await.0,
         eq(StatusCode::SERVICE_UNAVAILABLE)
     );
-    port.router.config.lock().revision = 1;
-    assert_that!(port.get("/readyz").await.0, eq(StatusCode::OK));
-    port.run(1, "status").await.expect("a status");
-    let (status, metrics) = port.get("/metrics").await;
+    fixture.router.config.lock().revision = 1;
+    assert_that!(fixture.get("/readyz").await.0, eq(StatusCode::OK));
+    fixture.run(1, "status").await.expect("status is returned");
+    let (status, metrics) = fixture.get("/metrics").await;
     assert_that!(status, eq(StatusCode::OK));
     let metrics = String::from_utf8_lossy(&metrics).into_owned();
     for metric in [
@@ -73,17 +81,17 @@
         assert_that!(metrics, contains_substring(metric));
     }
     assert_that!(
-        port.get("/v1/command").await.0,
+        fixture.get("/v1/command").await.0,
         eq(StatusCode::METHOD_NOT_ALLOWED)
     );
-    assert_that!(port.get("/other").await.0, eq(StatusCode::NOT_FOUND));
+    assert_that!(fixture.get("/other").await.0, eq(StatusCode::NOT_FOUND));
 }
 
 #[tokio::test]
-async fn a_stop_ends_the_port() {
-    let port = Port::open().await;
-    let address = port.operator.address();
-    port.operator.stop().await;
-    let refused = tokio::net::TcpStream::connect(address).await;
-    assert_that!(refused.is_err(), eq(true));
+async fn stopping_closes_the_listener() {
+    let fixture = Fixture::open().await;
+    let address = fixture.api.address();
+    fixture.api.stop().await;
+    let connection = tokio::net::TcpStream::connect(address).await;
+    assert_that!(connection.is_err(), eq(true));
 }
--- a/crates/daemon/tests/operator/changes.rs
+++ b/crates/daemon/tests/operator/changes.rs
@@ -1,36 +1,36 @@
-//! What changes write and refuse.
+//! Stored values and rejections of changes.
 
 use googletest::prelude::*;
 use mulberryyoke_command::answer::Code;
 use mulberryyoke_model::{Class, KeyHash, Object, State};
 
-use crate::port::Port;
+use crate::fixture::Fixture;
 
 const ADD: &str = "server add m-1 --pool chat --zone a --slots 8 \
                    --control 10.0.0.1:7100 --data 10.0.0.1:7101";
 
-/// Carries out commands in order, the identity of each being its place.
-async fn port_after(lines: &[&str]) -> Port {
-    let port = Port::open().await;
+/// Runs commands in order, with command IDs from 100.
+async fn fixture_after(lines: &[&str]) -> Fixture {
+    let fixture = Fixture::open().await;
     for (command, line) in (100..).zip(lines) {
-        if let Err(refusal) = port.change(command, line).await {
+        if let Err(refusal) = fixture.change(command, line).await {
             panic!("{line}: {refusal}");
         }
     }
-    port
+    fixture
 }
 
-async fn refused(port: &Port, line: &str) -> (Code, String) {
-    let refusal = port.change(1, line).await.expect_err(line);
+async fn rejection(fixture: &Fixture, line: &str) -> (Code, String) {
+    let refusal = fixture.change(1, line).await.expect_err(line);
     (refusal.code, refusal.message)
 }
 
 #[tokio::test]
-async fn keys_are_stored_hashed() {
+async fn bearer_keys_are_stored_hashed() {
     let line = "customer add scouts --share 4 --class urgent \
                 --key sesame-sesame-01 --key=sesame-sesame-02";
-    let port = port_after(&[line]).await;
-    let (entry, _) = port.kv.entry("customer/scouts").expect("it is there");
+    let fixture = fixture_after(&[line]).await;
+    let (entry, _) = fixture.kv.entry("customer/scouts").expect("entry exists");
     let Some(Object::Customer(customer)) = &entry.object else {
         panic!("not a customer: {entry:?}");
     };
@@ -47,15 +47,18 @@
 }
 
 #[tokio::test]
-async fn customers_change_and_go() {
-    let port = port_after(&[
+async fn customers_are_changed_and_removed() {
+    let fixture = fixture_after(&[
         "customer add scouts --key first-key-of-scouts",
         "customer set scouts --share 3 --queue 9 --key second-key-of-scouts",
     ])
     .await;
     let hash = KeyHash::of("first-key-of-scouts").0;
     let drop_key = format!("customer set scouts --drop-key {}", &hash[..8]);
-    let written = port.change(9, &drop_key).await.expect("the key is dropped");
+    let written = fixture
+        .change(9, &drop_key)
+        .await
+        .expect("bearer key is removed");
     let Some(Object::Customer(customer)) = written.object else {
         panic!("not a customer");
     };
@@ -65,22 +68,22 @@
         customer.keys,
         elements_are![eq(&KeyHash::of("second-key-of-scouts"))]
     );
-    let unchanged = port.change(10, "customer set scouts --share 3").await;
+    let unchanged = fixture.change(10, "customer set scouts --share 3").await;
     assert_that!(unchanged.map(|written| written.unchanged), ok(eq(&true)));
-    let removed = port.change(11, "customer remove scouts").await;
+    let removed = fixture.change(11, "customer remove scouts").await;
     assert_that!(removed.map(|written| written.object), ok(none()));
     assert_that!(
-        refused(&port, "customer remove scouts").await.0,
+        rejection(&fixture, "customer remove scouts").await.0,
         eq(Code::Missing)
     );
-    let again = port.change(12, "customer add scouts").await;
+    let again = fixture.change(12, "customer add scouts").await;
     assert_that!(again.map(|written| written.unchanged), ok(eq(&false)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn contradictions_are_refused() {
-    let port = port_after(&[
+async fn conflicting_changes_are_rejected() {
+    let fixture = fixture_after(&[
         "customer add scouts --key the-key-of-scouts",
         "pool add chat --kind model",
         ADD,
@@ -144,91 +147,105 @@
         ),
     ];
     for (line, code, reason) in table {
-        let (found, message) = refused(&port, line).await;
+        let (found, message) = rejection(&fixture, line).await;
         expect_that!(found, eq(code), "{line}");
         expect_that!(message, contains_substring(reason), "{line}");
     }
-    let same = port.change(2, "pool add chat --kind model").await;
+    let same = fixture.change(2, "pool add chat --kind model").await;
     assert_that!(same.map(|written| written.unchanged), ok(eq(&true)));
-    assert_that!(port.kv.writes(), eq(3));
+    assert_that!(fixture.kv.writes(), eq(3));
 }
 
 #[tokio::test]
-async fn servers_drain_resume_leave_and_return() {
-    let port = port_after(&["pool add chat --kind model", ADD]).await;
-    let mut first = None;
+async fn servers_are_drained_resumed_removed_and_added_again() {
+    let fixture = fixture_after(&["pool add chat --kind model", ADD]).await;
+    let mut first_added_at = None;
     for (command, (line, state)) in (10..).zip([
         ("server drain m-1", State::Draining),
         ("server resume m-1", State::Active),
         ("server remove m-1", State::Removed),
         (ADD, State::Active),
     ]) {
-        let written = port.change(command, line).await.expect(line);
+        let written = fixture.change(command, line).await.expect(line);
         let Some(Object::Server(server)) = written.object else {
             panic!("{line}: not a server");
         };
         assert_that!(server.state, eq(state), "{line}");
-        let added_at = *first.get_or_insert(server.added_at);
+        let added_at = *first_added_at.get_or_insert(server.added_at);
         assert_that!(server.added_at, eq(added_at), "{line}");
     }
-    port.change(20, "server remove m-1").await.expect("it goes");
+    fixture
+        .change(20, "server remove m-1")
+        .await
+        .expect("server is removed");
     assert_that!(
-        refused(&port, "server resume m-1").await.0,
+        rejection(&fixture, "server resume m-1").await.0,
         eq(Code::Refused)
     );
-    port.change(21, "pool remove chat")
+    fixture
+        .change(21, "pool remove chat")
         .await
-        .expect("it is empty");
+        .expect("pool is empty");
 }
 
 #[tokio::test]
 async fn routes_belong_to_one_pool() {
-    let port = Port::open().await;
+    let fixture = Fixture::open().await;
     let add = |name: &str, route: &str| {
         let words = ["pool", "add", name, "--kind", "service", "--route", route];
         serde_json::json!({ "words": words }).to_string()
     };
-    let key = crate::port::KEY;
+    let key = crate::fixture::KEY;
     let route = "POST /bookings once 40";
-    assert_that!(port.ask(key, add("booking", route)).await.1.ok, eq(true));
-    let (_, reply) = port.ask(key, add("other", route)).await;
-    let message = reply.error.expect("the route is taken").message;
+    assert_that!(
+        fixture.send_command(key, add("booking", route)).await.1.ok,
+        eq(true)
+    );
+    let (_, reply) = fixture.send_command(key, add("other", route)).await;
+    let message = reply.error.expect("route is already in use").message;
     assert_that!(
         message,
         contains_substring("already belongs to pool booking")
     );
     let other = add("other", "GET /bookings repeatable 4");
-    assert_that!(port.ask(key, other).await.1.ok, eq(true));
+    assert_that!(fixture.send_command(key, other).await.1.ok, eq(true));
 }
 
 #[tokio::test]
-async fn records_of_removed_servers_go_in_time() {
-    let port = port_after(&["pool add chat --kind model", ADD, "server remove m-1"]).await;
-    let (mut entry, _) = port.kv.entry("server/m-1").expect("the record is kept");
+async fn expired_tombstones_are_deleted() {
+    let fixture = fixture_after(&["pool add chat --kind model", ADD, "server remove m-1"]).await;
+    let (mut entry, _) = fixture.kv.entry("server/m-1").expect("tombstone is kept");
     let others = "--pool chat --zone a --slots 8 --control 10.0.0.2:1 --data 10.0.0.2:2";
-    port.change(10, &format!("server add m-2 {others}"))
+    fixture
+        .change(10, &format!("server add m-2 {others}"))
         .await
-        .expect("accepted");
-    assert_that!(port.kv.entry("server/m-1"), some(anything()));
-    // As if it had been removed long before.
+        .expect("change is accepted");
+    assert_that!(fixture.kv.entry("server/m-1"), some(anything()));
+    // Backdates the removal beyond the retention time.
     entry.at = 1;
-    port.kv.put("server/m-1", &entry);
-    port.change(11, "server remove m-2")
+    fixture.kv.put("server/m-1", &entry);
+    fixture
+        .change(11, "server remove m-2")
         .await
-        .expect("accepted");
-    port.change(12, &format!("server add m-2 {others}"))
+        .expect("change is accepted");
+    fixture
+        .change(12, &format!("server add m-2 {others}"))
         .await
-        .expect("accepted");
-    assert_that!(port.kv.entry("server/m-1"), none());
-    assert_that!(port.kv.entry("server/m-2"), some(anything()));
-    // One that is added again is no old record any more.
-    port.change(13, "server remove m-2")
+        .expect("change is accepted");
+    assert_that!(fixture.kv.entry("server/m-1"), none());
+    assert_that!(fixture.kv.entry("server/m-2"), some(anything()));
+    // A server that is added again is no longer a tombstone.
+    fixture
+        .change(13, "server remove m-2")
         .await
-        .expect("accepted");
-    let (mut entry, _) = port.kv.entry("server/m-2").expect("the record is kept");
+        .expect("change is accepted");
+    let (mut entry, _) = fixture.kv.entry("server/m-2").expect("tombstone is kept");
     entry.at = 1;
-    port.kv.put("server/m-2", &entry);
+    fixture.kv.put("server/m-2", &entry);
     let again = format!("server add m-2 {others}");
-    port.change(14, &again).await.expect("accepted");
-    assert_that!(port.kv.entry("server/m-2"), some(anything()));
+    fixture
+        .change(14, &again)
+        .await
+        .expect("change is accepted");
+    assert_that!(fixture.kv.entry("server/m-2"), some(anything()));
 }
--- a/crates/daemon/tests/operator/port.rs
+++ b/crates/daemon/tests/operator/fixture.rs
@@ -1,4 +1,4 @@
-//! A running port and its client.
+//! Test fixture of the operator API.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 
 use crate::kv::Memory;
 
-/// The key of operator `noor`.
+/// Bearer key of operator `noor`.
 pub const KEY: &str = "the-key-of-noor-1";
 
-/// The router behind the port.
+/// Stub of the router behind the API.
 #[derive(Default)]
-pub struct Router {
+pub struct StubRouter {
     pub config: Mutex<Config>,
 }
 
-impl RouterState for Router {
+impl RouterState for StubRouter {
     fn name(&self) -> &'static str {
         "entry-1"
     }
@@ -86,18 +86,18 @@
     }
 }
 
-/// A running port.
-pub struct Port {
+/// Operator API on an in-memory key-value service, with an HTTP client.
+pub struct Fixture {
     pub kv: Arc<Memory>,
-    pub router: Arc<Router>,
-    pub operator: Api,
+    pub router: Arc<StubRouter>,
+    pub api: Api,
 }
 
-impl Port {
-    /// Opens a port on an empty service.
+impl Fixture {
+    /// Starts the API on an empty key-value service.
     pub async fn open() -> Self {
         let kv = Arc::new(Memory::default());
-        let router = Arc::new(Router::default());
+        let router = Arc::new(StubRouter::default());
         let options = Options {
             address: ([127, 0, 0, 1], 0).into(),
             operators: vec![settings::Operator {
@@ -110,50 +110,46 @@
             router: router.clone(),
             logger: Logger::root(Discard, o!()),
         };
-        let operator = Api::bind(options).await.expect("a free port is bound");
-        Self {
-            kv,
-            router,
-            operator,
-        }
+        let api = Api::bind(options).await.expect("API starts on a free port");
+        Self { kv, router, api }
     }
 
-    /// Sends any request.
-    pub async fn send(&self, request: Request<Full<Bytes>>) -> (StatusCode, Bytes) {
-        let stream = TcpStream::connect(self.operator.address()).await;
-        let stream = TokioIo::new(stream.expect("the port is open"));
-        let (mut sender, connection) = http1::handshake(stream).await.expect("it speaks HTTP");
+    pub async fn send_request(&self, request: Request<Full<Bytes>>) -> (StatusCode, Bytes) {
+        let stream = TcpStream::connect(self.api.address()).await;
+        let stream = TokioIo::new(stream.expect("API accepts connections"));
+        let (mut sender, connection) = http1::handshake(stream)
+            .await
+            .expect("HTTP handshake succeeds");
         tokio::spawn(connection);
-        let response = sender.send_request(request).await.expect("it answers");
+        let response = sender.send_request(request).await.expect("API responds");
         let status = response.status();
         let body = response.into_body().collect().await;
-        (status, body.expect("the answer is whole").to_bytes())
+        (status, body.expect("response body is complete").to_bytes())
     }
 
-    /// Gets a path.
     pub async fn get(&self, path: &str) -> (StatusCode, Bytes) {
         let request = Request::get(path).header("host", "operators");
-        let request = request.body(Full::default()).expect("it is a request");
-        self.send(request).await
+        let request = request.body(Full::default()).expect("request is valid");
+        self.send_request(request).await
     }
 
-    /// Sends a command with a key.
-    pub async fn ask(&self, key: &str, body: String) -> (StatusCode, Reply) {
+    /// Sends a command body with a bearer key.
+    pub async fn send_command(&self, key: &str, body: String) -> (StatusCode, Reply) {
         let request = Request::post("/v1/command")
             .header("host", "operators")
             .header("authorization", format!("Bearer {key}"))
             .body(Full::from(body))
-            .expect("it is a request");
-        let (status, body) = self.send(request).await;
-        let reply = serde_json::from_slice(&body).expect("the answer is a reply");
+            .expect("request is valid");
+        let (status, body) = self.send_request(request).await;
+        let reply = serde_json::from_slice(&body).expect("response body is a reply");
         (status, reply)
     }
 
-    /// Sends a command under an identity.
+    /// Runs a command line under a command ID.
     pub async fn run(&self, command: u64, line: &str) -> Result<Answer, Refusal> {
         let words: Vec<&str> = line.split(' ').collect();
         let body = serde_json::json!({ "words": words, "command": command });
-        let (status, reply) = self.ask(KEY, body.to_string()).await;
+        let (status, reply) = self.send_command(KEY, body.to_string()).await;
         assert_eq!(status.is_success(), reply.ok);
         match (reply.answer, reply.error) {
             (Some(answer), None) => Ok(answer),
@@ -165,7 +161,7 @@
         }
     }
 
-    /// Sends a change under an identity.
+    /// Runs a command line that must be a change.
     pub async fn change(&self, command: u64, line: &str) -> Result<Written, Refusal> {
         match self.run(command, line).await? {
             Answer::Written(written) => Ok(written),
--- a/crates/daemon/tests/operator/kv.rs
+++ b/crates/daemon/tests/operator/kv.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory whose next writes fail on demand.
+//! In-memory key-value service with fault injection.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,20 +9,20 @@
 };
 use parking_lot::Mutex;
 
-/// What happens to a write instead of taking effect and being answered.
+/// Fault injected into a write.
 pub enum Fault {
-    /// It does not reach the service.
+    /// The request is not sent.
     Unsent,
-    /// Its answer is lost; it does not take effect.
-    LostBefore,
-    /// Its answer is lost after it took effect.
-    LostAfter,
-    /// Another operator writes first; then it is tried.
+    /// The request is lost; the write does not take effect.
+    RequestLost,
+    /// The response is lost; the write takes effect.
+    ResponseLost,
+    /// The given entry is written before the request is executed.
     Race(&'static str, Entry),
-    /// Its answer is lost after it took effect, and another operator writes.
-    LostAfterThen(&'static str, Entry),
-    /// Its answer is lost before it took effect, and another operator writes.
-    LostBeforeThen(&'static str, Entry),
+    /// The response is lost, and the given entry is written after the write.
+    ResponseLostThenWrite(&'static str, Entry),
+    /// The request is lost, and the given entry is written.
+    RequestLostThenWrite(&'static str, Entry),
 }
 
 #[derive(Default)]
@@ -34,46 +34,46 @@
     down: bool,
 }
 
-/// The service.
+/// In-memory key-value service.
 #[derive(Default)]
 pub struct Memory {
     state: Mutex<State>,
 }
 
 impl Memory {
-    /// Lets the next writes meet these faults, one each.
-    pub fn fail(&self, faults: impl IntoIterator<Item = Fault>) {
+    /// Injects faults into the next writes, one each.
+    pub fn inject(&self, faults: impl IntoIterator<Item = Fault>) {
         self.state.lock().faults.extend(faults);
     }
 
-    /// Lets every call fail to reach the service, or no longer.
+    /// Makes listings and writes fail as unsent while `down` is set.
     pub fn set_down(&self, down: bool) {
         self.state.lock().down = down;
     }
 
-    /// Writes that took effect.
+    /// Number of compare-and-swap writes that took effect.
     pub fn writes(&self) -> u64 {
         self.state.lock().writes
     }
 
-    /// The entry under a key below the configuration prefix.
+    /// Entry under a key, relative to the configuration prefix.
     pub fn entry(&self, key: &str) -> Option<(Entry, u64)> {
         let state = self.state.lock();
-        let (value, revision) = state.pairs.get(&full(key))?;
-        let entry = serde_json::from_slice(value).expect("the entry is readable");
+        let (value, revision) = state.pairs.get(&full_key(key))?;
+        let entry = serde_json::from_slice(value).expect("entry is valid JSON");
         Some((entry, *revision))
     }
 
-    /// Another operator's write.
+    /// Writes an entry unconditionally.
     pub fn put(&self, key: &str, entry: &Entry) -> u64 {
         put(&mut self.state.lock(), key, entry)
     }
 
     fn delete(&self, key: &str, expected: Expect) -> Swap {
         let mut state = self.state.lock();
-        let held = state.pairs.get(key);
-        if held.map(|(_, revision)| Expect::Revision(*revision)) != Some(expected) {
-            return Swap::Conflict(held.map(|held| pair(key, held)));
+        let stored = state.pairs.get(key);
+        if stored.map(|(_, revision)| Expect::Revision(*revision)) != Some(expected) {
+            return Swap::Conflict(stored.map(|stored| pair(key, stored)));
         }
         state.revision += 1;
         state.pairs.remove(key);
@@ -82,7 +82,7 @@
 
     fn write(&self, key: &str, expected: Expect, value: Vec<u8>) -> Result<Swap, Error> {
         let mut state = self.state.lock();
-        let lost = || Error::Unknown(HttpError::Disconnected("answer lost".to_owned()));
+        let lost = || Error::Unknown(HttpError::Disconnected("response lost".to_owned()));
         let unsent = || Error::Unsent(HttpError::Connect("refused".to_owned()));
         if state.down {
             return Err(unsent());
@@ -90,8 +90,8 @@
         match state.faults.pop_front() {
             None => Ok(apply(&mut state, key, expected, value)),
             Some(Fault::Unsent) => Err(unsent()),
-            Some(Fault::LostBefore) => Err(lost()),
-            Some(Fault::LostAfter) => {
+            Some(Fault::RequestLost) => Err(lost()),
+            Some(Fault::ResponseLost) => {
                 apply(&mut state, key, expected, value);
                 Err(lost())
             }
@@ -99,15 +99,15 @@
                 put(&mut state, other, &entry);
                 Ok(apply(&mut state, key, expected, value))
             }
-            Some(Fault::LostAfterThen(other, mut entry)) => {
+            Some(Fault::ResponseLostThenWrite(other, mut entry)) => {
                 apply(&mut state, key, expected, value);
-                let (held, revision) = &state.pairs[&full(other)];
-                let held: Entry = serde_json::from_slice(held).expect("the entry is readable");
-                entry.earlier = mulberryyoke_decide::cas::history(&held, *revision);
+                let (stored, revision) = &state.pairs[&full_key(other)];
+                let stored: Entry = serde_json::from_slice(stored).expect("entry is valid JSON");
+                entry.earlier = mulberryyoke_decide::cas::history(&stored, *revision);
                 put(&mut state, other, &entry);
                 Err(lost())
             }
-            Some(Fault::LostBeforeThen(other, entry)) => {
+            Some(Fault::RequestLostThenWrite(other, entry)) => {
                 put(&mut state, other, &entry);
                 Err(lost())
             }
@@ -115,27 +115,27 @@
     }
 }
 
-fn full(key: &str) -> String {
+fn full_key(key: &str) -> String {
     format!("/test/config/{key}")
 }
 
 fn put(state: &mut State, key: &str, entry: &Entry) -> u64 {
-    let value = serde_json::to_vec(entry).expect("an entry has a JSON form");
+    let value = serde_json::to_vec(entry).expect("entry serializes to JSON");
     state.revision += 1;
     let revision = state.revision;
-    state.pairs.insert(full(key), (value, revision));
+    state.pairs.insert(full_key(key), (value, revision));
     revision
 }
 
 fn apply(state: &mut State, key: &str, expected: Expect, value: Vec<u8>) -> Swap {
-    let held = state.pairs.get(key);
-    let as_expected = match expected {
-        Expect::Absent => held.is_none(),
-        Expect::Revision(revision) => held.is_some_and(|(_, held)| *held == revision),
+    let stored = state.pairs.get(key);
+    let matches = match expected {
+        Expect::Absent => stored.is_none(),
+        Expect::Revision(revision) => stored.is_some_and(|(_, stored)| *stored == revision),
         Expect::Any => true,
     };
-    if !as_expected {
-        return Swap::Conflict(held.map(|held| pair(key, held)));
+    if !matches {
+        return Swap::Conflict(stored.map(|stored| pair(key, stored)));
     }
     state.revision += 1;
     state.writes += 1;
@@ -153,7 +153,7 @@
     }
 }
 
-/// An entry as another operator's command would have written it.
+/// Entry written by another operator's command.
 pub fn entry(operator: &str, command: u64, object: Object) -> Entry {
     Entry {
         command,
@@ -172,18 +172,23 @@
             let error = Error::Unsent(HttpError::Connect("refused".to_owned()));
             return Box::pin(std::future::ready(Err(error)));
         }
-        let within = state.pairs.range(prefix.to_owned()..);
-        let within = within.take_while(|(key, _)| key.starts_with(prefix));
+        let matching = state.pairs.range(prefix.to_owned()..);
+        let matching = matching.take_while(|(key, _)| key.starts_with(prefix));
         let listing = Listing {
             revision: state.revision,
-            entries: within.map(|(key, held)| pair(key, held)).collect(),
+            entries: matching.map(|(key, stored)| pair(key, stored)).collect(),
         };
         Box::pin(std::future::ready(Ok(listing)))
     }
 
     fn get<'a>(&'a self, key: &'a str) -> Call<'a, Option<Pair>> {
-        let held = self.state.lock().pairs.get(key).map(|held| pair(key, held));
-        Box::pin(std::future::ready(Ok(held)))
+        let stored = self
+            .state
+            .lock()
+            .pairs
+            .get(key)
+            .map(|stored| pair(key, stored));
+        Box::pin(std::future::ready(Ok(stored)))
     }
 
     fn swap<'a>(
@@ -201,18 +206,18 @@
     }
 
     fn watch<'a>(&'a self, _prefix: &'a str, _from: u64) -> Call<'a, Watch> {
-        unreachable!("the operators' port does not watch")
+        unreachable!("the operator API does not watch keys")
     }
 
     fn lease_grant(&self, _ttl_ms: u64) -> Call<'_, Lease> {
-        unreachable!("the operators' port takes no lease")
+        unreachable!("the operator API uses no leases")
     }
 
     fn lease_keep_alive(&self, _id: LeaseId) -> Call<'_, Lease> {
-        unreachable!("the operators' port takes no lease")
+        unreachable!("the operator API uses no leases")
     }
 
     fn lease_revoke(&self, _id: LeaseId) -> Call<'_, ()> {
-        unreachable!("the operators' port takes no lease")
+        unreachable!("the operator API uses no leases")
     }
 }
--- a/crates/daemon/tests/operator/main.rs
+++ b/crates/daemon/tests/operator/main.rs
@@ -1,8 +1,8 @@
-//! The operators' port on a key-value service that fails on demand.
+//! Tests the operator API on a key-value service with fault injection.
 
 mod access;
 mod changes;
 mod faults;
+mod fixture;
 mod kv;
-mod port;
 mod queries;
--- a/crates/daemon/tests/operator/queries.rs
+++ b/crates/daemon/tests/operator/queries.rs
@@ -1,51 +1,60 @@
-//! Answers that change nothing.
+//! Read-only commands.
 
 use googletest::prelude::*;
 use mulberryyoke_command::answer::{Answer, Code};
 use mulberryyoke_model::{Change, Kind, Object, Outcome, Pool};
 
-use crate::port::Port;
+use crate::fixture::Fixture;
 
-async fn nodes(port: &Port, line: &str) -> Vec<String> {
-    match port.run(1, line).await {
+async fn nodes(fixture: &Fixture, line: &str) -> Vec<String> {
+    match fixture.run(1, line).await {
         Ok(Answer::Status(status)) => status.nodes.into_iter().map(|node| node.name).collect(),
         other => panic!("not a status: {other:?}"),
     }
 }
 
 #[tokio::test]
-async fn lagging_nodes_are_named() {
-    let port = Port::open().await;
-    let all = nodes(&port, "status").await;
+async fn nodes_behind_a_revision_are_listed() {
+    let fixture = Fixture::open().await;
+    let all = nodes(&fixture, "status").await;
     assert_that!(all, elements_are![eq("entry-1"), eq("entry-2"), eq("m-1")]);
-    let behind = nodes(&port, "status --behind 5").await;
+    let behind = nodes(&fixture, "status --behind 5").await;
     assert_that!(behind, elements_are![eq("entry-2"), eq("m-1")]);
     assert_that!(
-        nodes(&port, "status --behind 4").await,
+        nodes(&fixture, "status --behind 4").await,
         elements_are![eq("entry-2")]
     );
 }
 
 #[tokio::test]
-async fn history_names_every_write_with_its_author() {
-    let port = Port::open().await;
-    port.run(1, "customer add scouts").await.expect("accepted");
-    port.run(2, "customer add guides").await.expect("accepted");
+async fn history_lists_recorded_writes() {
+    let fixture = Fixture::open().await;
+    fixture
+        .run(1, "customer add scouts")
+        .await
+        .expect("change is accepted");
+    fixture
+        .run(2, "customer add guides")
+        .await
+        .expect("change is accepted");
     for command in 3..15 {
         let line = format!("customer set scouts --share {command}");
-        port.run(command, &line).await.expect("accepted");
+        fixture
+            .run(command, &line)
+            .await
+            .expect("change is accepted");
     }
-    let Ok(Answer::History(writes)) = port.run(20, "config history").await else {
+    let Ok(Answer::History(writes)) = fixture.run(20, "config history").await else {
         panic!("not a history");
     };
-    // The latest write of each key and at most eight before it.
+    // Each key has its latest write and at most eight earlier ones.
     let commands: Vec<u64> = writes.iter().map(|write| write.command).collect();
     assert_that!(commands, container_eq([14, 13, 12, 11, 10, 9, 8, 7, 6, 2]));
     assert_that!(writes[0].words, eq("customer set scouts --share 14"));
     assert_that!(writes[0].operator, eq("noor"));
     assert_that!(writes[0].revision, eq(14));
     let line = "config history --key customer/g --limit 5";
-    let Ok(Answer::History(writes)) = port.run(21, line).await else {
+    let Ok(Answer::History(writes)) = fixture.run(21, line).await else {
         panic!("not a history");
     };
     assert_that!(writes.len(), eq(1));
@@ -53,24 +62,24 @@
 
 #[tokio::test]
 async fn configured_objects_are_listed_by_kind() {
-    let port = Port::open().await;
+    let fixture = Fixture::open().await;
     let object = Object::Pool(Pool {
         name: "chat".to_owned(),
         kind: Kind::Model,
         routes: Vec::new(),
     });
-    port.router.config.lock().apply(Change {
+    fixture.router.config.lock().apply(Change {
         key: object.key(),
         revision: 6,
         object: Some(object),
     });
     for (line, count) in [("pool list", 1), ("customer list", 0), ("config show", 1)] {
-        let Ok(Answer::Items(items)) = port.run(1, line).await else {
+        let Ok(Answer::Items(items)) = fixture.run(1, line).await else {
             panic!("{line}: not a list");
         };
         assert_that!(items.len(), eq(count), "{line}");
     }
-    let missing = port.run(1, "customer show scouts").await;
+    let missing = fixture.run(1, "customer show scouts").await;
     assert_that!(
         missing.map_err(|refusal| refusal.code),
         err(eq(&Code::Missing))
@@ -78,11 +87,11 @@
 }
 
 #[tokio::test]
-async fn a_request_that_does_not_wait_has_an_outcome() {
-    let port = Port::open().await;
+async fn a_request_that_is_not_waiting_has_an_outcome() {
+    let fixture = Fixture::open().await;
     let line = "waiting --request 00000000000000ff-1c";
-    let Ok(Answer::Waiting(waiting)) = port.run(1, line).await else {
-        panic!("not who is waiting");
+    let Ok(Answer::Waiting(waiting)) = fixture.run(1, line).await else {
+        panic!("not a list of waiting requests");
     };
     assert_that!(waiting.outcome, some(eq(Outcome::Ran)));
 }
