--- a/crates/daemon/src/operator/executor.rs
+++ b/crates/daemon/src/operator/executor.rs
@@ -79,8 +79,8 @@
     async fn config(&self, action: Option<&ConfigAction>) -> Result<Answer, Refusal> {
         match action {
             Some(ConfigAction::History(history)) => {
-                let current = self.list(&history.key).await?;
-                Ok(query::history(&current, history.limit))
+                let listing = self.list(&history.key).await?;
+                Ok(query::history(&listing, history.limit))
             }
             Some(ConfigAction::Show(show)) => {
                 Ok(query::items(&self.router.config(), &show.key, |_| true))
