--- a/crates/daemon/src/operator/store.rs
+++ b/crates/daemon/src/operator/store.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// Resolves a conflicting compare-and-swap. The write may be of the same command, by this or
-/// another router. `uncertain` is set if a response was lost.
+/// Resolves a conflicting compare-and-swap. The key may have been written by the same command,
+/// through this or another router. `uncertain` is set if an earlier response was lost.
 fn resolve_conflict(
     key: &str,
     expected: &Snapshot,
--- a/crates/daemon/tests/operator/kv.rs
+++ b/crates/daemon/tests/operator/kv.rs
@@ -46,7 +46,7 @@
         self.state.lock().faults.extend(faults);
     }
 
-    /// Makes listings and writes fail as unsent while `down` is set.
+    /// Sets whether listings and writes fail as if the service were unreachable.
     pub fn set_down(&self, down: bool) {
         self.state.lock().down = down;
     }
