--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -1,4 +1,4 @@
-//! Placing requests that must run at most once: only at their key's home.
+//! Places requests that must run at most once on their key's home server.
 
 use std::sync::Arc;
 
@@ -16,7 +16,8 @@
 use super::wait::{self, Waited};
 use crate::clock;
 
-/// Finds a slot at the key's home. Former homes have to give a withdrawal first.
+/// Finds a slot on the key's home server, after every former home has confirmed a
+/// withdrawal of the key.
 pub(crate) async fn place(
     core: &Arc<Core>,
     call: &Call,
@@ -37,27 +38,26 @@
         if baseline || at_once && take_free(core, call, &link) {
             return Ok(Place::direct(&link));
         }
-        let gone = gone(core, call, key, &link);
-        match wait::wait(core, call, Some(current), again, gone).await? {
+        let home_lost = home_lost(core, call, key, &link);
+        match wait::wait(core, call, Some(current), again, home_lost).await? {
             Waited::Place(place) => return Ok(place),
             Waited::Moved => (at_once, again) = (true, true),
         }
     }
 }
 
-/// Takes a slot that should be free, if nothing else waits. Without an order
-/// nothing waits here at all.
+/// Takes a slot that should be free, unless other requests are queued. The baseline
+/// policy has no queue in the router.
 fn take_free(core: &Core, call: &Call, link: &Link) -> bool {
     if core.settings.policy == Policy::Baseline {
         return link.standing.is_open();
     }
-    let none_waits = core.rooms.get(call.pool).is_empty();
-    none_waits && link.standing.is_open() && link.standing.take_free()
+    let queue_is_empty = core.rooms.get(call.pool).is_empty();
+    queue_is_empty && link.standing.is_open() && link.standing.take_free()
 }
 
-/// Resolves when waiting for a home has become pointless: when the key has
-/// another one, or when its sidecar does not answer.
-async fn gone(
+/// Resolves when the key's home has changed or its sidecar no longer responds.
+async fn home_lost(
     core: &Arc<Core>,
     call: &Call,
     key: Key,
@@ -66,9 +66,9 @@
     let mut revision = core.fleet.watch();
     loop {
         tokio::select! {
-            () = link.wait_silent() => return Err(silent()),
+            () = link.wait_silent() => return Err(home_unresponsive()),
             changed = revision.changed() => if changed.is_err() {
-                return Err(silent());
+                return Err(home_unresponsive());
             }
         }
         if homes(core, call, key).current != Some(link.id) {
@@ -77,8 +77,7 @@
     }
 }
 
-/// The only server that may run the request does not answer.
-fn silent() -> Refusal {
+fn home_unresponsive() -> Refusal {
     let message = "the only server that may run this request does not answer";
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "home_silent", message).retry_after(SOON_S)
 }
@@ -95,8 +94,8 @@
     Some(core.links.require(core, server))
 }
 
-/// Makes sure that the key never starts at a former home. It counts as sent there:
-/// should the sidecar fail and forget the bar, this router will tell it.
+/// Prevents the key from starting on a former home. The key is recorded as sent
+/// there, so that a restarted sidecar learns of it from this router.
 async fn withdraw(
     core: &Arc<Core>,
     call: &Call,
--- a/crates/daemon/src/router/keys.rs
+++ b/crates/daemon/src/router/keys.rs
@@ -1,18 +1,18 @@
-//! Idempotency keys that this router sent to servers.
+//! Idempotency keys that this router has sent to servers.
 
 use std::collections::{HashMap, VecDeque};
 
 use mulberryyoke_model::{KeyId, Millis, ServerId};
 use parking_lot::Mutex;
 
-/// Keys remembered for one server.
-const MOST: usize = 65_536;
+/// Maximum number of keys stored per server.
+const MAX_KEYS: usize = 65_536;
 
 #[derive(Debug, Default)]
 struct Sent {
     keys: VecDeque<(Millis, KeyId)>,
-    /// Up to this instant keys may be missing.
-    lost_until: Millis,
+    /// Keys sent up to this time may have been evicted.
+    evicted_until: Millis,
 }
 
 impl Sent {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Keys sent and not proved not run, by server, for the retention time.
+/// Sent keys by server, kept for the retention time unless known not to have run.
 #[derive(Debug)]
 pub(crate) struct Keys {
     started_at: Millis,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Remembers a key that is about to be sent.
+    /// Records a key that is about to be sent.
     pub(crate) fn remember(&self, server: ServerId, key: KeyId, now: Millis) {
         let mut sent = self.sent.lock();
         let sent = sent.entry(server).or_default();
@@ -47,40 +47,41 @@
         while sent.keys.front().is_some_and(|&(at, _)| at < oldest) {
             sent.keys.pop_front();
         }
-        if sent.keys.len() == MOST
+        if sent.keys.len() == MAX_KEYS
             && let Some((at, _)) = sent.keys.pop_front()
         {
-            sent.lost_until = at;
+            sent.evicted_until = at;
         }
         sent.keys.push_back((now, key));
     }
 
-    /// Forgets one sending of a key that is proved not to have run.
+    /// Removes the latest record of a key that is known not to have run.
     pub(crate) fn forget(&self, server: ServerId, key: KeyId) {
         let mut sent = self.sent.lock();
         let Some(sent) = sent.get_mut(&server) else {
             return;
         };
-        if let Some(index) = sent.keys.iter().rposition(|&(_, held)| held == key) {
+        if let Some(index) = sent.keys.iter().rposition(|&(_, sent_key)| sent_key == key) {
             sent.keys.remove(index);
         }
     }
 
-    /// Keys sent to a server since an instant, and whether that is all of them.
+    /// Returns whether the list is complete, and the keys sent to a server since `since`.
     pub(crate) fn recall(&self, server: ServerId, since: Millis) -> (bool, Vec<KeyId>) {
         let sent = self.sent.lock();
         let Some(sent) = sent.get(&server) else {
             return (true, Vec::new());
         };
-        (sent.lost_until < since, sent.recent(since))
+        (sent.evicted_until < since, sent.recent(since))
     }
 
-    /// Keys sent to a server since an instant, and from when on none is missing.
+    /// Returns the time from which the list is complete, and the keys sent to a server
+    /// since `since`.
     pub(crate) fn since(&self, server: ServerId, since: Millis) -> (Millis, Vec<KeyId>) {
         let sent = self.sent.lock();
         let Some(sent) = sent.get(&server) else {
             return (self.started_at, Vec::new());
         };
-        (self.started_at.max(sent.lost_until), sent.recent(since))
+        (self.started_at.max(sent.evicted_until), sent.recent(since))
     }
 }
--- a/crates/daemon/src/router/look.rs
+++ b/crates/daemon/src/router/look.rs
@@ -1,4 +1,4 @@
-//! How much of the waiting requests one sidecar is told.
+//! Selects the demand that is declared to one sidecar.
 
 use mulberryyoke_decide::declare::{self, DeclaredDemand};
 use mulberryyoke_decide::queue::Queue;
@@ -6,7 +6,7 @@
 
 use super::waiter::Waiter;
 
-/// What decides how much of the queue a sidecar is told.
+/// Inputs that decide which demand is declared to a sidecar.
 #[derive(Debug)]
 pub(crate) struct Look<'a> {
     pub(crate) server: ServerId,
@@ -17,17 +17,17 @@
     /// Servers of the pool that may get new work.
     pub(crate) open: Vec<ServerId>,
     pub(crate) now: Millis,
-    /// What the sidecar was told.
+    /// Demand declared to the sidecar so far.
     pub(crate) told: &'a DeclaredDemand,
-    /// Whether every customer is looked at, not only those with changes.
+    /// Whether to include all customers, not only changed ones.
     pub(crate) all: bool,
 }
 
 impl Look<'_> {
-    /// What the sidecar is to be told of a customer.
+    /// Returns the demand of a customer to declare to the sidecar.
     pub(crate) fn interest(&self, queue: &Queue<Waiter>, customer: CustomerId) -> Interest {
         let interest = queue.interest(customer, self.server);
-        if !self.closed && self.wants(queue, &interest) {
+        if !self.closed && self.should_declare(queue, &interest) {
             return interest;
         }
         Interest {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// What was told is kept up, so that nothing is told to take it back early.
-    fn wants(&self, queue: &Queue<Waiter>, interest: &Interest) -> bool {
+    /// Declared demand stays declared while requests wait, which avoids early retractions.
+    fn should_declare(&self, queue: &Queue<Waiter>, interest: &Interest) -> bool {
         let customer = interest.customer;
         self.has_free
             || self.told.contains(customer)
--- a/crates/daemon/src/router/memory.rs
+++ b/crates/daemon/src/router/memory.rs
@@ -1,31 +1,30 @@
-//! What became of this router's latest requests.
+//! Outcomes of this router's most recent requests.
 
 use std::collections::VecDeque;
 
 use mulberryyoke_model::{Attempt, KeyId, Outcome, ServerId};
 use parking_lot::Mutex;
 
-/// Requests remembered; older ones are answered "unknown".
-const MOST: usize = 65_536;
+/// Maximum number of records; the outcome of older requests is reported as unknown.
+const MAX_RECORDS: usize = 65_536;
 
-/// What is remembered of a request.
+/// The stored state of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Record {
-    /// What is known of it.
     pub(crate) outcome: Outcome,
-    /// The server it was last sent to.
+    /// The server of the latest attempt.
     pub(crate) server: Option<ServerId>,
-    /// The number of that attempt.
+    /// The number of the latest attempt.
     pub(crate) attempt: u8,
-    /// Its key, if it must run at most once.
+    /// The idempotency key, if the request must run at most once.
     pub(crate) key: Option<KeyId>,
-    /// Attempts that are not proved not to have run.
-    doubts: u8,
+    /// Number of attempts that may have run.
+    unresolved: u8,
 }
 
 #[derive(Debug, Default)]
 struct Records {
-    /// Number of the first record.
+    /// Sequence number of the first record.
     first: u64,
     records: VecDeque<Record>,
 }
@@ -37,31 +36,31 @@
     }
 }
 
-/// The latest requests, by sequence number.
+/// Records of the most recent requests by sequence number.
 #[derive(Debug, Default)]
 pub(crate) struct Memory {
     records: Mutex<Records>,
 }
 
 impl Memory {
-    /// Takes the next sequence number.
+    /// Adds a record and returns its sequence number.
     pub(crate) fn open(&self) -> u64 {
-        let mut held = self.records.lock();
-        if held.records.len() == MOST {
-            held.records.pop_front();
-            held.first += 1;
+        let mut records = self.records.lock();
+        if records.records.len() == MAX_RECORDS {
+            records.records.pop_front();
+            records.first += 1;
         }
-        held.records.push_back(Record {
+        records.records.push_back(Record {
             outcome: Outcome::Waiting,
             server: None,
             attempt: 0,
             key: None,
-            doubts: 0,
+            unresolved: 0,
         });
-        held.first + held.records.len() as u64 - 1
+        records.first + records.records.len() as u64 - 1
     }
 
-    /// Records that an attempt is about to be sent; it counts as a doubt until
+    /// Records that an attempt is about to be sent. It counts as unresolved until
     /// [`Memory::prove`].
     pub(crate) fn send(&self, request: u64, attempt: u8, server: ServerId, key: Option<KeyId>) {
         if let Some(record) = self.records.lock().get_mut(request) {
@@ -69,21 +68,21 @@
             record.server = Some(server);
             record.attempt = attempt;
             record.key = key;
-            record.doubts = record.doubts.saturating_add(1);
+            record.unresolved = record.unresolved.saturating_add(1);
         }
     }
 
-    /// Records that one attempt is proved not to have run.
+    /// Records that one attempt is known not to have run.
     pub(crate) fn prove(&self, request: u64) {
         if let Some(record) = self.records.lock().get_mut(request) {
-            record.doubts = record.doubts.saturating_sub(1);
-            if record.doubts == 0 && record.outcome == Outcome::Unknown {
+            record.unresolved = record.unresolved.saturating_sub(1);
+            if record.unresolved == 0 && record.outcome == Outcome::Unknown {
                 record.outcome = Outcome::NotRun;
             }
         }
     }
 
-    /// Records what a sidecar says became of an attempt that was given up.
+    /// Records the outcome that a sidecar reports for an abandoned attempt.
     pub(crate) fn learn(&self, attempt: Attempt, outcome: Outcome) {
         if !matches!(outcome, Outcome::Ran | Outcome::Cut) {
             return;
@@ -95,19 +94,19 @@
         }
     }
 
-    /// Records that the request waits again.
+    /// Records that the request is queued again.
     pub(crate) fn wait(&self, request: u64) {
         self.settle(request, Outcome::Waiting);
     }
 
-    /// Records what its caller was told.
+    /// Records the outcome reported to the caller.
     pub(crate) fn settle(&self, request: u64, outcome: Outcome) {
         if let Some(record) = self.records.lock().get_mut(request) {
             record.outcome = outcome;
         }
     }
 
-    /// What is remembered of a request.
+    /// Returns the record of a request.
     pub(crate) fn get(&self, request: u64) -> Option<Record> {
         self.records.lock().get_mut(request).copied()
     }
--- a/crates/daemon/src/router/pending.rs
+++ b/crates/daemon/src/router/pending.rs
@@ -1,4 +1,4 @@
-//! Answers that have not come yet, and what their heads say.
+//! Pending responses and the sidecar's verdict in their headers.
 
 use std::pin::Pin;
 
@@ -9,14 +9,15 @@
 use hyper::{Request, Response};
 use mulberryyoke_wire::{Verdict, verdict};
 
-/// An answer that has not come yet.
+/// A future that resolves to the response head.
 pub(crate) type Pending = Pin<
     Box<dyn Future<Output = Result<Response<Incoming>, TrySendError<Request<Full<Bytes>>>>> + Send>,
 >;
 
-/// The sidecar's verdict on a response; one that cannot be read proves nothing.
+/// Returns the sidecar's verdict on a response. An unparsable verdict counts as
+/// [`Verdict::Broken`].
 pub(crate) fn verdict_of(response: &Response<Incoming>) -> Option<Verdict> {
-    let word = response.headers().get(verdict::HEADER)?;
-    let verdict = word.to_str().ok().and_then(Verdict::parse);
+    let value = response.headers().get(verdict::HEADER)?;
+    let verdict = value.to_str().ok().and_then(Verdict::parse);
     Some(verdict.unwrap_or(Verdict::Broken))
 }
--- a/crates/daemon/src/router/place.rs
+++ b/crates/daemon/src/router/place.rs
@@ -1,11 +1,11 @@
-//! A server that a request is to be sent to.
+//! The server selected for a request.
 
 use std::sync::Arc;
 
 use super::link::Link;
 
-/// A server with a slot for a request: reserved by a grant, or thought free.
-/// A reserved slot that is not used is given back.
+/// A slot on a server, either reserved by a grant or assumed to be free.
+/// Dropping it declines an unused grant.
 #[derive(Debug)]
 pub(crate) struct Place {
     pub(crate) link: Arc<Link>,
@@ -13,7 +13,7 @@
 }
 
 impl Place {
-    /// A slot that the sidecar has reserved.
+    /// Creates a place for a slot that the sidecar has reserved.
     pub(crate) fn granted(link: &Arc<Link>, grant: u64) -> Self {
         Self {
             link: Arc::clone(link),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A slot that should be free.
+    /// Creates a place for a slot that is assumed to be free.
     pub(crate) fn direct(link: &Arc<Link>) -> Self {
         Self {
             link: Arc::clone(link),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes the grant for use.
+    /// Takes the grant, which is then no longer declined on drop.
     pub(crate) fn take(&mut self) -> Option<u64> {
         self.grant.take()
     }
--- a/crates/daemon/src/router/room.rs
+++ b/crates/daemon/src/router/room.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one pool.
+//! The request queue of one pool.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
     changes: ChangeLog,
 }
 
-/// The waiting requests of one pool, with a log of changes for the links.
+/// The request queue of one pool, with a change log for the links.
 #[derive(Debug)]
 pub(crate) struct Room {
     pub(crate) pool: PoolId,
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Tells when something has changed.
+    /// Subscribes to the number of the latest change.
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -44,10 +44,10 @@
         self.state.lock().queue.is_empty()
     }
 
-    pub(crate) fn push(&self, waiting: Entry<Waiter>) -> EntryKey {
-        let customer = waiting.customer;
+    pub(crate) fn push(&self, entry: Entry<Waiter>) -> EntryKey {
+        let customer = entry.customer;
         let mut state = self.state.lock();
-        let key = state.queue.push(waiting);
+        let key = state.queue.push(entry);
         let number = state.changes.record(customer);
         drop(state);
         self.changed.send_replace(number);
@@ -56,44 +56,44 @@
 
     pub(crate) fn remove(&self, key: EntryKey) -> Option<Entry<Waiter>> {
         let mut state = self.state.lock();
-        let waiting = state.queue.remove(key)?;
-        let number = state.changes.record(waiting.customer);
+        let entry = state.queue.remove(key)?;
+        let number = state.changes.record(entry.customer);
         drop(state);
         self.changed.send_replace(number);
-        Some(waiting)
+        Some(entry)
     }
 
-    /// Takes the customer's next request for a server out of all that are open.
+    /// Removes the customer's next request for `server`, given the pool's open servers.
     pub(crate) fn take(
         &self,
         customer: CustomerId,
         server: ServerId,
         open: &[ServerId],
     ) -> Option<Entry<Waiter>> {
-        let warm = |waiter: &Waiter| {
+        let prefers_server = |waiter: &Waiter| {
             let prefix = waiter.prefix;
-            let warmest = prefix.and_then(|prefix| prefix.preferred_server(open.iter().copied()));
-            warmest == Some(server)
+            let preferred = prefix.and_then(|prefix| prefix.preferred_server(open.iter().copied()));
+            preferred == Some(server)
         };
         let mut state = self.state.lock();
-        let waiting = state.queue.pop(customer, server, warm)?;
+        let entry = state.queue.pop(customer, server, prefers_server)?;
         let number = state.changes.record(customer);
         drop(state);
         self.changed.send_replace(number);
-        Some(waiting)
+        Some(entry)
     }
 
-    /// Takes out the customer's request that would go last.
+    /// Removes the customer's last request in queue order.
     pub(crate) fn displace(&self, customer: CustomerId) -> Option<Entry<Waiter>> {
         let key = self.state.lock().queue.back(customer)?;
         self.remove(key)
     }
 
-    /// Raises deferrable requests whose deadline is near.
+    /// Promotes deferrable requests whose deadline is near.
     pub(crate) fn raise(&self, now: Millis) {
         let mut state = self.state.lock();
-        let raised = state.queue.promote(now);
-        let numbers = raised
+        let promoted = state.queue.promote(now);
+        let numbers = promoted
             .into_iter()
             .map(|customer| state.changes.record(customer));
         let Some(number) = numbers.last() else {
@@ -103,8 +103,8 @@
         self.changed.send_replace(number);
     }
 
-    /// What a sidecar is to be told: of customers changed since `seen`, which
-    /// becomes the latest change, or of every customer.
+    /// Returns the demand to declare to a sidecar: of every customer, or of those
+    /// changed since `seen`. Sets `seen` to the latest change.
     pub(crate) fn interest(&self, seen: &mut u64, look: &Look<'_>) -> Vec<Interest> {
         let state = self.state.lock();
         let since = std::mem::replace(seen, state.changes.latest());
@@ -122,15 +122,15 @@
             .collect()
     }
 
-    /// Marks customers whose requests have waited for so long since `before`
-    /// that more sidecars are to be told.
+    /// Records a change for customers whose demand has to be declared to more sidecars,
+    /// because a request has waited for another doubling interval since `before`.
     pub(crate) fn spread(&self, before: Millis, now: Millis) {
         let mut state = self.state.lock();
         let steps = |since: Millis, at: Millis| at.saturating_sub(since) / FANOUT_DOUBLING_MS;
-        let waiting = state.queue.iter().map(|(_, waiting)| waiting);
-        let longer =
-            waiting.filter(|held| steps(held.arrived_at, before) < steps(held.arrived_at, now));
-        let customers: HashSet<CustomerId> = longer.map(|waiting| waiting.customer).collect();
+        let entries = state.queue.iter().map(|(_, entry)| entry);
+        let due =
+            entries.filter(|entry| steps(entry.arrived_at, before) < steps(entry.arrived_at, now));
+        let customers: HashSet<CustomerId> = due.map(|entry| entry.customer).collect();
         let marked = customers
             .into_iter()
             .map(|customer| state.changes.record(customer));
@@ -141,7 +141,7 @@
         self.changed.send_replace(number);
     }
 
-    /// Reads the queue for introspection.
+    /// Calls `read` with the queue locked.
     pub(crate) fn read<T>(&self, read: impl FnOnce(&Queue<Waiter>) -> T) -> T {
         read(&self.state.lock().queue)
     }
--- a/crates/daemon/src/router/rooms.rs
+++ b/crates/daemon/src/router/rooms.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of every pool.
+//! The request queues of all pools.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,14 +8,14 @@
 
 use super::room::Room;
 
-/// A room for each pool that was ever asked for.
+/// Request queues by pool, created on first use.
 #[derive(Debug, Default)]
 pub(crate) struct Rooms {
     rooms: ArcSwap<HashMap<PoolId, Arc<Room>>>,
 }
 
 impl Rooms {
-    /// The room of a pool, made if there is none.
+    /// Returns the queue of a pool, creating it if necessary.
     pub(crate) fn get(&self, pool: PoolId) -> Arc<Room> {
         if let Some(room) = self.rooms.load().get(&pool) {
             return Arc::clone(room);
@@ -29,7 +29,6 @@
         Arc::clone(&self.rooms.load()[&pool])
     }
 
-    /// Every room.
     pub(crate) fn all(&self) -> Vec<Arc<Room>> {
         self.rooms.load().values().cloned().collect()
     }
--- a/crates/daemon/src/router/waiter.rs
+++ b/crates/daemon/src/router/waiter.rs
@@ -1,4 +1,4 @@
-//! What is kept with a waiting request.
+//! Queue payload of a waiting request.
 
 use mulberryyoke_decide::placement::PromptPrefix;
 use mulberryyoke_model::Attempt;
@@ -6,16 +6,16 @@
 
 use super::place::Place;
 
-/// What ends a request's wait.
+/// The result of a request's wait.
 #[derive(Debug)]
 pub(crate) enum Turn {
-    /// A server has a slot for it.
+    /// A slot was found.
     Go(Place),
-    /// It has to go because too much waits here.
+    /// The request was removed because the queue is full.
     Displaced,
 }
 
-/// What is kept with a waiting request.
+/// Data stored with a queued request.
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub(crate) attempt: Attempt,
