--- a/crates/daemon/src/router/link.rs
+++ b/crates/daemon/src/router/link.rs
@@ -1,11 +1,11 @@
-//! One sidecar as a router knows it: control link, data connection, standing.
+//! A router's connections to one sidecar, and the state it knows of it.
 
+mod config_sync;
 mod control;
 mod data;
 mod error;
 mod session;
 mod standing;
-mod teacher;
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,10 +23,10 @@
 pub(crate) use error::Error;
 use standing::Standing;
 
-/// Heartbeats without an answer after which a sidecar counts as silent.
+/// Missed heartbeats after which a sidecar counts as unresponsive.
 const SILENT_HEARTBEATS: u32 = 3;
 
-/// A sidecar that the router is, or tries to be, connected to.
+/// A sidecar that the router is connected or connecting to.
 #[derive(Debug)]
 pub(crate) struct Link {
     pub(crate) id: ServerId,
@@ -44,8 +44,7 @@
 }
 
 impl Link {
-    /// Starts to connect to a server's sidecar and stays connected until
-    /// [`Link::stop`].
+    /// Spawns the task that keeps the sidecar connected until [`Link::stop`].
     pub(crate) fn spawn(core: &Arc<Core>, server: &Arc<Server>) -> Arc<Self> {
         let heartbeat = Duration::from_millis(core.settings.heartbeat_ms);
         let link = Arc::new(Self {
@@ -66,19 +65,19 @@
         link
     }
 
-    /// Ends the link. Answers on its data connection go on.
+    /// Closes the link. Responses in progress on its data connection continue.
     pub(crate) fn stop(&self) {
         self.cancel.cancel();
     }
 
-    /// Allows or forbids new work, as configuration and VM list say.
+    /// Sets whether the server is closed to new work by configuration or VM list.
     pub(crate) fn set_closed(&self, closed: bool) {
         if self.standing.closed.swap(closed, Ordering::Relaxed) != closed {
             self.reconsider.notify_one();
         }
     }
 
-    /// Waits until there is a control link, or the sidecar is silent.
+    /// Waits until the control link is connected or the sidecar is unresponsive.
     pub(crate) async fn wait_control(&self) {
         let mut linked = self.linked.subscribe();
         tokio::select! {
@@ -87,17 +86,17 @@
         }
     }
 
-    /// Waits until the sidecar has been silent for so long that it may be
-    /// frozen or cut off. That proves nothing about what it runs.
+    /// Waits until the sidecar is unresponsive. It may be frozen or partitioned, and
+    /// its requests may still be running.
     pub(crate) async fn wait_silent(&self) {
-        let silence = self.heartbeat * (SILENT_HEARTBEATS + 1);
-        let silence = u64::try_from(silence.as_millis()).unwrap_or(u64::MAX);
+        let timeout = self.heartbeat * (SILENT_HEARTBEATS + 1);
+        let timeout = u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX);
         loop {
             let heard_at = self.standing.heard_at();
-            let silent_at = heard_at.saturating_add(silence);
-            tokio::time::sleep_until(clock::instant(silent_at)).await;
-            // This process may have been stopped itself: give answers that have
-            // come meanwhile a moment to be read.
+            let expires_at = heard_at.saturating_add(timeout);
+            tokio::time::sleep_until(clock::instant(expires_at)).await;
+            // This process may itself have been suspended: allow time to read
+            // responses that have arrived meanwhile.
             tokio::time::sleep(self.heartbeat / 4).await;
             if self.standing.heard_at() == heard_at {
                 return;
--- a/crates/daemon/src/router/link/teacher.rs
+++ b/crates/daemon/src/router/link/config_sync.rs
@@ -1,4 +1,4 @@
-//! Keeping the configuration of a sidecar and of the router alike.
+//! Synchronizes configuration between the router and a sidecar.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -9,25 +9,25 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::control::within;
+use super::control::with_timeout;
 use super::{Link, SILENT_HEARTBEATS};
 use crate::router::core::Core;
 
-/// Heartbeats after which configuration that does not show is sent again.
-const PATIENCE_HEARTBEATS: u32 = 10;
+/// Heartbeats after which unacknowledged configuration is sent again.
+const RESEND_HEARTBEATS: u32 = 10;
 
-/// Compares the configuration of a sidecar and of the router.
-pub(super) struct Teacher<'a> {
+/// Synchronizes configuration with a sidecar.
+pub(super) struct ConfigSync<'a> {
     core: &'a Arc<Core>,
     link: &'a Arc<Link>,
     client: &'a SidecarClient,
-    /// Highest revision sent, and when.
+    /// Highest revision sent, and when it was sent.
     sent: Option<(Revision, Instant)>,
-    /// Since when the sidecar lags behind the revision held.
+    /// The router's revision, and since when the sidecar has been behind it.
     behind: Option<(Revision, Instant)>,
 }
 
-impl<'a> Teacher<'a> {
+impl<'a> ConfigSync<'a> {
     pub(super) fn new(core: &'a Arc<Core>, link: &'a Arc<Link>, client: &'a SidecarClient) -> Self {
         Self {
             core,
@@ -38,11 +38,11 @@
         }
     }
 
-    /// Compares whenever the configuration changes, and again and again.
+    /// Compares revisions on every configuration change and periodically.
     pub(super) async fn run(mut self) -> Infallible {
         let mut revision = self.core.fleet.watch();
         loop {
-            // While the link is down, the load may be that of an earlier life.
+            // While the link is down, the load may be that of an earlier instance.
             let load = self.link.standing.load();
             if let Some(load) = load.filter(|_| self.link.standing.is_up()) {
                 self.compare(load);
@@ -54,31 +54,33 @@
         }
     }
 
-    /// Sends what the sidecar lacks, and takes over what the router lacks.
+    /// Sends newer configuration to the sidecar, or fetches it from there.
     fn compare(&mut self, load: Load) {
-        let held = self.core.fleet.view().revision();
-        if load.revision > held {
-            self.catch_up(held);
+        let current = self.core.fleet.view().revision();
+        if load.revision > current {
+            self.fetch(current);
         }
-        let sent = self.sent.filter(|(_, at)| at.elapsed() < self.patience());
-        if load.revision >= held || sent.is_some_and(|(revision, _)| revision >= held) {
+        let sent = self
+            .sent
+            .filter(|(_, at)| at.elapsed() < self.resend_timeout());
+        if load.revision >= current || sent.is_some_and(|(revision, _)| revision >= current) {
             self.behind = None;
             return;
         }
         let since = match self.behind {
-            Some((revision, since)) if revision == held => since,
+            Some((revision, since)) if revision == current => since,
             _ => Instant::now(),
         };
-        self.behind = Some((held, since));
-        // One router after the other, so that most find it done: the next poll
-        // tells them.
-        let turn = self.link.heartbeat * 3 / 2 * self.rank(load.incarnation);
-        if since.elapsed() >= turn {
-            self.teach(load.revision, held);
+        self.behind = Some((current, since));
+        // Routers send in the order of their rank, so that most of them learn from a
+        // poll that the sidecar is already up to date.
+        let delay = self.link.heartbeat * 3 / 2 * self.rank(load.incarnation);
+        if since.elapsed() >= delay {
+            self.send(load.revision, current);
         }
     }
 
-    /// How many routers come before this one.
+    /// Number of routers that send before this one.
     fn rank(&self, sidecar: Incarnation) -> u32 {
         let weight = |router: Incarnation| xxh3_64_with_seed(&router.0.to_le_bytes(), sidecar.0);
         let own = weight(self.core.origin());
@@ -89,28 +91,28 @@
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
 
-    /// How long what was sent may take to show.
-    fn patience(&self) -> Duration {
-        self.link.heartbeat * PATIENCE_HEARTBEATS
+    /// Time to wait for a sent revision to appear in the sidecar's load.
+    fn resend_timeout(&self) -> Duration {
+        self.link.heartbeat * RESEND_HEARTBEATS
     }
 
-    fn teach(&mut self, since: Revision, held: Revision) {
-        self.sent = Some((held, Instant::now()));
+    fn send(&mut self, since: Revision, current: Revision) {
+        self.sent = Some((current, Instant::now()));
         let changes = self.core.fleet.config().since(since);
         let client = self.client.clone();
         let limit = self.link.heartbeat * SILENT_HEARTBEATS;
         tokio::spawn(async move {
-            let _ = client.configure(within(limit), changes).await;
+            let _ = client.configure(with_timeout(limit), changes).await;
         });
     }
 
-    fn catch_up(&self, since: Revision) {
+    fn fetch(&self, since: Revision) {
         let client = self.client.clone();
         let core = Arc::clone(self.core);
         let limit = self.link.heartbeat * SILENT_HEARTBEATS;
         tokio::spawn(async move {
-            // A failure shows in the next load again.
-            if let Ok(changes) = client.changes(within(limit), since).await {
+            // The next load triggers a retry after a failure.
+            if let Ok(changes) = client.changes(with_timeout(limit), since).await {
                 core.fleet.merge(changes);
             }
         });
--- a/crates/daemon/src/router/link/control.rs
+++ b/crates/daemon/src/router/link/control.rs
@@ -1,4 +1,4 @@
-//! Single calls on a control link.
+//! Remote calls on a control link.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,27 +11,33 @@
 use super::{Error, Link, SILENT_HEARTBEATS};
 
 impl Link {
-    /// Makes sure that an attempt never starts unless it has.
+    /// Prevents an attempt from starting if it has not started yet.
     pub(crate) async fn withdraw(
         &self,
         attempt: Attempt,
         key: Option<KeyId>,
     ) -> Result<Withdrawal, Error> {
         let (client, context) = self.call()?;
-        client.withdraw(context, attempt, key).await.map_err(failed)
+        client
+            .withdraw(context, attempt, key)
+            .await
+            .map_err(call_error)
     }
 
-    /// Asks what became of an attempt.
+    /// Requests the outcome of an attempt.
     pub(crate) async fn outcome(
         &self,
         attempt: Attempt,
         key: Option<KeyId>,
     ) -> Result<Outcome, Error> {
         let (client, context) = self.call()?;
-        client.outcome(context, attempt, key).await.map_err(failed)
+        client
+            .outcome(context, attempt, key)
+            .await
+            .map_err(call_error)
     }
 
-    /// Gives back reserved slots, without waiting for it.
+    /// Releases reserved slots in the background.
     pub(crate) fn decline(self: &Arc<Self>, grants: Vec<u64>) {
         if grants.is_empty() {
             return;
@@ -41,7 +47,7 @@
         };
         metrics::counter!("grants_declined_total").increment(grants.len() as u64);
         tokio::spawn(async move {
-            // A grant that cannot be given back lapses.
+            // A grant that cannot be declined expires.
             let _ = client.decline(context, grants).await;
         });
     }
@@ -49,19 +55,19 @@
     fn call(&self) -> Result<(SidecarClient, Context), Error> {
         let client = self.control.load();
         let client = client.as_ref().ok_or(Error::Timeout)?;
-        let silence = self.heartbeat * SILENT_HEARTBEATS;
-        Ok((client.as_ref().clone(), within(silence)))
+        let timeout = self.heartbeat * SILENT_HEARTBEATS;
+        Ok((client.as_ref().clone(), with_timeout(timeout)))
     }
 }
 
-/// A call's context with a time limit.
-pub(super) fn within(limit: Duration) -> Context {
+/// Creates a call context with a deadline.
+pub(super) fn with_timeout(limit: Duration) -> Context {
     let mut context = context::current();
     context.deadline = Instant::now() + limit;
     context
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "used with map_err")]
-pub(super) fn failed(error: RpcError) -> Error {
+pub(super) fn call_error(error: RpcError) -> Error {
     Error::Call(error.to_string())
 }
--- a/crates/daemon/src/router/link/data.rs
+++ b/crates/daemon/src/router/link/data.rs
@@ -14,21 +14,22 @@
 
 use super::Error;
 
-/// Bytes of one answer that may be on the way while its caller reads slowly.
+/// Flow-control window of a stream, in bytes.
 const STREAM_WINDOW: u32 = 64 << 10;
 
-/// Slow callers at once that must not hold up the other answers of a connection.
+/// Full stream windows that fit into the connection window, so that slow readers do
+/// not block other responses.
 const SLOW_CALLERS: u32 = 256;
 
-/// Longest time to set up a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Time limit for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Unanswered keep-alive intervals after which a connection is given up.
-const SILENT_INTERVALS: u32 = 10;
+/// Keep-alive intervals without a response after which a connection is closed.
+const KEEP_ALIVE_TIMEOUT_INTERVALS: u32 = 10;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// An HTTP/2 connection that is made again when it is lost.
+/// An HTTP/2 connection that is re-established when it is lost.
 #[derive(Debug)]
 pub(crate) struct Data {
     address: SocketAddr,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The connection, made if there is none.
+    /// Returns the connection, establishing it if necessary.
     pub(crate) async fn sender(&self) -> Result<Sender, Error> {
         if let Some(sender) = self.open_sender() {
             return Ok(sender);
@@ -56,13 +57,13 @@
         if let Some(sender) = self.open_sender() {
             return Ok(sender);
         }
-        let connect = timeout(CONNECT, self.connect()).await;
+        let connect = timeout(CONNECT_TIMEOUT, self.connect()).await;
         let sender = connect.map_err(|_| Error::Timeout)??;
         self.sender.store(Some(sender.clone().into()));
         Ok(sender)
     }
 
-    /// Forgets the connection; answers that still come on it are not affected.
+    /// Drops the connection's sender. Responses in progress are not affected.
     pub(super) fn reset(&self) {
         self.sender.store(None);
     }
@@ -82,11 +83,11 @@
             .initial_stream_window_size(STREAM_WINDOW)
             .initial_connection_window_size(STREAM_WINDOW * SLOW_CALLERS)
             .keep_alive_interval(self.heartbeat)
-            .keep_alive_timeout(self.heartbeat * SILENT_INTERVALS)
+            .keep_alive_timeout(self.heartbeat * KEEP_ALIVE_TIMEOUT_INTERVALS)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(Error::Handshake)?;
-        // Its end shows in the sender and in every answer that was on the way.
+        // Errors surface through the sender and the pending responses.
         tokio::spawn(connection);
         Ok(sender)
     }
--- a/crates/daemon/src/router/link/error.rs
+++ b/crates/daemon/src/router/link/error.rs
@@ -5,7 +5,7 @@
 use displaydoc::Display;
 use mulberryyoke_wire as wire;
 
-/// Why a link failed.
+/// A link failure.
 #[derive(Debug, Display)]
 pub(crate) enum Error {
     /// could not connect to sidecar: timed out
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -1,4 +1,4 @@
-//! The life of a control link, from one connection to the next.
+//! Connects, runs and reconnects a control link.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,45 +13,45 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::control::{failed, within};
-use super::teacher::Teacher;
+use super::config_sync::ConfigSync;
+use super::control::{call_error, with_timeout};
 use super::{Error, Link, SILENT_HEARTBEATS};
 use crate::clock;
 use crate::router::core::Core;
 use crate::router::look::Look;
 
-/// Pause after the first failure to connect; it doubles up to a heartbeat.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Initial reconnect delay; it doubles up to a heartbeat.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Least time between two declarations, so that changes are told together.
-const DECLARE_PAUSE: Duration = Duration::from_millis(2);
+/// Minimum interval between declarations, so that changes are batched.
+const DECLARE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Time limit of a poll on the wire. Silence is noticed long before.
+/// Deadline of a poll on the wire. An unresponsive sidecar is detected long before.
 pub(super) const POLL_LIMIT: Duration = Duration::from_hours(1);
 
-/// Polls in a row that find a free slot beside waiting requests, after which
-/// everything is told again.
+/// Consecutive polls reporting a free slot despite declared demand, after which all
+/// demand is declared again.
 const IDLE_POLLS: u32 = 3;
 
-/// Keeps a link until it is stopped.
+/// Keeps a link connected until it is stopped.
 pub(super) async fn run(core: Arc<Core>, link: Arc<Link>) {
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
         let error = tokio::select! {
             () = link.cancel.cancelled() => break,
             error = Session::run(&core, &link) => error,
         };
         if link.standing.is_up() {
-            pause = FIRST_PAUSE;
+            backoff = INITIAL_BACKOFF;
             log!(core.logger, Event::LinkDown,
                 "server" => &link.server.name, "cause" => error.to_string());
         }
         close(&link);
         tokio::select! {
             () = link.cancel.cancelled() => break,
-            () = sleep(pause) => {}
+            () = sleep(backoff) => {}
         }
-        pause = (pause * 2).min(link.heartbeat).max(FIRST_PAUSE);
+        backoff = (backoff * 2).min(link.heartbeat).max(INITIAL_BACKOFF);
     }
     close(&link);
 }
@@ -67,7 +67,7 @@
     core: &'a Arc<Core>,
     link: &'a Arc<Link>,
     client: SidecarClient,
-    told: Mutex<DeclaredDemand>,
+    declared: Mutex<DeclaredDemand>,
     repeat: Notify,
 }
 
@@ -84,7 +84,7 @@
             core,
             link,
             client,
-            told: Mutex::default(),
+            declared: Mutex::default(),
             repeat: Notify::new(),
         };
         if let Err(error) = session.recall().await {
@@ -93,7 +93,7 @@
         let ended = tokio::select! {
             ended = session.declare() => ended,
             ended = session.poll() => ended,
-            never = Teacher::new(core, link, &session.client).run() => Ok(never),
+            never = ConfigSync::new(core, link, &session.client).run() => Ok(never),
         };
         match ended {
             Ok(never) => match never {},
@@ -101,18 +101,18 @@
         }
     }
 
-    /// Tells the sidecar the keys that it, or its earlier life, was sent.
+    /// Sends the sidecar the keys that were sent to it or to an earlier instance.
     async fn recall(&self) -> Result<(), Error> {
         let since = clock::now().saturating_sub(self.core.settings.retention_ms);
         let (complete, keys) = self.core.keys.recall(self.link.id, since);
-        let context = within(self.link.heartbeat * SILENT_HEARTBEATS);
+        let context = with_timeout(self.link.heartbeat * SILENT_HEARTBEATS);
         let call = self
             .client
             .recall(context, self.core.origin(), complete, keys);
-        call.await.map_err(failed)
+        call.await.map_err(call_error)
     }
 
-    /// Tells the sidecar what waits, first all of it, then what has changed.
+    /// Declares demand to the sidecar: first all of it, then changes.
     async fn declare(&self) -> Result<Infallible, Error> {
         let room = self.core.rooms.get(self.link.pool);
         let mut changed = room.subscribe();
@@ -121,23 +121,23 @@
         let mut all = true;
         loop {
             changed.mark_unchanged();
-            let news = {
-                let mut told = self.told.lock();
+            let updates = {
+                let mut told = self.declared.lock();
                 if full {
                     told.clear();
                 }
                 let interest = room.interest(&mut seen, &self.look(&told, all));
                 told.update(interest)
             };
-            if full || !news.is_empty() {
-                let count = u64::try_from(news.len()).unwrap_or(u64::MAX);
+            if full || !updates.is_empty() {
+                let count = u64::try_from(updates.len()).unwrap_or(u64::MAX);
                 metrics::counter!("declarations_total").increment(1);
                 metrics::counter!("declared_customers_total").increment(count);
-                let context = within(POLL_LIMIT);
+                let context = with_timeout(POLL_LIMIT);
                 let origin = self.core.origin();
-                let call = self.client.declare(context, origin, full, news);
-                call.await.map_err(failed)?;
-                sleep(DECLARE_PAUSE).await;
+                let call = self.client.declare(context, origin, full, updates);
+                call.await.map_err(call_error)?;
+                sleep(DECLARE_INTERVAL).await;
             }
             (full, all) = tokio::select! {
                 _ = changed.changed() => (false, false),
@@ -147,11 +147,11 @@
         }
     }
 
-    /// Tells everything again if the sidecar has a free slot although it was told
-    /// of waiting requests. Then what it knows is not what the router thinks.
+    /// Declares all demand again if the sidecar keeps reporting a free slot despite
+    /// declared demand, because its state then differs from the router's.
     fn check(&self, polled: &PollResponse, idle: &mut u32) {
         let is_idle = polled.load.free > 0 && !polled.load.draining && polled.grants.is_empty();
-        if !is_idle || self.told.lock().is_empty() {
+        if !is_idle || self.declared.lock().is_empty() {
             *idle = 0;
             return;
         }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// What decides on the next declaration.
+    /// Collects the inputs for the next declaration.
     fn look<'t>(&self, told: &'t DeclaredDemand, all: bool) -> Look<'t> {
         let standing = &self.link.standing;
         Look {
@@ -188,12 +188,12 @@
             fleet: Vec::new(),
             fleet_as_of: 0,
         };
-        let mut known = None;
+        let mut last_load = None;
         let mut idle = 0;
         loop {
             poll.revision = self.core.fleet.view().revision();
-            let asked_at = Instant::now();
-            let polled = self.ask(&poll).await?;
+            let started_at = Instant::now();
+            let polled = self.call_poll(&poll).await?;
             self.learn(polled.load);
             self.grant(&polled);
             self.check(&polled, &mut idle);
@@ -207,33 +207,33 @@
             } else {
                 poll.fleet = Vec::new();
             }
-            self.pace(asked_at, &polled, &mut known).await;
+            self.pace(started_at, &polled, &mut last_load).await;
             poll.until = clock::now() + self.core.settings.heartbeat_ms;
         }
     }
 
-    /// Calls the sidecar and watches for its silence.
-    async fn ask(&self, poll: &Poll) -> Result<PollResponse, Error> {
-        let silence = self.link.heartbeat * (SILENT_HEARTBEATS + 1);
+    /// Polls the sidecar and marks the link as down if it does not respond in time.
+    async fn call_poll(&self, poll: &Poll) -> Result<PollResponse, Error> {
+        let limit = self.link.heartbeat * (SILENT_HEARTBEATS + 1);
         metrics::counter!("polls_total").increment(1);
-        let call = self.client.poll(within(POLL_LIMIT), poll.clone());
+        let call = self.client.poll(with_timeout(POLL_LIMIT), poll.clone());
         let mut call = std::pin::pin!(call);
-        if let Ok(polled) = timeout(silence, &mut call).await {
-            return polled.map_err(failed);
+        if let Ok(polled) = timeout(limit, &mut call).await {
+            return polled.map_err(call_error);
         }
         if self.link.standing.is_up() {
             log!(self.core.logger, Event::LinkDown,
                 "server" => &self.link.server.name, "cause" => "silent");
         }
         self.link.set_up(false);
-        let polled = timeout(silence, call).await;
-        polled.map_err(|_| Error::Timeout)?.map_err(failed)
+        let polled = timeout(limit, call).await;
+        polled.map_err(|_| Error::Timeout)?.map_err(call_error)
     }
 
     fn learn(&self, load: Load) {
         self.link.standing.learn(load, clock::now());
         if load.free > 0 {
-            // A server with a free slot is told of everything that waits.
+            // All demand is declared to a server with a free slot.
             self.link.reconsider.notify_one();
         }
         if !self.link.standing.is_up() {
@@ -248,8 +248,8 @@
     fn grant(&self, polled: &PollResponse) {
         let mut declined = Vec::new();
         for grant in &polled.grants {
-            // Before the request leaves its room, so that the change is seen after.
-            self.told.lock().record_grant(grant.customer);
+            // Must precede the removal from the queue, which triggers a declaration.
+            self.declared.lock().record_grant(grant.customer);
             if !self.core.grant(self.link, grant) {
                 declined.push(grant.id);
             }
@@ -257,12 +257,12 @@
         self.link.decline(declined);
     }
 
-    /// Keeps a sidecar whose clock is ahead, and that therefore answers each
-    /// poll at once with nothing new, from being polled without a pause.
-    async fn pace(&self, asked_at: Instant, polled: &PollResponse, known: &mut Option<Load>) {
-        let is_news = known.replace(polled.load) != Some(polled.load);
-        let has_news = is_news || !polled.grants.is_empty() || polled.report.is_some();
-        if !has_news && asked_at.elapsed() < self.link.heartbeat / 2 {
+    /// Delays the next poll of a sidecar that responds immediately without changes,
+    /// such as one whose clock is ahead.
+    async fn pace(&self, started_at: Instant, polled: &PollResponse, last_load: &mut Option<Load>) {
+        let load_changed = last_load.replace(polled.load) != Some(polled.load);
+        let has_changes = load_changed || !polled.grants.is_empty() || polled.report.is_some();
+        if !has_changes && started_at.elapsed() < self.link.heartbeat / 2 {
             sleep(self.link.heartbeat / 4).await;
         }
     }
--- a/crates/daemon/src/router/link/standing.rs
+++ b/crates/daemon/src/router/link/standing.rs
@@ -1,16 +1,16 @@
-//! What a router knows of a server, readable on a request's path.
+//! The state of a server as known to the router, readable without blocking.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 
 use mulberryyoke_model::{Load, Millis};
 use parking_lot::Mutex;
 
-/// A server's standing at this router.
+/// Availability and load of a server.
 #[derive(Debug, Default)]
 pub(crate) struct Standing {
-    /// Whether the control link has told a load and is not silent.
+    /// Whether the control link has received a load and is responsive.
     pub(super) up: AtomicBool,
-    /// Whether the server gets no new work: by configuration or VM list.
+    /// Whether configuration or VM list close the server to new work.
     pub(super) closed: AtomicBool,
     free: AtomicU32,
     slots: AtomicU32,
@@ -20,12 +20,12 @@
 }
 
 impl Standing {
-    /// Silence counts from here on.
+    /// Starts the response timeout.
     pub(super) fn begin_at(&self, now: Millis) {
         self.heard_at.store(now, Ordering::Relaxed);
     }
 
-    /// Takes in what the sidecar told.
+    /// Updates the state from a load that the sidecar reported.
     pub(super) fn learn(&self, load: Load, now: Millis) {
         self.free.store(load.free, Ordering::Relaxed);
         self.slots.store(load.slots, Ordering::Relaxed);
@@ -33,49 +33,49 @@
         *self.load.lock() = Some(load);
     }
 
-    /// The last load told.
+    /// The last load received.
     pub(crate) fn load(&self) -> Option<Load> {
         *self.load.lock()
     }
 
-    /// When the sidecar was last heard of.
+    /// When the sidecar last responded.
     pub(crate) fn heard_at(&self) -> Millis {
         self.heard_at.load(Ordering::Relaxed)
     }
 
     /// Whether the server may get new work.
     pub(crate) fn is_open(&self) -> bool {
-        let refused = self.closed.load(Ordering::Relaxed);
+        let closed = self.closed.load(Ordering::Relaxed);
         let draining = self.load().is_some_and(|load| load.draining);
-        self.is_up() && !refused && !draining
+        self.is_up() && !closed && !draining
     }
 
-    /// Whether the control link answers.
+    /// Whether the control link is up.
     pub(crate) fn is_up(&self) -> bool {
         self.up.load(Ordering::Relaxed)
     }
 
-    /// Whether configuration or the VM list says that the server leaves.
+    /// Whether configuration or VM list close the server to new work.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Relaxed)
     }
 
-    /// Slots that should be free.
+    /// Estimated number of free slots.
     pub(crate) fn free(&self) -> u32 {
         self.free.load(Ordering::Relaxed)
     }
 
-    /// Slots in all.
+    /// Total number of slots.
     pub(crate) fn slots(&self) -> u32 {
         self.slots.load(Ordering::Relaxed)
     }
 
-    /// Requests of this router that run there.
+    /// Number of this router's requests running on the server.
     pub(crate) fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Counts on a free slot; `false` when there should be none.
+    /// Decrements the estimate of free slots; returns `false` if it is zero.
     pub(crate) fn take_free(&self) -> bool {
         let take = |free: u32| free.checked_sub(1);
         self.free
@@ -83,28 +83,28 @@
             .is_ok()
     }
 
-    /// Notes that no slot is free after all.
+    /// Sets the estimate of free slots to zero.
     pub(crate) fn exhaust(&self) {
         self.free.store(0, Ordering::Relaxed);
     }
 
-    /// Counts a request that is sent there.
+    /// Counts a request sent to the server.
     pub(crate) fn begin(&self) {
         self.running.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that has ended there. Its slot should be free if
-    /// nothing waits for one.
-    pub(crate) fn end(&self, none_waits: bool) {
+    /// Counts a request that has ended on the server. Its slot counts as free if no
+    /// request is queued.
+    pub(crate) fn end(&self, queue_is_empty: bool) {
         self.running.fetch_sub(1, Ordering::Relaxed);
-        if !none_waits {
+        if !queue_is_empty {
             return;
         }
         let slots = self.slots();
-        let give = |free: u32| (free < slots).then_some(free + 1);
-        // A full count stays as it is.
+        let release = |free: u32| (free < slots).then_some(free + 1);
+        // The estimate never exceeds the number of slots.
         let _ = self
             .free
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, give);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, release);
     }
 }
