--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -16,8 +16,8 @@
 use crate::clock;
 use choice::Choice;
 
-/// Time between two looks at configuration and VM list.
-const TICK: Duration = Duration::from_millis(500);
+/// Interval at which links and queues are updated if configuration has not changed.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Links by server and by pool.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     by_pool: HashMap<PoolId, Vec<Arc<Link>>>,
 }
 
-/// The links of a router, readable without a lock.
+/// The links of a router, readable without locking.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     table: ArcSwap<Table>,
@@ -34,18 +34,18 @@
 }
 
 impl Links {
-    /// The link to a server, if there is one.
+    /// Returns the link to a server, if there is one.
     pub(crate) fn get(&self, server: ServerId) -> Option<Arc<Link>> {
         self.table.load().by_server.get(&server).cloned()
     }
 
-    /// Reads the links of a pool.
+    /// Calls `read` with the links of a pool.
     pub(crate) fn of<T>(&self, pool: PoolId, read: impl FnOnce(&[Arc<Link>]) -> T) -> T {
         let table = self.table.load();
         read(table.by_pool.get(&pool).map_or(&[], Vec::as_slice))
     }
 
-    /// Servers of a pool that may get new work.
+    /// Returns the servers of a pool that may get new work.
     pub(crate) fn open(&self, pool: PoolId) -> Vec<ServerId> {
         self.of(pool, |links| {
             let open = links.iter().filter(|link| link.standing.is_open());
@@ -53,12 +53,11 @@
         })
     }
 
-    /// Every link.
     pub(crate) fn all(&self) -> Vec<Arc<Link>> {
         self.table.load().by_server.values().cloned().collect()
     }
 
-    /// The link to a server, made if there is none and kept for a while.
+    /// Returns the link to a server, opening it if necessary, and marks it as used.
     pub(crate) fn require(&self, core: &Arc<Core>, server: &Arc<Server>) -> Arc<Link> {
         let id = ServerId::of(&server.name);
         let mut choice = self.choice.lock();
@@ -73,21 +72,21 @@
         link
     }
 
-    /// Makes and ends links as configuration, VM list and waiting work say.
+    /// Opens and closes links according to configuration, VM list and queued requests.
     fn reconcile(&self, core: &Arc<Core>) {
         let view = core.fleet.view();
         let mut choice = self.choice.lock();
         choice.refresh(core, clock::now());
-        let (kept, ended): (Vec<_>, Vec<_>) = self
+        let (kept, dropped): (Vec<_>, Vec<_>) = self
             .all()
             .into_iter()
             .partition(|link| is_kept(&view, &choice, link));
-        for link in ended {
+        for link in dropped {
             link.stop();
         }
         let mut links = kept;
-        let held: HashSet<ServerId> = links.iter().map(|link| link.id).collect();
-        let missing = choice.wanted().filter(|server| !held.contains(server));
+        let linked: HashSet<ServerId> = links.iter().map(|link| link.id).collect();
+        let missing = choice.wanted().filter(|server| !linked.contains(server));
         let missing = missing.filter_map(|server| view.server(server));
         links.extend(missing.map(|server| Link::spawn(core, server)));
         for link in &links {
@@ -96,7 +95,7 @@
             link.set_closed(!active || core.fleet.is_leaving(&link.server.name));
         }
         self.publish(links);
-        core.fleet.set_idle(choice::spare(core));
+        core.fleet.set_idle(choice::idle_servers(core));
     }
 
     fn publish(&self, links: Vec<Arc<Link>>) {
@@ -110,32 +109,32 @@
     }
 }
 
-/// Whether a link stays: while it is wanted or something runs there. A server
-/// that leaves is kept until it has gone and its sidecar has learnt that.
+/// Whether to keep a link: while it is wanted or requests run on it. The link to a
+/// removed server is also kept until its sidecar has received the current revision.
 fn is_kept(view: &View, choice: &Choice, link: &Link) -> bool {
     let server = view.server(link.id);
-    if server.is_some_and(|server| has_moved(server, link)) {
+    if server.is_some_and(|server| address_changed(server, link)) {
         return false;
     }
     let state = server.map(|server| server.state);
     let wanted = match state {
         Some(State::Active) => choice.wants(link.id),
         Some(State::Draining) => true,
-        Some(State::Removed) | None => choice.wants(link.id) || lags(view, link),
+        Some(State::Removed) | None => choice.wants(link.id) || is_behind(view, link),
     };
     wanted || link.standing.running() > 0
 }
 
-fn lags(view: &View, link: &Link) -> bool {
+fn is_behind(view: &View, link: &Link) -> bool {
     let load = link.standing.load();
     link.standing.is_up() && load.is_some_and(|load| load.revision < view.revision())
 }
 
-fn has_moved(server: &Server, link: &Link) -> bool {
+fn address_changed(server: &Server, link: &Link) -> bool {
     (server.control, server.data) != (link.server.control, link.server.data)
 }
 
-/// Keeps the links and the queues in step with configuration, VM list and time.
+/// Updates links and queues when configuration or VM list change, and periodically.
 pub(crate) async fn keep(core: Arc<Core>) {
     let mut revision = core.fleet.watch();
     let mut before = clock::now();
@@ -156,7 +155,7 @@
                     break;
                 }
             }
-            () = tokio::time::sleep(TICK) => {}
+            () = tokio::time::sleep(RECONCILE_INTERVAL) => {}
         }
     }
     for link in core.links.all() {
--- a/crates/daemon/src/router/links/choice.rs
+++ b/crates/daemon/src/router/links/choice.rs
@@ -1,4 +1,4 @@
-//! Which sidecars the router wants to be connected to.
+//! Selects the sidecars to connect to.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,40 +8,39 @@
 
 use crate::router::core::Core;
 
-/// How long a link beyond the router's subset is kept after its last use, in
-/// milliseconds.
-const EXTRA_MS: Millis = 60_000;
+/// Idle timeout of a link outside the router's subset, in milliseconds.
+const EXTRA_IDLE_MS: Millis = 60_000;
 
-/// Time after which the subset is chosen anew though no configuration has
-/// changed, because routers come and go, in milliseconds.
+/// Interval at which the subset is recomputed even if configuration is unchanged,
+/// because the set of routers may have changed, in milliseconds.
 const REFRESH_MS: Millis = 10_000;
 
-/// Least time between two choices of the subset, in milliseconds.
-const LEAST_MS: Millis = 100;
+/// Minimum interval between recomputations of the subset, in milliseconds.
+const MIN_REFRESH_MS: Millis = 100;
 
-/// How long work waits without a free slot before peers' idle servers are
-/// connected to, in milliseconds.
+/// Time that requests wait without a free slot before the router connects to peers'
+/// idle servers, in milliseconds.
 const WIDEN_MS: Millis = 500;
 
-/// Peers' idle servers connected to at a time.
-const WIDEN_MOST: usize = 4;
+/// Maximum number of peers' idle servers to connect to at a time.
+const MAX_WIDEN: usize = 4;
 
-/// Routers that hold a server that leaves.
-const HOLDERS: usize = 2;
+/// Number of routers that keep a link to a draining server.
+const DRAINING_LINKS: usize = 2;
 
-/// Idle servers that peers are told of.
-const HINTS: usize = 8;
+/// Maximum number of idle servers announced to peers.
+const MAX_IDLE_SERVERS: usize = 8;
 
-/// The router's subset, and links beyond it.
+/// The router's subset of servers, and servers linked in addition.
 #[derive(Debug, Default)]
 pub(super) struct Choice {
     subset: HashSet<ServerId>,
     revision: Revision,
     chosen_at: Millis,
-    /// Links beyond the subset, with their last use.
+    /// Servers linked in addition to the subset, with their time of last use.
     extra: HashMap<ServerId, Millis>,
-    /// Since when work of a pool waits without a free slot.
-    hungry: HashMap<PoolId, Millis>,
+    /// Since when requests of a pool have waited without a free slot.
+    starved_since: HashMap<PoolId, Millis>,
 }
 
 impl Choice {
@@ -50,21 +49,21 @@
         self.subset.contains(&server) || self.extra.contains_key(&server)
     }
 
-    /// Every server wanted.
+    /// Returns the servers to which links are wanted.
     pub(super) fn wanted(&self) -> impl Iterator<Item = ServerId> {
         self.subset.iter().chain(self.extra.keys()).copied()
     }
 
-    /// Notes that a server beyond the subset is used.
+    /// Records the use of a server, which keeps its link open outside the subset.
     pub(super) fn require(&mut self, server: ServerId, now: Millis) {
         self.extra.insert(server, now);
     }
 
-    /// Chooses anew what has become old.
+    /// Recomputes the subset if it is outdated, and expires additional links.
     pub(super) fn refresh(&mut self, core: &Core, now: Millis) {
         let view = core.fleet.view();
         let age = now.saturating_sub(self.chosen_at);
-        let changed = view.revision() != self.revision && age >= LEAST_MS;
+        let changed = view.revision() != self.revision && age >= MIN_REFRESH_MS;
         if changed || age >= REFRESH_MS {
             let pools = view.pools().map(|pool| PoolId::of(&pool.name));
             self.subset = pools.flat_map(|pool| subset(core, &view, pool)).collect();
@@ -79,52 +78,52 @@
             }
         }
         self.extra
-            .retain(|_, used_at| now.saturating_sub(*used_at) < EXTRA_MS);
+            .retain(|_, used_at| now.saturating_sub(*used_at) < EXTRA_IDLE_MS);
         for room in core.rooms.all() {
             self.widen(core, room.pool, now);
         }
     }
 
-    /// Connects to idle servers of peers while work has waited long enough.
+    /// Adds idle servers of peers if requests have waited for [`WIDEN_MS`].
     fn widen(&mut self, core: &Core, pool: PoolId, now: Millis) {
         if core.rooms.get(pool).is_empty() || has_free(core, pool) {
-            self.hungry.remove(&pool);
+            self.starved_since.remove(&pool);
             return;
         }
-        let since = *self.hungry.entry(pool).or_insert(now);
+        let since = *self.starved_since.entry(pool).or_insert(now);
         if now.saturating_sub(since) < WIDEN_MS {
             return;
         }
-        let held = core.links.of(pool, |links| {
+        let linked = core.links.of(pool, |links| {
             links.iter().map(|link| link.id).collect::<Vec<_>>()
         });
-        for server in core.fleet.widen(pool, &held, WIDEN_MOST) {
+        for server in core.fleet.widen(pool, &linked, MAX_WIDEN) {
             self.require(server, now);
         }
     }
 }
 
-/// Servers of a pool to stay connected to. Those that leave are held by a few
-/// routers, from which they learn of changes.
+/// Returns the servers of a pool to stay connected to. Draining servers stay linked to
+/// a few routers, from which they receive configuration changes.
 fn subset(core: &Core, view: &View, pool: PoolId) -> Vec<ServerId> {
     let servers = view.servers(pool);
     let all = servers.len() <= core.settings.limits.subset as usize;
-    let leaving = servers
+    let draining = servers
         .iter()
         .filter(|server| server.state == State::Draining);
-    let held = leaving.filter(|server| all || is_holder(core, server));
+    let linked = draining.filter(|server| all || keeps_draining(core, server));
     let mut subset = core.fleet.subset(pool);
-    subset.extend(held.map(|server| ServerId::of(&server.name)));
+    subset.extend(linked.map(|server| ServerId::of(&server.name)));
     subset
 }
 
-fn is_holder(core: &Core, server: &Server) -> bool {
+fn keeps_draining(core: &Core, server: &Server) -> bool {
     let seed = u64::from(ServerId::of(&server.name).0);
     let weight = |router: &str| xxh3_64_with_seed(router.as_bytes(), seed);
     let own = weight(&core.settings.name);
     let members = core.fleet.members();
     let before = members.iter().filter(|member| weight(&member.name) > own);
-    before.count() < HOLDERS
+    before.count() < DRAINING_LINKS
 }
 
 fn has_free(core: &Core, pool: PoolId) -> bool {
@@ -134,15 +133,15 @@
     })
 }
 
-/// Servers that this router can spare, those with the most free slots first.
-pub(super) fn spare(core: &Core) -> Vec<ServerId> {
+/// Returns idle servers to announce to peers, those with the most free slots first.
+pub(super) fn idle_servers(core: &Core) -> Vec<ServerId> {
     let links = core.links.all().into_iter();
-    let mut spare: Vec<(u32, ServerId)> = links
+    let mut idle: Vec<(u32, ServerId)> = links
         .filter(|link| link.standing.is_open() && core.rooms.get(link.pool).is_empty())
         .map(|link| (link.standing.free(), link.id))
         .filter(|(free, _)| *free > 0)
         .collect();
-    spare.sort_unstable_by(|one, other| other.cmp(one));
-    spare.truncate(HINTS);
-    spare.into_iter().map(|(_, server)| server).collect()
+    idle.sort_unstable_by(|a, b| b.cmp(a));
+    idle.truncate(MAX_IDLE_SERVERS);
+    idle.into_iter().map(|(_, server)| server).collect()
 }
--- a/crates/daemon/src/router/operators.rs
+++ b/crates/daemon/src/router/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port of a router.
+//! The operator port of a router.
 
 mod nodes;
 mod waiting;
@@ -16,7 +16,7 @@
 use super::inspect::Inspect;
 use crate::operator::{Operator, Setup, Source};
 
-/// Binds the operators' port.
+/// Binds the operator port.
 pub(crate) async fn bind(core: &Arc<Core>) -> Result<Operator, Error> {
     let settings = &core.settings;
     let kv = kv::Etcd::new(settings.kv.clone(), kv::Options::default());
@@ -26,7 +26,7 @@
         prefix: settings.prefix.clone(),
         retention_ms: settings.retention_ms,
         kv: Arc::new(kv),
-        source: Arc::new(Standing {
+        source: Arc::new(RouterSource {
             core: Arc::clone(core),
             inspect: Inspect::new(core),
         }),
@@ -35,13 +35,13 @@
     Operator::bind(setup).await.map_err(Error::Operators)
 }
 
-/// The router as its operators' port sees it.
-struct Standing {
+/// Exposes the router's state on the operator port.
+struct RouterSource {
     core: Arc<Core>,
     inspect: Inspect,
 }
 
-impl Source for Standing {
+impl Source for RouterSource {
     fn name(&self) -> &str {
         &self.core.settings.name
     }
--- a/crates/daemon/src/router/operators/nodes.rs
+++ b/crates/daemon/src/router/operators/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes that a router knows of.
+//! Lists the routers and sidecars known to a router.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -10,7 +10,7 @@
 use crate::router::core::Core;
 use crate::router::inspect::Server;
 
-/// This router and every other of the VM list.
+/// Returns this router and its peers.
 pub(crate) fn routers(core: &Core) -> Vec<Node> {
     let own = core.fleet.member();
     let this = Node {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Every configured server that this router is, or is meant to be, connected to.
+/// Returns the configured servers that are linked to this router or should be.
 pub(crate) fn sidecars(core: &Core, linked: &[Server]) -> Vec<Node> {
     let config = core.fleet.config();
     let expected = expected(core, &config);
@@ -58,7 +58,7 @@
     nodes.collect()
 }
 
-/// Configured servers that this router is not meant to be connected to.
+/// Returns the number of configured servers that [`sidecars`] does not list.
 pub(crate) fn unseen(core: &Core, linked: &[Server]) -> usize {
     let all = present(&core.fleet.config()).count();
     all.saturating_sub(sidecars(core, linked).len())
@@ -69,7 +69,7 @@
     servers.filter(|server| server.state != State::Removed)
 }
 
-/// Servers of the router's subset, and all of a pool that is no larger.
+/// Returns the router's subset of each pool, or the whole pool if it is no larger.
 fn expected(core: &Core, config: &Config) -> HashSet<ServerId> {
     let subset = usize::try_from(core.settings.limits.subset).unwrap_or(usize::MAX);
     let mut pools: BTreeMap<&str, Vec<ServerId>> = BTreeMap::new();
@@ -88,18 +88,18 @@
 
 fn sidecar(core: &Core, server: &model::Server, link: Option<&Server>) -> Node {
     let up = link.is_some_and(|link| link.up);
-    let heard = link.filter(|link| link.incarnation.is_some());
-    let draining = server.state == State::Draining || heard.is_some_and(|link| link.draining);
+    let reported = link.filter(|link| link.incarnation.is_some());
+    let draining = server.state == State::Draining || reported.is_some_and(|link| link.draining);
     Node {
         role: Role::Sidecar,
         name: server.name.clone(),
         zone: server.zone.clone(),
         up,
         leaving: draining || core.fleet.is_leaving(&server.name),
-        revision: heard.map(|link| link.revision),
+        revision: reported.map(|link| link.revision),
         pool: Some(server.pool.clone()),
-        slots: Some(heard.map_or(server.slots, |link| link.slots)),
-        free: heard.filter(|_| up).map(|link| link.free),
+        slots: Some(reported.map_or(server.slots, |link| link.slots)),
+        free: reported.filter(|_| up).map(|link| link.free),
         started_at: None,
     }
 }
--- a/crates/daemon/src/router/operators/waiting.rs
+++ b/crates/daemon/src/router/operators/waiting.rs
@@ -1,4 +1,4 @@
-//! Who is waiting at a router, and why.
+//! Lists waiting requests and the reasons why they wait.
 
 use std::collections::BTreeMap;
 
@@ -8,29 +8,29 @@
 
 use crate::router::inspect::{self, Customer, Inspect, Server};
 
-/// Customers named as those to be served earlier.
-const NAMED: usize = 3;
+/// Maximum number of customers named in a reason.
+const MAX_NAMED: usize = 3;
 
 /// Answers a query on waiting requests.
 pub(crate) fn answer(router: &str, inspect: &Inspect, query: &command::Waiting) -> Waiting {
     let requests = inspect.waiting();
     let servers = inspect.servers();
     let counters = counters(&inspect.customers(), &requests);
-    let mut found: Vec<&inspect::Waiting> = requests
+    let mut matching: Vec<&inspect::Waiting> = requests
         .iter()
-        .filter(|request| is_asked(request, query, &servers))
+        .filter(|request| matches_query(request, query, &servers))
         .collect();
-    found.sort_by_key(|request| (&request.customer, &request.pool, request.position));
+    matching.sort_by_key(|request| (&request.customer, &request.pool, request.position));
     let limit = usize::try_from(query.limit).unwrap_or(usize::MAX);
-    let more = found.len().saturating_sub(limit);
-    let listed = found.iter().take(limit);
+    let more = matching.len().saturating_sub(limit);
+    let listed = matching.iter().take(limit);
     Waiting {
         router: router.to_owned(),
         requests: listed
             .map(|request| {
                 waiter(
                     request,
-                    &rivals(&request.pool, &counters, &requests),
+                    &contenders(&request.pool, &counters, &requests),
                     &servers,
                 )
             })
@@ -41,21 +41,21 @@
     }
 }
 
-fn is_asked(request: &inspect::Waiting, query: &command::Waiting, servers: &[Server]) -> bool {
+fn matches_query(request: &inspect::Waiting, query: &command::Waiting, servers: &[Server]) -> bool {
     let customer = query.customer.as_ref();
     let id = query.request.as_ref();
     let of_customer = customer.is_none_or(|name| *name == request.customer);
     let of_id = id.is_none_or(|id| *id == request.request);
     let of_server = query.server.as_ref().is_none_or(|name| {
         let server = servers.iter().find(|server| server.name == *name);
-        let bound = request.server.as_ref();
+        let pinned = request.server.as_ref();
         server.is_some_and(|server| server.pool == request.pool)
-            && bound.is_none_or(|bound| bound == name)
+            && pinned.is_none_or(|pinned| pinned == name)
     });
     of_customer && of_id && of_server
 }
 
-/// Customers with waiting requests, the next to be served first.
+/// Returns the customers with waiting requests in the order of service.
 fn counters(customers: &[Customer], requests: &[inspect::Waiting]) -> Vec<Counter> {
     let mut waiting: BTreeMap<&str, ([u64; 3], u64)> = BTreeMap::new();
     for request in requests {
@@ -81,8 +81,12 @@
     counters
 }
 
-/// Names of the customers that wait for a pool, the next to be served first.
-fn rivals<'a>(pool: &str, counters: &'a [Counter], requests: &[inspect::Waiting]) -> Vec<&'a str> {
+/// Returns the customers with waiting requests for a pool in the order of service.
+fn contenders<'a>(
+    pool: &str,
+    counters: &'a [Counter],
+    requests: &[inspect::Waiting],
+) -> Vec<&'a str> {
     let names = counters.iter().map(|counter| counter.customer.as_str());
     let waits = |name: &&str| {
         let mut of_pool = requests.iter().filter(|request| request.pool == pool);
@@ -91,7 +95,7 @@
     names.filter(waits).collect()
 }
 
-fn waiter(request: &inspect::Waiting, rivals: &[&str], servers: &[Server]) -> Waiter {
+fn waiter(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> Waiter {
     Waiter {
         request: request.request.clone(),
         customer: request.customer.clone(),
@@ -100,11 +104,11 @@
         position: u64::try_from(request.position).unwrap_or(u64::MAX) + 1,
         since: request.since,
         deadline: request.deadline,
-        reason: reason(request, rivals, servers),
+        reason: reason(request, contenders, servers),
     }
 }
 
-fn reason(request: &inspect::Waiting, rivals: &[&str], servers: &[Server]) -> String {
+fn reason(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> String {
     let pool = servers.iter().filter(|server| server.pool == request.pool);
     let pool: Vec<&Server> = pool.collect();
     if let Some(home) = &request.server {
@@ -125,7 +129,11 @@
     if open.is_empty() {
         return format!("a server of pool {} to take work", request.pool);
     }
-    format!("a free slot ({}); {}", slots(&open), turn(request, rivals))
+    format!(
+        "a free slot ({}); {}",
+        slots(&open),
+        queue_position(request, contenders)
+    )
 }
 
 fn slots(servers: &[&Server]) -> String {
@@ -134,21 +142,21 @@
     format!("{} of {all} busy", all.saturating_sub(free))
 }
 
-/// Who is before the request: of its own customer, and other customers.
-fn turn(request: &inspect::Waiting, rivals: &[&str]) -> String {
+/// Describes which requests and customers come before the request.
+fn queue_position(request: &inspect::Waiting, contenders: &[&str]) -> String {
     let first = match request.position {
         0 => "it is its customer's next".to_owned(),
         count => format!("{count} of its customer's are before it"),
     };
-    if rivals.len() < 2 {
+    if contenders.len() < 2 {
         return format!("{first}; no other customer waits");
     }
-    let own = rivals.iter().position(|name| *name == request.customer);
-    let before = &rivals[..own.unwrap_or(0)];
+    let own = contenders.iter().position(|name| *name == request.customer);
+    let before = &contenders[..own.unwrap_or(0)];
     if before.is_empty() {
         return format!("{first}; its customer has the least service per share");
     }
-    let count = before.len().min(NAMED);
+    let count = before.len().min(MAX_NAMED);
     let names = before[..count].join(", ");
     match before.len() - count {
         0 => format!("{first}; less service per share: {names}"),
