--- a/crates/daemon/src/router/link.rs
+++ b/crates/daemon/src/router/link.rs
@@ -60,7 +60,7 @@
             reconsider: Notify::new(),
             cancel: CancellationToken::new(),
         });
-        link.standing.begin_at(clock::now());
+        link.standing.start_timeout(clock::now());
         tokio::spawn(session::run(Arc::clone(core), Arc::clone(&link)));
         link
     }
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -122,12 +122,12 @@
         loop {
             changed.mark_unchanged();
             let updates = {
-                let mut told = self.declared.lock();
+                let mut declared = self.declared.lock();
                 if full {
-                    told.clear();
+                    declared.clear();
                 }
-                let interest = room.interest(&mut seen, &self.look(&told, all));
-                told.update(interest)
+                let interest = room.interest(&mut seen, &self.look(&declared, all));
+                declared.update(interest)
             };
             if full || !updates.is_empty() {
                 let count = u64::try_from(updates.len()).unwrap_or(u64::MAX);
@@ -164,7 +164,7 @@
     }
 
     /// Collects the inputs for the next declaration.
-    fn look<'t>(&self, told: &'t DeclaredDemand, all: bool) -> Look<'t> {
+    fn look<'t>(&self, declared: &'t DeclaredDemand, all: bool) -> Look<'t> {
         let standing = &self.link.standing;
         Look {
             server: self.link.id,
@@ -172,7 +172,7 @@
             closed: standing.is_closed(),
             open: self.core.links.open(self.link.pool),
             now: clock::now(),
-            told,
+            declared,
             all,
         }
     }
@@ -194,7 +194,7 @@
             poll.revision = self.core.fleet.view().revision();
             let started_at = Instant::now();
             let polled = self.call_poll(&poll).await?;
-            self.learn(polled.load);
+            self.receive(polled.load);
             self.grant(&polled);
             self.check(&polled, &mut idle);
             if let Some(report) = &polled.report {
@@ -230,8 +230,8 @@
         polled.map_err(|_| Error::Timeout)?.map_err(call_error)
     }
 
-    fn learn(&self, load: Load) {
-        self.link.standing.learn(load, clock::now());
+    fn receive(&self, load: Load) {
+        self.link.standing.receive(load, clock::now());
         if load.free > 0 {
             // All demand is declared to a server with a free slot.
             self.link.reconsider.notify_one();
--- a/crates/daemon/src/router/link/standing.rs
+++ b/crates/daemon/src/router/link/standing.rs
@@ -21,12 +21,12 @@
 
 impl Standing {
     /// Starts the response timeout.
-    pub(super) fn begin_at(&self, now: Millis) {
+    pub(super) fn start_timeout(&self, now: Millis) {
         self.heard_at.store(now, Ordering::Relaxed);
     }
 
     /// Updates the state from a load that the sidecar reported.
-    pub(super) fn learn(&self, load: Load, now: Millis) {
+    pub(super) fn receive(&self, load: Load, now: Millis) {
         self.free.store(load.free, Ordering::Relaxed);
         self.slots.store(load.slots, Ordering::Relaxed);
         self.heard_at.store(now, Ordering::Relaxed);
--- a/crates/daemon/src/router/links/choice.rs
+++ b/crates/daemon/src/router/links/choice.rs
@@ -111,13 +111,13 @@
     let draining = servers
         .iter()
         .filter(|server| server.state == State::Draining);
-    let linked = draining.filter(|server| all || keeps_draining(core, server));
+    let linked = draining.filter(|server| all || keeps_draining_link(core, server));
     let mut subset = core.fleet.subset(pool);
     subset.extend(linked.map(|server| ServerId::of(&server.name)));
     subset
 }
 
-fn keeps_draining(core: &Core, server: &Server) -> bool {
+fn keeps_draining_link(core: &Core, server: &Server) -> bool {
     let seed = u64::from(ServerId::of(&server.name).0);
     let weight = |router: &str| xxh3_64_with_seed(router.as_bytes(), seed);
     let own = weight(&core.settings.name);
--- a/crates/daemon/src/router/look.rs
+++ b/crates/daemon/src/router/look.rs
@@ -18,7 +18,7 @@
     pub(crate) open: Vec<ServerId>,
     pub(crate) now: Millis,
     /// Demand declared to the sidecar so far.
-    pub(crate) told: &'a DeclaredDemand,
+    pub(crate) declared: &'a DeclaredDemand,
     /// Whether to include all customers, not only changed ones.
     pub(crate) all: bool,
 }
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Declared demand stays declared while requests wait, which avoids early retractions.
+    /// Demand already declared is kept up to date, so that it is not retracted early.
     fn should_declare(&self, queue: &Queue<Waiter>, interest: &Interest) -> bool {
         let customer = interest.customer;
         self.has_free
-            || self.told.contains(customer)
+            || self.declared.contains(customer)
             || queue.has_pinned(customer, self.server)
             || declare::is_target(
                 interest,
--- a/crates/daemon/src/router/room.rs
+++ b/crates/daemon/src/router/room.rs
@@ -110,7 +110,7 @@
         let since = std::mem::replace(seen, state.changes.latest());
         let mut customers: Vec<CustomerId> = if look.all {
             let waiting = state.queue.customers();
-            waiting.chain(look.told.customers()).collect()
+            waiting.chain(look.declared.customers()).collect()
         } else {
             state.changes.since(since).collect()
         };
