--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a server's answer on to its caller.
+//! Forwards a server's answer to the caller.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,34 +12,32 @@
 use super::stalls::Flow;
 use crate::clock;
 
-/// End of a stream of events of a model. Callers that have read it need not
-/// wait for the end of the body.
+/// Last event of a model's event stream. Callers may disconnect after it without
+/// reading the end of the body.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// Bytes at the end of a piece in which [`DONE`] is looked for.
+/// Length of the frame suffix searched for [`DONE`], in bytes.
 const TAIL_BYTES: usize = 32;
 
-/// A server's answer on its way to the caller. A frame is asked of the server
-/// only when the caller's connection has room for it. An answer that is not
-/// whole ends with an error, so that the caller's connection is broken off.
+/// Body that forwards a server's answer with backpressure. A truncated answer
+/// ends with an error, which aborts the caller's connection or stream.
 #[derive(Debug)]
 pub(crate) struct Relay {
     flow: Arc<Flow>,
     running: Option<Running>,
-    /// Bytes still due, when the server told the length.
-    due: Option<u64>,
-    /// Whether the last piece ended a stream of events.
+    /// Remaining bytes, if the server declared a length.
+    remaining: Option<u64>,
+    /// Whether the last frame ended an event stream.
     done: bool,
 }
 
 impl Relay {
-    /// Passes on the answer to a request that runs.
     pub(crate) fn new(flow: Arc<Flow>, running: Running) -> Self {
-        let due = flow.with(|body| body.size_hint().exact()).flatten();
+        let remaining = flow.with(|body| body.size_hint().exact()).flatten();
         Self {
             flow,
             running: Some(running),
-            due,
+            remaining,
             done: false,
         }
     }
@@ -48,10 +46,10 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        self.flow.asked();
+        self.flow.polled();
         let polled = self.flow.with(|body| Pin::new(body).poll_frame(cx));
         let Some(polled) = polled else {
-            self.finish(&End::HungUp);
+            self.finish(&End::Disconnected);
             return Poll::Ready(Some(Err(Broken::Unread)));
         };
         let frame = ready!(polled);
@@ -59,10 +57,10 @@
             Some(Ok(piece)) => {
                 self.count(piece);
                 self.done = piece.data_ref().is_some_and(|data| ends_stream(data));
-                self.flow.handed(clock::now());
+                self.flow.forwarded(clock::now());
             }
-            Some(Err(error)) => self.finish(&End::Cut(error.to_string())),
-            None => self.finish(&End::Whole),
+            Some(Err(error)) => self.finish(&End::Failed(error.to_string())),
+            None => self.finish(&End::Complete),
         }
         Poll::Ready(frame.map(|frame| frame.map_err(Broken::Server)))
     }
@@ -77,7 +75,9 @@
 
     fn count(&mut self, frame: &Frame<Bytes>) {
         let length = frame.data_ref().map_or(0, Bytes::len) as u64;
-        self.due = self.due.map(|due| due.saturating_sub(length));
+        self.remaining = self
+            .remaining
+            .map(|remaining| remaining.saturating_sub(length));
     }
 
     fn finish(&mut self, end: &End) {
@@ -89,17 +89,17 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // A connection stops asking once it has passed on the length it told.
-        let end = if self.done || self.is_end() || self.due == Some(0) {
-            End::Whole
+        // hyper stops polling once the declared length has been written.
+        let end = if self.done || self.is_end() || self.remaining == Some(0) {
+            End::Complete
         } else {
-            End::HungUp
+            End::Disconnected
         };
         self.finish(&end);
     }
 }
 
-fn ends_stream(piece: &[u8]) -> bool {
-    let tail = &piece[piece.len().saturating_sub(TAIL_BYTES)..];
+fn ends_stream(data: &[u8]) -> bool {
+    let tail = &data[data.len().saturating_sub(TAIL_BYTES)..];
     tail.windows(DONE.len()).any(|window| window == DONE)
 }
--- a/crates/daemon/src/router/running.rs
+++ b/crates/daemon/src/router/running.rs
@@ -1,4 +1,4 @@
-//! A request that was sent to a server.
+//! Tracks a request sent to a server.
 
 use std::sync::Arc;
 
@@ -13,16 +13,16 @@
 /// How an answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// The caller has all of it.
-    Whole,
-    /// The server or the way to it failed.
-    Cut(String),
-    /// The caller left.
-    HungUp,
+    /// The whole answer was forwarded.
+    Complete,
+    /// The server or the connection to it failed.
+    Failed(String),
+    /// The caller disconnected.
+    Disconnected,
 }
 
-/// An attempt on its way, from just before it is sent to the end of its
-/// answer. One that is dropped has lost its caller.
+/// An attempt in flight, from just before it is sent to the end of its answer.
+/// Dropping it records that the caller disconnected.
 #[derive(Debug)]
 pub(crate) struct Running {
     core: Arc<Core>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Records that the attempt is proved not to have run.
+    /// Records proof that the attempt did not run.
     pub(crate) fn not_run(mut self) {
         self.ended = true;
         self.core.memory.prove(self.attempt.request);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Records that nothing is known of the attempt.
+    /// Records that the attempt's outcome is unknown.
     pub(crate) fn lose(mut self) {
         self.ended = true;
     }
@@ -79,9 +79,9 @@
     fn end(&mut self, end: &End) {
         self.ended = true;
         match end {
-            End::Whole => self.answered(),
-            End::Cut(cause) => self.cut("server", cause),
-            End::HungUp => self.cut("caller", "caller left"),
+            End::Complete => self.answered(),
+            End::Failed(cause) => self.truncated("server", cause),
+            End::Disconnected => self.truncated("caller", "caller left"),
         }
     }
 
@@ -95,7 +95,7 @@
             "elapsed_ms" => clock::now().saturating_sub(self.since));
     }
 
-    fn cut(&self, side: &'static str, cause: &str) {
+    fn truncated(&self, side: &'static str, cause: &str) {
         self.core
             .memory
             .settle(self.attempt.request, Outcome::Unknown);
@@ -112,10 +112,10 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if !self.ended {
-            self.end(&End::HungUp);
+            self.end(&End::Disconnected);
         }
-        let none_waits = self.core.rooms.get(self.link.pool).is_empty();
-        self.link.standing.end(none_waits);
+        let queue_is_empty = self.core.rooms.get(self.link.pool).is_empty();
+        self.link.standing.end(queue_is_empty);
         self.core.counts.end(self.customer);
     }
 }
--- a/crates/daemon/src/router/stalls.rs
+++ b/crates/daemon/src/router/stalls.rs
@@ -1,4 +1,4 @@
-//! Answers that their callers do not read.
+//! Detects answers that callers do not read.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
@@ -7,55 +7,55 @@
 use mulberryyoke_model::Millis;
 use parking_lot::Mutex;
 
-/// An answer on its way, which may be let go of while its caller stalls.
+/// An answer being forwarded, whose body is dropped if the caller stalls.
 #[derive(Debug)]
 pub(crate) struct Flow {
     body: Mutex<Option<Incoming>>,
-    /// When a piece was handed on and nothing asked for since; 0 for never.
-    handed_at: AtomicU64,
+    /// When a frame was forwarded without another poll since; 0 for none.
+    forwarded_at: AtomicU64,
 }
 
 impl Flow {
-    /// Uses the body; `None` once it was let go of.
+    /// Accesses the body; `None` once it has been dropped.
     pub(crate) fn with<T>(&self, use_body: impl FnOnce(&mut Incoming) -> T) -> Option<T> {
         self.body.lock().as_mut().map(use_body)
     }
 
-    /// Notes that the caller's connection asks for more.
-    pub(crate) fn asked(&self) {
-        self.handed_at.store(0, Ordering::Relaxed);
+    /// Records that the caller's connection polled for a frame.
+    pub(crate) fn polled(&self) {
+        self.forwarded_at.store(0, Ordering::Relaxed);
     }
 
-    /// Notes that a piece was handed on.
-    pub(crate) fn handed(&self, now: Millis) {
-        self.handed_at.store(now, Ordering::Relaxed);
+    /// Records that a frame was forwarded.
+    pub(crate) fn forwarded(&self, now: Millis) {
+        self.forwarded_at.store(now, Ordering::Relaxed);
     }
 
     fn is_stalled(&self, since: Millis) -> bool {
-        let handed_at = self.handed_at.load(Ordering::Relaxed);
-        handed_at != 0 && handed_at < since
+        let forwarded_at = self.forwarded_at.load(Ordering::Relaxed);
+        forwarded_at != 0 && forwarded_at < since
     }
 }
 
-/// All answers on their way.
+/// All answers being forwarded.
 #[derive(Debug, Default)]
 pub(crate) struct Stalls {
     flows: Mutex<Vec<Weak<Flow>>>,
 }
 
 impl Stalls {
-    /// Begins to watch over an answer.
+    /// Registers an answer.
     pub(crate) fn watch(&self, body: Incoming) -> Arc<Flow> {
         let flow = Arc::new(Flow {
             body: Mutex::new(Some(body)),
-            handed_at: AtomicU64::new(0),
+            forwarded_at: AtomicU64::new(0),
         });
         self.flows.lock().push(Arc::downgrade(&flow));
         flow
     }
 
-    /// Lets go of the answers of which nothing was asked for since an instant,
-    /// which frees their servers.
+    /// Drops the bodies of answers not polled since `since`, which frees their
+    /// servers.
     pub(crate) fn release(&self, since: Millis) {
         let mut flows = self.flows.lock();
         flows.retain(|flow| flow.strong_count() > 0);
