--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -1,4 +1,4 @@
-//! Telling the outcome of a request by its id.
+//! Looks up the outcome of a request by its id.
 
 use std::sync::Arc;
 
@@ -11,21 +11,21 @@
 use super::refusal::{Refusal, json};
 use super::request;
 
-/// Answers a question for a request's outcome.
-pub(crate) async fn tell(
+/// Answers an outcome query.
+pub(crate) async fn serve(
     core: &Arc<Core>,
     id: &str,
     headers: &HeaderMap,
 ) -> Result<Response<Answer>, Refusal> {
     request::customer(&core.fleet.view(), headers)?;
-    let attempt = Attempt::parse_request_id(id).ok_or_else(no_id)?;
+    let attempt = Attempt::parse_request_id(id).ok_or_else(request_not_found)?;
     let outcome = core.fleet.outcome(attempt).await;
     let body = json!({"id": id, "outcome": outcome.as_str()});
     Ok(json(StatusCode::OK, body.to_string()))
 }
 
-/// What became of a request of this router: what it knows itself, else what the
-/// sidecar tells that it was last sent to.
+/// The outcome of a request of this router: from its own record, otherwise from the
+/// sidecar that received the last attempt.
 pub(crate) async fn own(core: &Core, attempt: Attempt) -> Outcome {
     if attempt.origin != core.origin() {
         return Outcome::Unknown;
@@ -43,11 +43,11 @@
         number: record.attempt,
         ..attempt
     };
-    let told = link.outcome(sent, record.key).await;
-    told.unwrap_or(Outcome::Unknown)
+    let outcome = link.outcome(sent, record.key).await;
+    outcome.unwrap_or(Outcome::Unknown)
 }
 
-fn no_id() -> Refusal {
+fn request_not_found() -> Refusal {
     Refusal::new(
         StatusCode::NOT_FOUND,
         "request_not_found",
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -1,4 +1,4 @@
-//! The callers' interface, by path.
+//! Routes callers' requests by path.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,10 +18,9 @@
 use super::request;
 use super::wait;
 
-/// Path of the list of models.
 const MODELS: &str = "/v1/models";
 
-/// Path below which outcomes are told by request id.
+/// Path prefix of outcome queries; the request id follows.
 const OUTCOMES: &str = "/v1/outcomes/";
 
 /// Answers one request.
@@ -49,8 +48,8 @@
         return run(core, request).await;
     };
     let id = id.to_owned();
-    let told = outcome::tell(core, &id, request.headers()).await;
-    told.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
+    let answer = outcome::serve(core, &id, request.headers()).await;
+    answer.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
 }
 
 async fn run(core: &Arc<Core>, request: Request<Incoming>) -> Response<Answer> {
@@ -62,7 +61,7 @@
     metrics::counter!("requests_total").increment(1);
     let answer = match read(core, attempt, request).await {
         Ok(call) => dispatch::answer(core, call).await,
-        Err(refusal) => Err(note(core, attempt, refusal)),
+        Err(refusal) => Err(record_refusal(core, attempt, refusal)),
     };
     let id = attempt.request_id();
     answer.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
@@ -79,8 +78,8 @@
     request::read(core, attempt, request).await
 }
 
-/// Records a refusal of a request that was not even read.
-fn note(core: &Core, attempt: Attempt, refusal: Refusal) -> Refusal {
+/// Records a refusal of a request that failed validation.
+fn record_refusal(core: &Core, attempt: Attempt, refusal: Refusal) -> Refusal {
     core.memory.settle(attempt.request, Outcome::NotRun);
     metrics::counter!("refused_total", "code" => refusal.code).increment(1);
     log!(core.logger, Event::Refused,
