--- a/crates/daemon/src/router/body.rs
+++ b/crates/daemon/src/router/body.rs
@@ -1,4 +1,4 @@
-//! Reading callers' bodies, bounded in size, time and memory.
+//! Reads request bodies within limits of size, time and memory.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,25 +15,25 @@
 
 const BYTES_PER_KIB: usize = 1 << 10;
 
-/// Longest time for a whole body, in multiples of that for a head; no pause in it
-/// may be longer than for a head.
-const WHOLE: u32 = 12;
+/// Timeout of a whole body, in multiples of the head timeout, which also limits
+/// the time between frames.
+const BODY_TIMEOUT_FACTOR: u32 = 12;
 
-/// A caller's body with its portion of the router's memory for bodies.
+/// A request body and the memory reserved for it.
 #[derive(Debug)]
-pub(crate) struct Whole {
+pub(crate) struct BufferedBody {
     pub(crate) bytes: Bytes,
     pub(crate) memory: OwnedSemaphorePermit,
 }
 
-/// Reads a body to its end.
-pub(crate) async fn read(core: &Arc<Core>, mut body: Incoming) -> Result<Whole, Refusal> {
-    let most = core.settings.limits.body_bytes;
-    if body.size_hint().lower() > most as u64 {
-        return Err(too_large(most));
+/// Reads a whole body.
+pub(crate) async fn read(core: &Arc<Core>, mut body: Incoming) -> Result<BufferedBody, Refusal> {
+    let max_bytes = core.settings.limits.body_bytes;
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(too_large(max_bytes));
     }
     let pause = Duration::from_millis(core.settings.limits.head_ms);
-    let last = Instant::now() + pause * WHOLE;
+    let last = Instant::now() + pause * BODY_TIMEOUT_FACTOR;
     let mut bytes = BytesMut::new();
     let mut memory = reserve(core, 1)?;
     loop {
@@ -42,12 +42,12 @@
         let Some(frame) = frame.map_err(|_| too_slow())? else {
             break;
         };
-        let frame = frame.map_err(|error| broken(&error))?;
+        let frame = frame.map_err(|error| unreadable(&error))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if bytes.len() + data.len() > most {
-            return Err(too_large(most));
+        if bytes.len() + data.len() > max_bytes {
+            return Err(too_large(max_bytes));
         }
         let needed = (bytes.len() + data.len()) / BYTES_PER_KIB + 1;
         if needed > memory.num_permits() {
@@ -55,7 +55,7 @@
         }
         bytes.extend_from_slice(&data);
     }
-    Ok(Whole {
+    Ok(BufferedBody {
         bytes: bytes.freeze(),
         memory,
     })
@@ -64,11 +64,13 @@
 fn reserve(core: &Core, kib: usize) -> Result<OwnedSemaphorePermit, Refusal> {
     let kib = u32::try_from(kib).unwrap_or(u32::MAX);
     let bodies = Arc::clone(&core.bodies);
-    bodies.try_acquire_many_owned(kib).map_err(|_| crowded())
+    bodies
+        .try_acquire_many_owned(kib)
+        .map_err(|_| memory_full())
 }
 
-fn too_large(most: usize) -> Refusal {
-    let message = format!("the body is larger than {most} bytes");
+fn too_large(max_bytes: usize) -> Refusal {
+    let message = format!("the body is larger than {max_bytes} bytes");
     Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
 }
 
@@ -77,12 +79,12 @@
     Refusal::new(StatusCode::REQUEST_TIMEOUT, "body_too_slow", message)
 }
 
-fn broken(error: &hyper::Error) -> Refusal {
+fn unreadable(error: &hyper::Error) -> Refusal {
     let message = format!("could not read body: {error}");
     Refusal::new(StatusCode::BAD_REQUEST, "body_unreadable", message)
 }
 
-fn crowded() -> Refusal {
+fn memory_full() -> Refusal {
     let message = "the router's memory for bodies is full";
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "bodies_full", message).retry_after(1)
 }
--- a/crates/daemon/src/router/header.rs
+++ b/crates/daemon/src/router/header.rs
@@ -1,4 +1,4 @@
-//! Headers of callers' requests and of answers.
+//! Request and response headers.
 
 use hyper::HeaderMap;
 use hyper::header::{AUTHORIZATION, CONTENT_LENGTH, EXPECT, HOST};
@@ -18,9 +18,8 @@
 /// Request header of a request that must run at most once.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Keeps of a request's headers what its server may see: the end-to-end ones,
-/// without the bearer key, which was for the router, and without names that
-/// the router itself uses towards the sidecar.
+/// Strips hop-by-hop headers, the bearer key and the router's internal headers
+/// from a request before it is forwarded.
 pub(crate) fn forward(headers: &mut HeaderMap) {
     hop_by_hop::strip(headers);
     for name in [AUTHORIZATION, HOST, CONTENT_LENGTH, EXPECT] {
@@ -29,7 +28,7 @@
     headers.remove(ticket::HEADER);
 }
 
-/// Keeps of an answer's headers what its caller may see.
+/// Strips hop-by-hop and internal headers from an answer before it is forwarded.
 pub(crate) fn back(headers: &mut HeaderMap) {
     hop_by_hop::strip(headers);
     headers.remove(verdict::HEADER);
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: customer, pool, class, deadline, hint and key.
+//! Reads and validates callers' requests.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -20,16 +20,15 @@
 use super::refusal::Refusal;
 use crate::clock;
 
-/// Cost of a model's request that tells nothing of it, in tokens.
+/// Cost of a model request that sets no token limit, in tokens.
 const DEFAULT_COST: u32 = 256;
 
-/// Bytes at the start of a prompt by which requests are thought alike.
-const PREFIX_BYTES: usize = 512;
+/// Length of the prompt prefix used for cache-aware placement, in bytes.
+const PROMPT_PREFIX_BYTES: usize = 512;
 
-/// Longest idempotency key, in bytes.
-const KEY_BYTES: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
-/// What the router reads of a model's request.
+/// The fields of a model request that the router uses.
 #[derive(Deserialize)]
 struct Body<'a> {
     #[serde(borrow)]
@@ -42,7 +41,7 @@
     prompt: Option<&'a RawValue>,
 }
 
-/// What decides where a request goes and what it costs.
+/// Routing target and cost of a request.
 struct Target {
     pool: PoolId,
     idempotent: bool,
@@ -50,19 +49,19 @@
     prefix: Option<PromptPrefix>,
 }
 
-/// The customer that a request's bearer key names.
+/// Authenticates the customer by the bearer key.
 pub(crate) fn customer<'a>(view: &'a View, headers: &HeaderMap) -> Result<&'a Customer, Refusal> {
-    let value = headers.get(AUTHORIZATION).ok_or_else(denied)?;
-    let value = value.to_str().map_err(|_| denied())?;
-    let (scheme, key) = value.split_once(' ').ok_or_else(denied)?;
+    let value = headers.get(AUTHORIZATION).ok_or_else(unauthorized)?;
+    let value = value.to_str().map_err(|_| unauthorized())?;
+    let (scheme, key) = value.split_once(' ').ok_or_else(unauthorized)?;
     if !scheme.eq_ignore_ascii_case("bearer") {
-        return Err(denied());
+        return Err(unauthorized());
     }
     let customer = view.customer_by_key(&KeyHash::of(key.trim()));
-    customer.ok_or_else(denied)
+    customer.ok_or_else(unauthorized)
 }
 
-/// Reads a request to the end of its body.
+/// Reads a request, including its whole body.
 pub(crate) async fn read(
     core: &Arc<Core>,
     attempt: Attempt,
@@ -76,7 +75,7 @@
     let route = view.route(parts.method.as_str(), parts.uri.path());
     let is_model = is_model(parts.uri.path());
     if route.is_none() && !is_model {
-        return Err(no_route());
+        return Err(route_not_found());
     }
     let body = body::read(core, incoming).await?;
     let target = match route {
@@ -121,13 +120,13 @@
 }
 
 fn target(view: &View, customer: CustomerId, body: &[u8]) -> Result<Target, Refusal> {
-    let read: Body = serde_json::from_slice(body).map_err(|error| unreadable(&error))?;
+    let read: Body = serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
     let pool = view.model_pool(&read.model);
-    let pool = pool.ok_or_else(|| no_model(&read.model))?;
+    let pool = pool.ok_or_else(|| model_not_found(&read.model))?;
     let hint = read.max_completion_tokens.or(read.max_tokens);
     let start = read.messages.or(read.prompt).map(|raw| {
         let bytes = raw.get().as_bytes();
-        &bytes[..bytes.len().min(PREFIX_BYTES)]
+        &bytes[..bytes.len().min(PROMPT_PREFIX_BYTES)]
     });
     Ok(Target {
         pool: PoolId::of(&pool.name),
@@ -150,9 +149,9 @@
             given: false,
         }));
     };
-    let text = text(header::IDEMPOTENCY_KEY, value)?;
-    if text.is_empty() || text.len() > KEY_BYTES {
-        return Err(bad_header(header::IDEMPOTENCY_KEY));
+    let text = header_text(header::IDEMPOTENCY_KEY, value)?;
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
+        return Err(invalid_header(header::IDEMPOTENCY_KEY));
     }
     Ok(Some(Key {
         id: KeyId::of(customer, text),
@@ -160,56 +159,56 @@
     }))
 }
 
-fn class(headers: &HeaderMap, usual: Class) -> Result<Class, Refusal> {
+fn class(headers: &HeaderMap, default: Class) -> Result<Class, Refusal> {
     let Some(value) = headers.get(header::URGENCY) else {
-        return Ok(usual);
+        return Ok(default);
     };
-    let class = Class::parse(text(header::URGENCY, value)?);
-    class.ok_or_else(|| bad_header(header::URGENCY))
+    let class = Class::parse(header_text(header::URGENCY, value)?);
+    class.ok_or_else(|| invalid_header(header::URGENCY))
 }
 
 fn deadline(core: &Core, headers: &HeaderMap, now: Millis) -> Result<Millis, Refusal> {
-    let usual = now.saturating_add(core.settings.limits.deadline_ms);
+    let default = now.saturating_add(core.settings.limits.deadline_ms);
     let Some(value) = headers.get(header::DEADLINE) else {
-        return Ok(usual);
+        return Ok(default);
     };
-    let deadline = text(header::DEADLINE, value)?.parse();
-    deadline.map_err(|_| bad_header(header::DEADLINE))
+    let deadline = header_text(header::DEADLINE, value)?.parse();
+    deadline.map_err(|_| invalid_header(header::DEADLINE))
 }
 
 fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u32>, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let number = text(name, value)?.parse();
-    number.map(Some).map_err(|_| bad_header(name))
+    let number = header_text(name, value)?.parse();
+    number.map(Some).map_err(|_| invalid_header(name))
 }
 
-fn text<'a>(name: &'static str, value: &'a HeaderValue) -> Result<&'a str, Refusal> {
-    value.to_str().map_err(|_| bad_header(name))
+fn header_text<'a>(name: &'static str, value: &'a HeaderValue) -> Result<&'a str, Refusal> {
+    value.to_str().map_err(|_| invalid_header(name))
 }
 
-fn denied() -> Refusal {
+fn unauthorized() -> Refusal {
     let message = "the bearer key names no customer";
     Refusal::new(StatusCode::UNAUTHORIZED, "invalid_api_key", message)
 }
 
-fn no_route() -> Refusal {
+fn route_not_found() -> Refusal {
     let message = "no such method and path; see /v1/models and the configured services";
     Refusal::new(StatusCode::NOT_FOUND, "route_not_found", message)
 }
 
-fn no_model(name: &str) -> Refusal {
+fn model_not_found(name: &str) -> Refusal {
     let message = format!("no such model: {name}");
     Refusal::new(StatusCode::NOT_FOUND, "model_not_found", message)
 }
 
-fn unreadable(error: &serde_json::Error) -> Refusal {
+fn invalid_json(error: &serde_json::Error) -> Refusal {
     let message = format!("could not read body: {error}");
     Refusal::new(StatusCode::BAD_REQUEST, "invalid_json", message)
 }
 
-fn bad_header(name: &'static str) -> Refusal {
+fn invalid_header(name: &'static str) -> Refusal {
     let message = format!("could not read header: {name}");
     Refusal::new(StatusCode::BAD_REQUEST, "invalid_header", message)
 }
