--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending one attempt to a server.
+//! Sends one attempt to a server.
 
 use std::sync::Arc;
 
@@ -24,24 +24,24 @@
 use super::running::Running;
 use crate::clock;
 
-/// What came of an attempt.
+/// Result of an attempt.
 #[derive(Debug)]
 pub(crate) enum Sent {
-    /// The server answers.
+    /// The server sent an answer.
     Answer(Response<Answer>),
-    /// The sidecar turned it away. With its word on when to come back, in seconds.
+    /// The sidecar rejected the attempt. Carries its `Retry-After`, in seconds.
     Verdict(Verdict, Option<u32>),
-    /// It never left the router.
+    /// The request was not sent.
     Unsent(String),
-    /// It may run or have run; nothing more is known.
+    /// The attempt may be running or have run.
     Lost(String),
-    /// As [`Sent::Lost`], and its caller stopped waiting.
+    /// Like [`Sent::Lost`], because the deadline passed.
     Late,
-    /// As [`Sent::Lost`], and the router stops.
+    /// Like [`Sent::Lost`], because the router is stopping.
     Stopping,
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the response head.
 pub(crate) async fn send(core: &Arc<Core>, call: &Call, mut place: Place) -> Sent {
     let link = Arc::clone(&place.link);
     let mut sender = match link.data.sender().await {
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a checked request to its answer: placing, waiting, sending, retrying.
+//! Dispatches a validated request: placement, queueing, sending and retries.
 
 use std::sync::Arc;
 
@@ -23,16 +23,16 @@
 use super::wait::{self, Waited};
 use crate::clock;
 
-/// Attempts after which a request is given up whatever the budget.
-const MOST_ATTEMPTS: u8 = 100;
+/// Limit on attempts per request, regardless of the retry budget.
+const MAX_ATTEMPTS: u8 = 100;
 
-/// Answers a request, or refuses it truthfully.
+/// Answers a request, or refuses it with the outcome known so far.
 pub(crate) async fn answer(core: &Arc<Core>, call: Call) -> Result<Response<Answer>, Refusal> {
     core.budget.lock().deposit();
     let mut dispatch = Dispatch {
         core,
         call,
-        doubtful: false,
+        may_have_run: false,
         waited: false,
         avoid: None,
     };
@@ -44,10 +44,10 @@
     core: &'a Arc<Core>,
     call: Call,
     /// Whether an attempt may have run.
-    doubtful: bool,
-    /// Whether it was admitted to the queue before.
+    may_have_run: bool,
+    /// Whether the request has already been admitted to the queue.
     waited: bool,
-    /// The server that the last attempt failed at.
+    /// Server of the last failed attempt.
     avoid: Option<ServerId>,
 }
 
@@ -61,26 +61,26 @@
             let place = self.place(at_once).await?;
             let link = Arc::clone(&place.link);
             let sent = attempt::send(self.core, &self.call, place).await;
-            if self.call.attempt.number >= MOST_ATTEMPTS {
+            if self.call.attempt.number >= MAX_ATTEMPTS {
                 return Err(unreachable("too many attempts failed"));
             }
             self.avoid = Some(link.id);
-            // Where a server had no slot after all, the sidecars' order decides.
+            // A server without a free slot rejected the request: queue it instead.
             at_once = !matches!(sent, Sent::Verdict(Verdict::Busy | Verdict::Draining, _));
             match sent {
                 Sent::Answer(response) => return Ok(response),
-                Sent::Verdict(verdict, after) => self.judge(verdict, after, &link)?,
+                Sent::Verdict(verdict, after) => self.handle_verdict(verdict, after, &link)?,
                 Sent::Unsent(cause) => {
                     link.standing.exhaust();
                     self.retry(&cause)?;
                 }
                 Sent::Lost(cause) => self.lost(&cause)?,
                 Sent::Late => {
-                    self.doubtful = true;
+                    self.may_have_run = true;
                     return Err(too_late());
                 }
                 Sent::Stopping => {
-                    self.doubtful = true;
+                    self.may_have_run = true;
                     return Err(wait::stopping());
                 }
             }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Finds a server, at once if one should have a free slot.
+    /// Selects a server, without queueing if one is expected to have a free slot.
     async fn place(&mut self, at_once: bool) -> Result<Place, Refusal> {
         if let Some(key) = self.call.key {
             let place = home::place(self.core, &self.call, key, at_once, self.waited).await?;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A server that should have a free slot, if nothing else waits for one.
+    /// Selects a server expected to have a free slot, unless other requests are queued.
     fn direct(&self) -> Option<Place> {
         let room = self.core.rooms.get(self.call.pool);
         if !room.is_empty() {
@@ -135,15 +135,15 @@
         Some(Place::direct(&link))
     }
 
-    /// Acts on a sidecar's verdict; `Err` when the request is given up.
-    fn judge(
+    /// Handles a sidecar's verdict; returns `Err` if the request must not be retried.
+    fn handle_verdict(
         &mut self,
         verdict: Verdict,
         after: Option<u32>,
         link: &Arc<Link>,
     ) -> Result<(), Refusal> {
         match verdict {
-            // The queue at the sidecars decides: these cost no server anything.
+            // No retry is charged: the request did no work and is queued again.
             Verdict::Busy | Verdict::Draining => {
                 link.standing.exhaust();
                 Ok(())
@@ -161,16 +161,16 @@
         }
     }
 
-    /// An attempt may have run: only idempotent requests are sent again.
+    /// Handles an attempt that may have run: only idempotent requests are retried.
     fn lost(&mut self, cause: &str) -> Result<(), Refusal> {
-        self.doubtful = true;
+        self.may_have_run = true;
         if self.call.key.is_some() {
             return Err(unknown(cause));
         }
         self.retry(cause)
     }
 
-    /// Spends a retry.
+    /// Takes a retry from the budget.
     fn retry(&self, cause: &str) -> Result<(), Refusal> {
         if !self.core.budget.lock().try_withdraw() {
             return Err(unreachable(cause));
@@ -183,10 +183,10 @@
         Ok(())
     }
 
-    /// Makes a refusal truthful for the request as a whole, and records it.
+    /// Sets the refusal's outcome for all attempts of the request, and records it.
     fn refuse(&self, mut refusal: Refusal) -> Refusal {
         let given = self.call.key.is_some_and(|key| key.given);
-        if refusal.outcome == Outcome::NotRun && (self.doubtful || given) {
+        if refusal.outcome == Outcome::NotRun && (self.may_have_run || given) {
             refusal.outcome = Outcome::Unknown;
         }
         self.core
@@ -228,7 +228,7 @@
     })
 }
 
-/// Whether the pool has a server that takes new work.
+/// Whether the pool has a server that accepts new requests.
 fn has_server(core: &Core, pool: PoolId) -> bool {
     let view = core.fleet.view();
     let mut servers = view.servers(pool).iter();
--- a/crates/daemon/src/router/wait.rs
+++ b/crates/daemon/src/router/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a server.
+//! Queues requests until a server has a free slot.
 
 use std::sync::Arc;
 
@@ -17,15 +17,15 @@
 use super::waiter::{Turn, Waiter};
 use crate::clock;
 
-/// A request in its room; it leaves when this is dropped.
-struct Stay<'a> {
+/// Removes a queued request from its queue on drop.
+struct QueueGuard<'a> {
     core: &'a Core,
     room: &'a Room,
     key: EntryKey,
     customer: CustomerId,
 }
 
-impl Drop for Stay<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         if self.room.remove(self.key).is_some() {
             let now = clock::now();
@@ -34,26 +34,26 @@
     }
 }
 
-/// What ended a wait without a refusal.
+/// Result of a wait that was not refused.
 #[derive(Debug)]
 pub(crate) enum Waited {
-    /// A server has a slot.
+    /// A server has a free slot.
     Place(Place),
     /// The only server that may run it has changed.
     Moved,
 }
 
-/// Waits until a server has a slot for the request. `again` tells whether it
-/// has waited before, and then is not refused for want of room. A request
-/// that only one server may run gives up when `gone` says why.
+/// Waits until a server has a free slot for the request. With `readmit`, the
+/// request was queued before and is not subject to the queue limits. `gone` ends
+/// the wait of a request pinned to one server when that server changes.
 pub(crate) async fn wait(
     core: &Arc<Core>,
     call: &Call,
-    bound: Option<ServerId>,
-    again: bool,
+    pinned: Option<ServerId>,
+    readmit: bool,
     gone: impl Future<Output = Result<Waited, Refusal>>,
 ) -> Result<Waited, Refusal> {
-    enter(core, call, again)?;
+    admit(core, call, readmit)?;
     let room = core.rooms.get(call.pool);
     let (turn, mut taken) = oneshot::channel();
     let waiter = Waiter {
@@ -63,8 +63,8 @@
     };
     let mut waiting = Entry::new(call.customer, call.class, call.deadline, call.since, waiter);
     waiting.cost = call.cost;
-    waiting.pinned_server = bound;
-    let _stay = Stay {
+    waiting.pinned_server = pinned;
+    let _guard = QueueGuard {
         core,
         room: &room,
         key: room.push(waiting),
@@ -87,10 +87,10 @@
     }
 }
 
-/// Counts the request as waiting, or refuses it.
-fn enter(core: &Core, call: &Call, again: bool) -> Result<(), Refusal> {
+/// Admits the request to the queue, or refuses it.
+fn admit(core: &Core, call: &Call, readmit: bool) -> Result<(), Refusal> {
     let mut limit = core.limit.lock();
-    if again {
+    if readmit {
         limit.readmit(call.customer, call.share);
         return Ok(());
     }
@@ -103,54 +103,54 @@
             Ok(())
         }
         Decision::CustomerFull => Err(full(core, call)),
-        Decision::RouterFull => Err(crowded(core, call)),
+        Decision::RouterFull => Err(router_full(core, call)),
     }
 }
 
-/// Refuses the request of a customer that would go last of all it has here.
+/// Refuses the customer's last request in one of the pools' queues.
 fn displace(core: &Core, customer: CustomerId) {
     for room in core.rooms.all() {
         let Some(waiting) = room.displace(customer) else {
             continue;
         };
         core.limit.lock().remove(customer, false, clock::now());
-        // A caller who has just left needs no answer.
+        // The caller may have disconnected.
         let _ = waiting.payload.turn.send(Turn::Displaced);
         return;
     }
 }
 
-fn come_back(core: &Core, call: &Call) -> u32 {
+fn retry_after(core: &Core, call: &Call) -> u32 {
     core.limit.lock().retry_after(call.customer, clock::now())
 }
 
-/// The customer has as much waiting as it may.
+/// The customer has reached its limit of queued requests.
 pub(crate) fn full(core: &Core, call: &Call) -> Refusal {
     let message = "too many requests of this customer wait here";
     Refusal::new(StatusCode::TOO_MANY_REQUESTS, "queue_full", message)
-        .retry_after(come_back(core, call))
+        .retry_after(retry_after(core, call))
 }
 
-fn crowded(core: &Core, call: &Call) -> Refusal {
+fn router_full(core: &Core, call: &Call) -> Refusal {
     let message = "too many requests wait here, and this customer has the most for its share";
     Refusal::new(StatusCode::TOO_MANY_REQUESTS, "router_full", message)
-        .retry_after(come_back(core, call))
+        .retry_after(retry_after(core, call))
 }
 
 fn displaced(core: &Core, call: &Call) -> Refusal {
     let message = "made room for a customer with fewer requests waiting";
     Refusal::new(StatusCode::TOO_MANY_REQUESTS, "displaced", message)
-        .retry_after(come_back(core, call))
+        .retry_after(retry_after(core, call))
 }
 
-/// The request's deadline passed while it waited.
+/// The deadline passed while the request was queued.
 pub(crate) fn late(core: &Core, call: &Call) -> Refusal {
     let message = "the deadline passed before a server had a free slot";
     Refusal::new(StatusCode::GATEWAY_TIMEOUT, "deadline_passed", message)
-        .retry_after(come_back(core, call))
+        .retry_after(retry_after(core, call))
 }
 
-/// The router stops.
+/// The router is stopping.
 pub(crate) fn stopping() -> Refusal {
     let message = "this router is stopping; another one will answer";
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "stopping", message).retry_after(1)
