--- a/crates/daemon/src/router/broken.rs
+++ b/crates/daemon/src/router/broken.rs
@@ -1,8 +1,8 @@
-//! Answers that come to no end.
+//! Errors of truncated answers.
 
 use displaydoc::Display;
 
-/// Why an answer is not whole.
+/// Why an answer was truncated.
 #[derive(Debug, Display)]
 pub(crate) enum Broken {
     /// answer broke off: {0}
--- a/crates/daemon/src/router/callers.rs
+++ b/crates/daemon/src/router/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' port.
+//! Listener for callers' connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,25 +17,25 @@
 use super::paced::Paced;
 use super::service;
 
-/// Largest head of a request over HTTP/1.1, in bytes; more is answered 431.
+/// Largest HTTP/1.1 request head, in bytes; larger ones are answered 431.
 const HEAD_BYTES: usize = 64 << 10;
 
-/// Largest head of a request over HTTP/2, in bytes.
-const HEAD2_BYTES: u32 = 64 << 10;
+/// Largest HTTP/2 request head, in bytes.
+const HTTP2_HEAD_BYTES: u32 = 64 << 10;
 
-/// Requests at once on one HTTP/2 connection.
-const STREAMS: u32 = 256;
+/// Concurrent streams per HTTP/2 connection.
+const MAX_STREAMS: u32 = 256;
 
-/// Bytes that a caller may send ahead on one HTTP/2 connection.
-const WINDOW: u32 = 256 << 10;
+/// HTTP/2 flow-control window per stream and per connection, in bytes.
+const WINDOW_BYTES: u32 = 256 << 10;
 
-/// Time between pings on HTTP/2 connections, and longest time for their answer.
-const PING: Duration = Duration::from_secs(20);
+/// Interval and timeout of HTTP/2 keep-alive pings.
+const PING_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Pause after a failure to accept, for example for want of file descriptors.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The bound port.
+/// A bound listener.
 pub(crate) struct Port {
     core: Arc<Core>,
     listener: TcpListener,
@@ -64,8 +64,8 @@
         local.map_err(|source| Error::Callers { address, source })
     }
 
-    /// Takes connections until the port is closed, then lets the open
-    /// ones end. Beyond the bound, connections wait to be accepted.
+    /// Accepts connections until the listener is closed, then drains the open ones.
+    /// Connections beyond the limit stay in the listen backlog.
     pub(crate) async fn run(self) {
         let close = self.core.stop.close.clone();
         loop {
@@ -95,14 +95,14 @@
     }
 
     fn serve(&self, stream: TcpStream, permit: OwnedSemaphorePermit) {
-        // Without it answers are only slower.
+        // Failure only adds latency.
         let _ = stream.set_nodelay(true);
-        let asked = Arc::new(AtomicBool::new(false));
+        let has_request = Arc::new(AtomicBool::new(false));
         let service = {
             let core = Arc::clone(&self.core);
-            let asked = Arc::clone(&asked);
+            let has_request = Arc::clone(&has_request);
             service_fn(move |request| {
-                asked.store(true, Ordering::Relaxed);
+                has_request.store(true, Ordering::Relaxed);
                 service::serve(Arc::clone(&core), request)
             })
         };
@@ -115,9 +115,9 @@
         let end = self.core.stop.end.clone();
         tokio::spawn(async move {
             tokio::select! {
-                // How a connection fails is seen in its requests.
+                // Connection errors are reported by the requests on it.
                 _ = connection => {}
-                () = silent(&asked, head) => {}
+                () = idle_timeout(&has_request, head) => {}
                 () = end.cancelled() => {}
             }
             drop(permit);
@@ -125,11 +125,11 @@
     }
 }
 
-/// Resolves if nothing was asked in time; hyper itself bounds a head's time only
-/// once it has seen the protocol's version.
-async fn silent(asked: &AtomicBool, head: Duration) {
+/// Resolves if no request arrives in time. hyper's own header timeout starts only
+/// after it has detected the protocol version.
+async fn idle_timeout(has_request: &AtomicBool, head: Duration) {
     tokio::time::sleep(head + head / 2).await;
-    if asked.load(Ordering::Relaxed) {
+    if has_request.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
 }
@@ -144,11 +144,11 @@
     builder
         .http2()
         .timer(TokioTimer::new())
-        .max_concurrent_streams(STREAMS)
-        .initial_stream_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
-        .max_header_list_size(HEAD2_BYTES)
-        .keep_alive_interval(PING)
-        .keep_alive_timeout(PING);
+        .max_concurrent_streams(MAX_STREAMS)
+        .initial_stream_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
+        .max_header_list_size(HTTP2_HEAD_BYTES)
+        .keep_alive_interval(PING_INTERVAL)
+        .keep_alive_timeout(PING_INTERVAL);
     builder
 }
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -1,4 +1,4 @@
-//! What every task of a router shares.
+//! State shared by the router's tasks.
 
 use std::fmt;
 use std::sync::Arc;
@@ -24,10 +24,10 @@
 use crate::clock;
 use crate::fleet::Fleet;
 
-/// Memory for callers' bodies, in KiB.
+/// Memory limit for request bodies, in KiB.
 const BODY_KIB: usize = 256 << 10;
 
-/// The state of a router.
+/// Shared state of a router.
 pub(crate) struct Core {
     pub(crate) settings: Arc<settings::Router>,
     pub(crate) logger: Logger,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// This router's life.
+    /// This router's instance.
     pub(crate) fn origin(&self) -> Incarnation {
         self.fleet.member().incarnation
     }
 
-    /// Gives a reserved slot to the customer's next request; `false` if none waits.
+    /// Gives a reserved slot to the customer's next request; `false` if none is queued.
     pub(crate) fn grant(&self, link: &Arc<Link>, grant: &Grant) -> bool {
         if link.standing.is_closed() {
             return false;
@@ -86,7 +86,7 @@
             let Err(Turn::Go(mut place)) = waiting.payload.turn.send(turn) else {
                 return true;
             };
-            // The caller has just left: the slot goes to the next request.
+            // The caller disconnected: give the slot to the next request.
             place.take();
         }
         false
--- a/crates/daemon/src/router/counts.rs
+++ b/crates/daemon/src/router/counts.rs
@@ -1,4 +1,4 @@
-//! Requests that run, by customer.
+//! Running requests by customer.
 
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
         self.running.lock().get(&customer).copied().unwrap_or(0)
     }
 
-    /// Of all customers.
+    /// Running requests of all customers.
     pub(crate) fn total(&self) -> u32 {
         self.running.lock().values().sum()
     }
--- a/crates/daemon/src/router/error.rs
+++ b/crates/daemon/src/router/error.rs
@@ -1,4 +1,4 @@
-//! Errors of starting a router.
+//! Router startup errors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     Callers {
         /// The address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The underlying I/O error.
         source: io::Error,
     },
     /// {0}
--- a/crates/daemon/src/router/handle.rs
+++ b/crates/daemon/src/router/handle.rs
@@ -20,18 +20,17 @@
 use crate::fleet::{Fleet, LocalRequests};
 use crate::operator::Operator;
 
-/// How long open connections stay open for requests that are on their way, only
-/// to be refused.
+/// How long to refuse requests on open connections before closing the listener.
 const LINGER: Duration = Duration::from_secs(2);
 
-/// Most of the time for a planned stop that goes for that: one part in this many.
-const LINGER_PART: u32 = 4;
+/// Caps [`LINGER`] at the drain time divided by this.
+const LINGER_DIVISOR: u32 = 4;
 
-/// Part of the time for a planned stop in which waiting requests may still start.
-const WAITING_PART: u32 = 2;
+/// Queued requests may start until the drain time divided by this.
+const WAITING_DIVISOR: u32 = 2;
 
-/// Time to write out the last refusals after the deadline.
-const FLUSH: Duration = Duration::from_secs(1);
+/// Time to flush the last refusals after the deadline.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running router.
 #[derive(Debug)]
@@ -44,7 +43,7 @@
 }
 
 impl Router {
-    /// Starts a router: joins the fleet, connects to sidecars, takes callers.
+    /// Starts a router: joins the fleet, connects to sidecars, accepts callers.
     ///
     /// # Errors
     ///
@@ -55,7 +54,7 @@
         let fleet = fleet.map_err(Error::Fleet)?;
         let core = Arc::new(Core::new(settings, logger, fleet));
         core.fleet
-            .set_local_requests(Arc::new(Answers(Arc::clone(&core))));
+            .set_local_requests(Arc::new(OwnRequests(Arc::clone(&core))));
         let port = Port::bind(&core).await?;
         let address = port.address()?;
         let operators = operators::bind(&core).await?;
@@ -90,14 +89,14 @@
         self.core.fleet.control()
     }
 
-    /// A handle for operators' questions.
+    /// A handle for inspecting the router.
     #[must_use]
     pub fn inspect(&self) -> Inspect {
         Inspect::new(&self.core)
     }
 
-    /// Stops: refuses new requests, lets waiting ones start for a part of the
-    /// time allowed and running answers end until it is over.
+    /// Stops gracefully: refuses new requests, lets queued ones start during the first
+    /// part of the drain time, and running answers finish until its end.
     pub async fn stop(self) {
         let core = self.core;
         let stop = &core.stop;
@@ -106,12 +105,12 @@
         let deadline = began + drain;
         log!(core.logger, Event::Stopping, "running" => core.counts.total());
         stop.refuse.cancel();
-        let linger = LINGER.min(drain / LINGER_PART);
+        let linger = LINGER.min(drain / LINGER_DIVISOR);
         sleep_until(began + linger).await;
         let steps = [
-            (&stop.close, began + drain / WAITING_PART),
+            (&stop.close, began + drain / WAITING_DIVISOR),
             (&stop.clear, deadline),
-            (&stop.cut, deadline + FLUSH),
+            (&stop.cut, deadline + FLUSH_TIMEOUT),
         ];
         let mut callers = self.callers;
         let mut ended = false;
@@ -121,7 +120,7 @@
         }
         stop.end.cancel();
         if !ended {
-            // It ends at once now; a panic in it changes nothing here.
+            // A panic in the task does not affect the shutdown.
             let _ = callers.await;
         }
         let _ = self.links.await;
@@ -131,11 +130,11 @@
     }
 }
 
-/// Answers about this router's requests.
+/// Answers the fleet's queries about this router's requests.
 #[derive(Debug)]
-struct Answers(Arc<Core>);
+struct OwnRequests(Arc<Core>);
 
-impl LocalRequests for Answers {
+impl LocalRequests for OwnRequests {
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
         Box::pin(outcome::own(&self.0, attempt))
     }
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -1,4 +1,4 @@
-//! What operators may ask a router.
+//! Router state shown to operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use super::core::Core;
 use super::link::Link;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Waiting {
     /// Its request id.
@@ -19,15 +19,15 @@
     pub customer: String,
     /// Name of its pool.
     pub pool: String,
-    /// The class it came with.
+    /// Its class on arrival.
     pub class: Class,
-    /// When its caller stops waiting.
+    /// Its deadline.
     pub deadline: Millis,
-    /// When it came.
+    /// When it arrived.
     pub since: Millis,
     /// Requests of the same customer and pool that go before it at this router.
     pub position: usize,
-    /// The server it is bound to, if it is.
+    /// The server it is pinned to, if any.
     pub server: Option<String>,
     /// What it waits for.
     pub waits_for: String,
@@ -40,9 +40,9 @@
     pub name: String,
     /// Its weight.
     pub share: u32,
-    /// Requests that wait here.
+    /// Requests queued here.
     pub waiting: u32,
-    /// Requests that run and came through here.
+    /// Running requests sent by this router.
     pub running: u32,
     /// Service over the whole fleet, as far as known, in tokens.
     pub served: u64,
@@ -57,13 +57,13 @@
     pub name: String,
     /// Name of its pool.
     pub pool: String,
-    /// Whether its sidecar answers.
+    /// Whether its sidecar responds.
     pub up: bool,
-    /// Whether it gets no new work: by configuration or VM list.
+    /// Whether it gets no new requests, by configuration or VM list.
     pub closed: bool,
-    /// Whether its sidecar refuses new work.
+    /// Whether its sidecar refuses new requests.
     pub draining: bool,
-    /// Slots that should be free.
+    /// Slots expected to be free.
     pub free: u32,
     /// Slots in all.
     pub slots: u32,
@@ -71,13 +71,13 @@
     pub running: u32,
     /// Highest configuration revision applied there.
     pub revision: Revision,
-    /// Its sidecar's life.
+    /// Instance of its sidecar.
     pub incarnation: Option<Incarnation>,
-    /// When it was last heard of.
+    /// When a message was last received from it.
     pub heard_at: Millis,
 }
 
-/// A handle for questions to a running router.
+/// A handle for inspecting a running router.
 #[derive(Clone, Debug)]
 pub struct Inspect {
     core: Arc<Core>,
@@ -90,22 +90,22 @@
         }
     }
 
-    /// Whether the router takes requests.
+    /// Whether the router accepts requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let stopping = self.core.stop.refuse.is_cancelled();
         !stopping && self.core.fleet.view().revision() > 0
     }
 
-    /// Every request that waits here.
+    /// Every request queued here.
     #[must_use]
     pub fn waiting(&self) -> Vec<Waiting> {
         let mut all = Vec::new();
         for room in self.core.rooms.all() {
             room.read(|queue| {
                 for (_, waiting) in queue.iter() {
-                    let bound = waiting.pinned_server;
-                    let server = bound.and_then(|server| self.core.links.get(server));
+                    let pinned = waiting.pinned_server;
+                    let server = pinned.and_then(|server| self.core.links.get(server));
                     let server = server.map(|link| link.server.name.clone());
                     all.push(Waiting {
                         request: waiting.payload.attempt.request_id(),
--- a/crates/daemon/src/router/late.rs
+++ b/crates/daemon/src/router/late.rs
@@ -1,4 +1,4 @@
-//! Answers that come after their caller was told something else.
+//! Handles answers that arrive after the attempt was abandoned.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use super::link::Link;
 use super::pending::{Pending, verdict_of};
 
-/// How long a late answer is waited for, to count it.
-const WATCHED: Duration = Duration::from_mins(1);
+/// How long to wait for a late answer.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// An attempt that was given up without proof.
+/// An abandoned attempt that may have run.
 struct Late {
     core: Arc<Core>,
     link: Arc<Link>,
@@ -22,8 +22,8 @@
     key: Option<KeyId>,
 }
 
-/// Tries to withdraw an attempt that was given up, and drops its answer should
-/// it come. A proof that it has not run is kept for those who ask later.
+/// Tries to withdraw an abandoned attempt and discards a late answer. Proof that the
+/// attempt did not run is recorded for later outcome queries.
 pub(crate) fn watch(core: &Arc<Core>, link: &Arc<Link>, call: &Call, pending: Pending) {
     let late = Late {
         core: Arc::clone(core),
@@ -51,13 +51,13 @@
         match withdrawal {
             Ok(withdrawal) if !withdrawal.doubtful => withdrawal.outcome,
             Ok(_) => Outcome::Unknown,
-            // Only the answer itself can tell more.
+            // Only the answer itself can settle the outcome.
             Err(_) => std::future::pending().await,
         }
     }
 
     async fn drop_answer(&self, pending: Pending) {
-        let Ok(Ok(response)) = tokio::time::timeout(WATCHED, pending).await else {
+        let Ok(Ok(response)) = tokio::time::timeout(LATE_ANSWER_TIMEOUT, pending).await else {
             return;
         };
         if verdict_of(&response).is_some_and(mulberryyoke_wire::Verdict::is_not_run) {
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -1,5 +1,5 @@
-//! The router role: takes callers' requests, lets them wait in order, sends each
-//! to a server when it has a slot, and passes the answer back.
+//! The router role: accepts callers' requests, queues them, sends each to a server
+//! with a free slot, and forwards the answer.
 
 mod answer;
 mod attempt;
--- a/crates/daemon/src/router/paced.rs
+++ b/crates/daemon/src/router/paced.rs
@@ -1,4 +1,4 @@
-//! Connections whose peer has to keep reading.
+//! Connections with a write timeout.
 
 use std::io;
 use std::pin::Pin;
@@ -9,21 +9,22 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// A connection that fails when nothing can be written for too long.
+/// A connection that fails with `TimedOut` if a write stays pending
+/// beyond the limit.
 #[derive(Debug)]
 pub(crate) struct Paced {
     stream: TcpStream,
     limit: Duration,
-    stalled: Option<Pin<Box<Sleep>>>,
+    timeout: Option<Pin<Box<Sleep>>>,
 }
 
 impl Paced {
-    /// Bounds the time for which `stream` may refuse what is written.
+    /// Limits the time for which a write to `stream` may be pending.
     pub(crate) const fn new(stream: TcpStream, limit: Duration) -> Self {
         Self {
             stream,
             limit,
-            stalled: None,
+            timeout: None,
         }
     }
 
@@ -33,12 +34,12 @@
         written: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if written.is_ready() {
-            self.stalled = None;
+            self.timeout = None;
             return written;
         }
         let limit = self.limit;
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(limit)));
-        match stalled.as_mut().poll(cx) {
+        let timeout = self.timeout.get_or_insert_with(|| Box::pin(sleep(limit)));
+        match timeout.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
--- a/crates/daemon/src/router/refusal.rs
+++ b/crates/daemon/src/router/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: errors in the form of the `OpenAI` interface, with the request's outcome.
+//! Error responses in the format of the `OpenAI` API, with the request's outcome.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,29 +9,28 @@
 
 use super::answer::Answer;
 
-/// Response header that tells whether a refused request ran.
+/// Response header with the outcome of a refused request.
 pub(crate) const OUTCOME: HeaderName = HeaderName::from_static("x-outcome");
 
 /// Response header with the request id.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Why a request gets no answer from a server.
+/// An error response.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
-    /// HTTP status.
     pub(crate) status: StatusCode,
-    /// What is known of the request.
+    /// Known outcome of the request.
     pub(crate) outcome: Outcome,
-    /// Word for programs.
+    /// Machine-readable error code.
     pub(crate) code: &'static str,
-    /// Text for people.
+    /// Human-readable message.
     pub(crate) message: String,
-    /// Whole seconds after which to come back, where that makes sense.
+    /// Value of `Retry-After`, in seconds.
     pub(crate) retry_after: Option<u32>,
 }
 
 impl Refusal {
-    /// A refusal of a request that never left the router.
+    /// Refuses a request that was not sent to a server.
     pub(crate) fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -42,19 +41,19 @@
         }
     }
 
-    /// Names the time after which to come back.
+    /// Sets `Retry-After`.
     pub(crate) fn retry_after(mut self, seconds: u32) -> Self {
         self.retry_after = Some(seconds);
         self
     }
 
-    /// States another outcome than "not run".
+    /// Sets an outcome other than the default, "not run".
     pub(crate) fn outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// The response, which names the request id if there is one.
+    /// Builds the response, with the request id if there is one.
     pub(crate) fn into_response(self, id: Option<&str>) -> Response<Answer> {
         let body = json!({"error": {
             "message": self.message,
--- a/crates/daemon/src/router/refusals.rs
+++ b/crates/daemon/src/router/refusals.rs
@@ -1,19 +1,19 @@
-//! Refusals of requests that no server answers.
+//! Refusals raised during dispatch.
 
 use hyper::StatusCode;
 use mulberryyoke_model::Outcome;
 
 use super::refusal::Refusal;
 
-/// Seconds named to callers where only a fault has to pass.
+/// `Retry-After` for transient failures, in seconds.
 pub(super) const SOON_S: u32 = 1;
 
-/// A refusal that another moment may lift.
+/// A temporary refusal, answered 503.
 pub(super) fn unavailable(code: &'static str, message: impl Into<String>) -> Refusal {
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, message)
 }
 
-/// The pool has no server that takes new work.
+/// The pool has no server that accepts new requests.
 pub(super) fn no_server() -> Refusal {
     unavailable("no_server", "no server of this pool takes new work").retry_after(SOON_S)
 }
@@ -30,19 +30,19 @@
     Refusal::new(StatusCode::BAD_GATEWAY, "outcome_unknown", message).outcome(Outcome::Unknown)
 }
 
-/// The time is over while a server holds the request.
+/// The deadline passed after the request was sent to a server.
 pub(super) fn too_late() -> Refusal {
     let message = "the deadline passed while a server held the request";
     Refusal::new(StatusCode::GATEWAY_TIMEOUT, "deadline_passed", message).outcome(Outcome::Unknown)
 }
 
-/// A sidecar could not read what this router sent.
+/// The sidecar could not parse the ticket.
 pub(super) fn malformed() -> Refusal {
     let message = "the server's sidecar could not read the ticket";
     Refusal::new(StatusCode::INTERNAL_SERVER_ERROR, "malformed", message)
 }
 
-/// A sidecar has no room for the request's key.
+/// The sidecar's table of idempotency keys is full.
 pub(super) fn keys_full(after: Option<u32>) -> Refusal {
     let message = "the server cannot remember more idempotency keys";
     unavailable("keys_full", message).retry_after(after.unwrap_or(SOON_S))
@@ -56,7 +56,7 @@
         .retry_after(after.unwrap_or(SOON_S))
 }
 
-/// A request with this key came before.
+/// A request with this key was started before.
 pub(super) fn repeated(outcome: Outcome) -> Refusal {
     let message = "a request with this key was started before";
     Refusal::new(StatusCode::CONFLICT, "key_used", message).outcome(outcome)
--- a/crates/daemon/src/router/stop.rs
+++ b/crates/daemon/src/router/stop.rs
@@ -1,18 +1,18 @@
-//! The steps of a planned stop.
+//! Steps of a graceful shutdown.
 
 use tokio_util::sync::CancellationToken;
 
-/// The steps of a planned stop, each begun once and in this order.
+/// Steps of a graceful shutdown, each triggered once and in this order.
 #[derive(Debug, Default)]
 pub(crate) struct Stop {
-    /// New requests are refused, each with the end of its connection.
+    /// New requests are refused and HTTP/1 connections closed after the response.
     pub(crate) refuse: CancellationToken,
-    /// The port is closed, and connections without a request are.
+    /// The listener and idle connections are closed.
     pub(crate) close: CancellationToken,
-    /// Requests that still wait are refused.
+    /// Queued requests are refused.
     pub(crate) clear: CancellationToken,
-    /// Requests whose answer has not begun are given up.
+    /// Requests whose answer has not started are abandoned.
     pub(crate) cut: CancellationToken,
-    /// Everything ends.
+    /// Remaining connections are closed and background tasks stop.
     pub(crate) end: CancellationToken,
 }
