--- a/crates/daemon/src/router/operators/nodes.rs
+++ b/crates/daemon/src/router/operators/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes that a router knows of.
+//! Lists the routers and sidecars known to a router.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -6,11 +6,11 @@
 use mulberryyoke_model as model;
 use mulberryyoke_model::{Config, PoolId, ServerId, State};
 
-use crate::fleet::Standing;
+use crate::fleet::PeerStatus;
 use crate::router::core::Core;
 use crate::router::inspect::Server;
 
-/// This router and every other of the VM list.
+/// Returns this router and its peers.
 pub(crate) fn routers(core: &Core) -> Vec<Node> {
     let own = core.fleet.member();
     let this = Node {
@@ -25,28 +25,28 @@
         free: None,
         started_at: Some(own.started_at),
     };
-    let peers = core.fleet.standings();
-    let peers = peers.iter().map(|standing| peer(core, standing));
+    let peers = core.fleet.peer_statuses();
+    let peers = peers.iter().map(|status| peer(core, status));
     std::iter::once(this).chain(peers).collect()
 }
 
-fn peer(core: &Core, standing: &Standing) -> Node {
-    let heard = standing.heard.as_ref();
+fn peer(core: &Core, status: &PeerStatus) -> Node {
+    let summary = status.last_summary.as_ref();
     Node {
         role: Role::Router,
-        name: standing.name.clone(),
-        zone: heard.map_or_else(String::new, |heard| heard.member.zone.clone()),
-        up: heard.is_some_and(|heard| heard.fresh),
-        leaving: core.fleet.is_leaving(&standing.name),
-        revision: heard.map(|heard| heard.revision),
+        name: status.name.clone(),
+        zone: summary.map_or_else(String::new, |summary| summary.member.zone.clone()),
+        up: summary.is_some_and(|summary| summary.is_fresh),
+        leaving: core.fleet.is_leaving(&status.name),
+        revision: summary.map(|summary| summary.revision),
         pool: None,
         slots: None,
         free: None,
-        started_at: heard.map(|heard| heard.member.started_at),
+        started_at: summary.map(|summary| summary.member.started_at),
     }
 }
 
-/// Every configured server that this router is, or is meant to be, connected to.
+/// Returns the configured servers that are linked to this router or should be.
 pub(crate) fn sidecars(core: &Core, linked: &[Server]) -> Vec<Node> {
     let config = core.fleet.config();
     let expected = expected(core, &config);
@@ -58,7 +58,7 @@
     nodes.collect()
 }
 
-/// Configured servers that this router is not meant to be connected to.
+/// Returns the number of configured servers that [`sidecars`] does not list.
 pub(crate) fn unseen(core: &Core, linked: &[Server]) -> usize {
     let all = present(&core.fleet.config()).count();
     all.saturating_sub(sidecars(core, linked).len())
@@ -69,7 +69,7 @@
     servers.filter(|server| server.state != State::Removed)
 }
 
-/// Servers of the router's subset, and all of a pool that is no larger.
+/// Returns the router's subset of each pool, or the whole pool if it is no larger.
 fn expected(core: &Core, config: &Config) -> HashSet<ServerId> {
     let subset = usize::try_from(core.settings.limits.subset).unwrap_or(usize::MAX);
     let mut pools: BTreeMap<&str, Vec<ServerId>> = BTreeMap::new();
@@ -88,18 +88,18 @@
 
 fn sidecar(core: &Core, server: &model::Server, link: Option<&Server>) -> Node {
     let up = link.is_some_and(|link| link.up);
-    let heard = link.filter(|link| link.incarnation.is_some());
-    let draining = server.state == State::Draining || heard.is_some_and(|link| link.draining);
+    let reported = link.filter(|link| link.incarnation.is_some());
+    let draining = server.state == State::Draining || reported.is_some_and(|link| link.draining);
     Node {
         role: Role::Sidecar,
         name: server.name.clone(),
         zone: server.zone.clone(),
         up,
         leaving: draining || core.fleet.is_leaving(&server.name),
-        revision: heard.map(|link| link.revision),
+        revision: reported.map(|link| link.revision),
         pool: Some(server.pool.clone()),
-        slots: Some(heard.map_or(server.slots, |link| link.slots)),
-        free: heard.filter(|_| up).map(|link| link.free),
+        slots: Some(reported.map_or(server.slots, |link| link.slots)),
+        free: reported.filter(|_| up).map(|link| link.free),
         started_at: None,
     }
 }
