--- a/crates/client/src/cmd/config.rs
+++ b/crates/client/src/cmd/config.rs
@@ -1,7 +1,7 @@
 //! `mulberryyoke config`.
 
 use mulberryyoke_command::Command;
-use mulberryyoke_command::answer::{Answer, Item, Write};
+use mulberryyoke_command::api::{ConfigEntry, HistoryEntry, Output};
 use mulberryyoke_model::Object;
 
 use crate::cmd::{customer, pool, server, unexpected};
@@ -21,14 +21,14 @@
         return Ok(());
     }
     match &answer {
-        Answer::Items(items) => show(items),
-        Answer::History(writes) => print!("{}", history(writes)),
+        Output::Items(items) => show(items),
+        Output::History(writes) => print!("{}", history(writes)),
         _ => return Err(unexpected()),
     }
     Ok(())
 }
 
-fn show(items: &[Item]) {
+fn show(items: &[ConfigEntry]) {
     let any = |wanted: fn(&Object) -> bool| items.iter().any(|item| wanted(&item.object));
     if any(|object| matches!(object, Object::Customer(_))) {
         println!("{}", customer::table(items));
@@ -41,7 +41,7 @@
     }
 }
 
-fn history(writes: &[Write]) -> Table {
+fn history(writes: &[HistoryEntry]) -> Table {
     let mut table = Table::new(&["REVISION", "AT", "OPERATOR", "COMMAND", "KEY", "WORDS"]);
     for write in writes {
         let command = format!("{:016x}", write.command);
--- a/crates/client/src/cmd/customer.rs
+++ b/crates/client/src/cmd/customer.rs
@@ -1,6 +1,6 @@
 //! `mulberryyoke customer`.
 
-use mulberryyoke_command::answer::{Answer, Item};
+use mulberryyoke_command::api::{ConfigEntry, Output};
 use mulberryyoke_command::{Command, CustomerAction};
 use mulberryyoke_model::Object;
 
@@ -23,15 +23,15 @@
     }
     let answer = session.send(&words).await?;
     match &answer {
-        Answer::Items(items) if !command.json() => print!("{}", table(items)),
-        Answer::Items(_) => print::json(&answer, &[]),
+        Output::Items(items) if !command.json() => print!("{}", table(items)),
+        Output::Items(_) => print::json(&answer, &[]),
         _ => return report(session, command, &answer).await,
     }
     Ok(())
 }
 
 /// Customers as a table.
-pub(crate) fn table(items: &[Item]) -> Table {
+pub(crate) fn table(items: &[ConfigEntry]) -> Table {
     let mut table = Table::new(&["CUSTOMER", "SHARE", "CLASS", "QUEUE", "KEYS", "REVISION"]);
     for item in items {
         let Object::Customer(customer) = &item.object else {
--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -9,7 +9,7 @@
 mod waiting;
 
 use gumdrop::{Options, ParsingStyle};
-use mulberryyoke_command::answer::{Answer, Reply};
+use mulberryyoke_command::api::{Output, Response};
 use mulberryyoke_command::{self as command, Command};
 use tokio::runtime::Builder;
 
@@ -38,8 +38,8 @@
         return check::run(&args.words[1..]);
     }
     let command = Command::parse(&args.words).map_err(|error| match error {
-        command::Error::Help(text) => Error::Help(text),
-        command::Error::Usage(reason) => Error::Usage(reason),
+        command::ParseError::Help(text) => Error::Help(text),
+        command::ParseError::Usage(reason) => Error::Usage(reason),
     })?;
     let session = Session::open(&args)?;
     let runtime = Builder::new_current_thread()
@@ -62,8 +62,8 @@
 }
 
 /// Reports an accepted change and waits until it is in force, if asked to.
-async fn report(session: &Session, command: &Command, answer: &Answer) -> Result<(), Error> {
-    let Answer::Written(written) = answer else {
+async fn report(session: &Session, command: &Command, answer: &Output) -> Result<(), Error> {
+    let Output::Written(written) = answer else {
         return Err(unexpected());
     };
     if !command.json() {
@@ -89,7 +89,7 @@
 }
 
 fn help(args: &Args) -> Error {
-    let commands = Command::list();
+    let commands = Command::summary();
     let text = format!(
         "Usage: mulberryyoke [OPTIONS] COMMAND...\n\n{}\n\nCommands (each has --help):\n{commands}\n  \
          check     a settings file of the daemon",
@@ -107,7 +107,7 @@
     match error {
         Error::Refused(refusal) if json => {
             let code = refusal.code;
-            let reply = Reply::from(Err(refusal));
+            let reply = Response::from(Err(refusal));
             let text = serde_json::to_string_pretty(&reply).unwrap_or_default();
             Error::RefusedJson(code, text)
         }
--- a/crates/client/src/cmd/pool.rs
+++ b/crates/client/src/cmd/pool.rs
@@ -1,7 +1,7 @@
 //! `mulberryyoke pool`.
 
 use mulberryyoke_command::Command;
-use mulberryyoke_command::answer::{Answer, Item};
+use mulberryyoke_command::api::{ConfigEntry, Output};
 use mulberryyoke_model::{Kind, Object, Route};
 
 use crate::cmd::report;
@@ -17,15 +17,15 @@
 ) -> Result<(), Error> {
     let answer = session.send(&words).await?;
     match &answer {
-        Answer::Items(items) if !command.json() => print!("{}", table(items)),
-        Answer::Items(_) => print::json(&answer, &[]),
+        Output::Items(items) if !command.json() => print!("{}", table(items)),
+        Output::Items(_) => print::json(&answer, &[]),
         _ => return report(session, command, &answer).await,
     }
     Ok(())
 }
 
 /// Pools as a table.
-pub(crate) fn table(items: &[Item]) -> Table {
+pub(crate) fn table(items: &[ConfigEntry]) -> Table {
     let mut table = Table::new(&["POOL", "KIND", "REVISION", "ROUTES"]);
     for item in items {
         let Object::Pool(pool) = &item.object else {
--- a/crates/client/src/cmd/status.rs
+++ b/crates/client/src/cmd/status.rs
@@ -1,7 +1,7 @@
 //! `mulberryyoke status`.
 
 use mulberryyoke_command::Command;
-use mulberryyoke_command::answer::{Answer, Node, Role, Status};
+use mulberryyoke_command::api::{Node, Output, Role, Status};
 
 use crate::cmd::unexpected;
 use crate::error::Error;
@@ -15,7 +15,7 @@
     words: Vec<String>,
 ) -> Result<(), Error> {
     let answer = session.send(&words).await?;
-    let Answer::Status(status) = &answer else {
+    let Output::Status(status) = &answer else {
         return Err(unexpected());
     };
     if command.json() {
--- a/crates/client/src/cmd/waiting.rs
+++ b/crates/client/src/cmd/waiting.rs
@@ -1,7 +1,7 @@
 //! `mulberryyoke waiting`.
 
 use mulberryyoke_command::Command;
-use mulberryyoke_command::answer::{Answer, Counter, Waiter, Waiting};
+use mulberryyoke_command::api::{CustomerQueue, Output, WaitingList, WaitingRequest};
 use mulberryyoke_model::Outcome;
 
 use crate::cmd::unexpected;
@@ -16,7 +16,7 @@
     words: Vec<String>,
 ) -> Result<(), Error> {
     let answer = session.send(&words).await?;
-    let Answer::Waiting(waiting) = &answer else {
+    let Output::Waiting(waiting) = &answer else {
         return Err(unexpected());
     };
     if command.json() {
@@ -36,7 +36,7 @@
 }
 
 /// What is known when nothing that was asked for waits at the asked router.
-fn elsewhere(waiting: &Waiting) -> String {
+fn elsewhere(waiting: &WaitingList) -> String {
     match waiting.outcome {
         None => "nothing waits".to_owned(),
         Some(Outcome::Waiting) => "the request waits at another router".to_owned(),
@@ -44,7 +44,7 @@
     }
 }
 
-fn counters(customers: &[Counter]) -> Table {
+fn counters(customers: &[CustomerQueue]) -> Table {
     let mut table = Table::new(&[
         "CUSTOMER",
         "SHARE",
@@ -73,7 +73,7 @@
     table
 }
 
-fn requests(requests: &[Waiter]) -> Table {
+fn requests(requests: &[WaitingRequest]) -> Table {
     let mut table = Table::new(&[
         "REQUEST",
         "CUSTOMER",
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use displaydoc::Display;
-use mulberryyoke_command::answer::{Code, Refusal};
+use mulberryyoke_command::api::{CommandError, ErrorCode};
 use mulberryyoke_settings as settings;
 
 /// Why a command was not done.
@@ -33,9 +33,9 @@
     /// could not understand answer: {0}
     Answer(String),
     /// {0}
-    Refused(Refusal),
+    Refused(CommandError),
     /// {1}
-    RefusedJson(Code, String),
+    RefusedJson(ErrorCode, String),
     /// could not see revision {revision} in force everywhere in time; lagging: {nodes}
     Lagging {
         /// The revision.
@@ -79,10 +79,12 @@
     }
 }
 
-const fn refused(code: Code) -> u8 {
+const fn refused(code: ErrorCode) -> u8 {
     match code {
-        Code::Usage => USAGE,
-        Code::Unavailable | Code::Unknown => UNKNOWN,
-        Code::Denied | Code::Conflict | Code::Missing | Code::Refused => REFUSED,
+        ErrorCode::Usage => USAGE,
+        ErrorCode::Unavailable | ErrorCode::Unknown => UNKNOWN,
+        ErrorCode::Denied | ErrorCode::Conflict | ErrorCode::Missing | ErrorCode::Refused => {
+            REFUSED
+        }
     }
 }
--- a/crates/client/src/force.rs
+++ b/crates/client/src/force.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use mulberryyoke_command::answer::{Answer, Node, Role};
+use mulberryyoke_command::api::{Node, Output, Role};
 use mulberryyoke_model::Revision;
 use tokio::time::sleep;
 
@@ -22,8 +22,8 @@
     let mut lagging = Vec::new();
     loop {
         match session.query(&words).await {
-            Ok(Answer::Status(status)) if status.nodes.is_empty() => return Ok(()),
-            Ok(Answer::Status(status)) => lagging = status.nodes,
+            Ok(Output::Status(status)) if status.nodes.is_empty() => return Ok(()),
+            Ok(Output::Status(status)) => lagging = status.nodes,
             Ok(_) => return Err(Error::Answer("not a status".to_owned())),
             Err(error) if lagging.is_empty() => return Err(error),
             Err(_) => {}
--- a/crates/client/src/print/mod.rs
+++ b/crates/client/src/print/mod.rs
@@ -6,11 +6,11 @@
 pub(crate) use table::Table;
 pub(crate) use time::{since, stamp};
 
-use mulberryyoke_command::answer::{Answer, Written};
+use mulberryyoke_command::api::{Output, WriteResult};
 use serde_json::Value;
 
 /// Prints an answer as JSON, with further members.
-pub(crate) fn json(answer: &Answer, more: &[(&str, Value)]) {
+pub(crate) fn json(answer: &Output, more: &[(&str, Value)]) {
     let mut body = serde_json::json!({ "ok": true, "answer": answer });
     for (name, value) in more {
         body[*name] = value.clone();
@@ -19,8 +19,8 @@
 }
 
 /// Prints an accepted change in a line.
-pub(crate) fn written(written: &Written) {
-    let Written { key, revision, .. } = written;
+pub(crate) fn written(written: &WriteResult) {
+    let WriteResult { key, revision, .. } = written;
     let what = match (written.unchanged, written.repeated) {
         (_, true) => "was accepted before",
         (true, false) => "is so already",
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -5,7 +5,7 @@
 use std::{env, fs};
 
 use bytes::Bytes;
-use mulberryyoke_command::answer::{Answer, Code, Refusal, Reply, Request};
+use mulberryyoke_command::api::{CommandError, ErrorCode, Output, Request, Response};
 use tokio::time::{sleep, timeout_at};
 
 use crate::args::Args;
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// [`Error::Refused`] by a router, [`Error::Unreachable`] without an answer.
-    pub(crate) async fn send(&self, words: &[String]) -> Result<Answer, Error> {
+    pub(crate) async fn send(&self, words: &[String]) -> Result<Output, Error> {
         self.ask(words, Some(self.command)).await
     }
 
@@ -69,11 +69,11 @@
     /// # Errors
     ///
     /// As [`Session::send`].
-    pub(crate) async fn query(&self, words: &[String]) -> Result<Answer, Error> {
+    pub(crate) async fn query(&self, words: &[String]) -> Result<Output, Error> {
         self.ask(words, None).await
     }
 
-    async fn ask(&self, words: &[String], command: Option<u64>) -> Result<Answer, Error> {
+    async fn ask(&self, words: &[String], command: Option<u64>) -> Result<Output, Error> {
         let words = words.to_vec();
         let request = Request { words, command };
         let body = serde_json::to_vec(&request).map_err(|e| Error::Answer(e.to_string()))?;
@@ -94,12 +94,12 @@
         }
     }
 
-    async fn post(&self, router: SocketAddr, body: &Bytes) -> Result<Answer, Error> {
+    async fn post(&self, router: SocketAddr, body: &Bytes) -> Result<Output, Error> {
         let post = http::post(router, &self.key, body.clone());
         let late = |_| Error::Unreachable(format!("{router}: no answer in time"));
         let bytes = timeout_at(self.deadline.into(), post).await.map_err(late)?;
         let bytes = bytes.map_err(Error::Unreachable)?;
-        let reply: Reply =
+        let reply: Response =
             serde_json::from_slice(&bytes).map_err(|e| Error::Answer(e.to_string()))?;
         match (reply.answer, reply.error) {
             (Some(answer), _) => Ok(answer),
@@ -113,8 +113,8 @@
 fn is_final(error: &Error) -> bool {
     match error {
         Error::Unreachable(_) => false,
-        Error::Refused(Refusal { code, conflict, .. }) => {
-            *code != Code::Unknown || conflict.is_some()
+        Error::Refused(CommandError { code, conflict, .. }) => {
+            *code != ErrorCode::Unknown || conflict.is_some()
         }
         _ => true,
     }
--- a/crates/command/src/answer.rs
+++ b/crates/command/src/api.rs
@@ -1,61 +1,61 @@
 //! What a router's operator port answers.
 
+mod config_entry;
 mod conflict;
+mod error;
 mod hex;
-mod item;
+mod history;
 mod node;
-mod refusal;
 mod request;
 mod status;
 mod waiting;
-mod write;
-mod written;
+mod write_result;
 
 use serde::{Deserialize, Serialize};
 
+pub use config_entry::ConfigEntry;
 pub use conflict::Conflict;
-pub use item::Item;
+pub use error::{CommandError, ErrorCode};
+pub use history::HistoryEntry;
 pub use node::{Node, Role};
-pub use refusal::{Code, Refusal};
 pub use request::Request;
-pub use status::{Status, Tally};
-pub use waiting::{Counter, Waiter, Waiting};
-pub use write::Write;
-pub use written::Written;
+pub use status::{Counts, Status};
+pub use waiting::{CustomerQueue, WaitingList, WaitingRequest};
+pub use write_result::WriteResult;
 
 /// The answer to one command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Answer {
+pub enum Output {
     /// A change was accepted.
-    Written(Written),
+    Written(WriteResult),
     /// Configured objects, each with its latest write.
-    Items(Vec<Item>),
+    Items(Vec<ConfigEntry>),
     /// The state of the fleet.
     Status(Status),
     /// Who is waiting, and why.
-    Waiting(Waiting),
+    Waiting(WaitingList),
     /// Writes, newest first.
-    History(Vec<Write>),
+    History(Vec<HistoryEntry>),
     /// Help that the words asked for.
     Help(String),
 }
 
 /// The body of an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct Response {
     /// Whether the command was carried out.
     pub ok: bool,
     /// The answer, when it was.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub answer: Option<Answer>,
+    pub answer: Option<Output>,
     /// Why not, when it was not.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub error: Option<Refusal>,
+    pub error: Option<CommandError>,
 }
 
-impl From<Result<Answer, Refusal>> for Reply {
-    fn from(result: Result<Answer, Refusal>) -> Self {
+impl From<Result<Output, CommandError>> for Response {
+    fn from(result: Result<Output, CommandError>) -> Self {
         let ok = result.is_ok();
         let (answer, error) = match result {
             Ok(answer) => (Some(answer), None),
--- a/crates/command/src/answer/item.rs
+++ b/crates/command/src/api/config_entry.rs
@@ -5,7 +5,7 @@
 
 /// A configured object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct ConfigEntry {
     /// Key below the configuration prefix.
     pub key: String,
     /// Revision of its latest write.
--- a/crates/command/src/answer/refusal.rs
+++ b/crates/command/src/api/error.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::answer::Conflict;
+use crate::api::Conflict;
 
 /// The sort of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Code {
+pub enum ErrorCode {
     /// The words are not a command.
     Usage,
     /// The operator's key is wrong or missing.
@@ -26,10 +26,10 @@
     Unknown,
 }
 
-impl Code {
+impl ErrorCode {
     /// The HTTP status it is sent with.
     #[must_use]
-    pub const fn status(self) -> u16 {
+    pub const fn http_status(self) -> u16 {
         match self {
             Self::Usage => 400,
             Self::Denied => 401,
@@ -43,7 +43,7 @@
 
     /// The word used in logs and answers.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Usage => "usage",
             Self::Denied => "denied",
@@ -58,9 +58,9 @@
 
 /// Why a command was not carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct CommandError {
     /// The sort.
-    pub code: Code,
+    pub code: ErrorCode,
     /// For people.
     pub message: String,
     /// Identity of the command, to send it again.
@@ -75,9 +75,9 @@
     pub conflict: Option<Box<Conflict>>,
 }
 
-impl Refusal {
+impl CommandError {
     /// A refusal with a message.
-    pub fn new(code: Code, message: impl Into<String>) -> Self {
+    pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             code,
             message: message.into(),
@@ -87,10 +87,10 @@
     }
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.code.word(), self.message)
+        write!(f, "{}: {}", self.code.as_str(), self.message)
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for CommandError {}
--- a/crates/command/src/answer/write.rs
+++ b/crates/command/src/api/history.rs
@@ -5,7 +5,7 @@
 
 /// One accepted write of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Write {
+pub struct HistoryEntry {
     /// Key below the configuration prefix.
     pub key: String,
     /// Its revision.
--- a/crates/command/src/answer/node.rs
+++ b/crates/command/src/api/node.rs
@@ -45,7 +45,7 @@
 impl Node {
     /// Whether a revision is not yet known to be in force on it.
     #[must_use]
-    pub fn lags(&self, revision: Revision) -> bool {
+    pub fn is_behind(&self, revision: Revision) -> bool {
         self.revision.is_none_or(|held| held < revision)
     }
 }
--- a/crates/command/src/answer/status.rs
+++ b/crates/command/src/api/status.rs
@@ -3,7 +3,7 @@
 use mulberryyoke_model::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::answer::Node;
+use crate::api::Node;
 
 /// The state of the fleet as the asked router knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,12 +20,12 @@
     /// knows nothing of their sidecars.
     pub unseen: usize,
     /// Counts at the asked router.
-    pub tally: Tally,
+    pub tally: Counts,
 }
 
 /// Counts at the asked router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct Counts {
     /// Customers.
     pub customers: usize,
     /// Requests that wait.
--- a/crates/command/src/answer/waiting.rs
+++ b/crates/command/src/api/waiting.rs
@@ -5,13 +5,13 @@
 
 /// Waiting requests at the asked router.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct WaitingList {
     /// Name of the asked router.
     pub router: String,
     /// Customers with waiting requests, the next to be served first.
-    pub customers: Vec<Counter>,
+    pub customers: Vec<CustomerQueue>,
     /// Waiting requests in the order in which they are served within a customer.
-    pub requests: Vec<Waiter>,
+    pub requests: Vec<WaitingRequest>,
     /// Requests left out by the limit.
     pub more: u64,
     /// What became of the request that was asked for by its id.
@@ -21,7 +21,7 @@
 
 /// A customer's standing beside the others'.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Counter {
+pub struct CustomerQueue {
     /// The customer's name.
     pub customer: String,
     /// Its share.
@@ -38,7 +38,7 @@
 
 /// A waiting request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waiter {
+pub struct WaitingRequest {
     /// The request id.
     pub request: String,
     /// The customer's name.
--- a/crates/command/src/answer/written.rs
+++ b/crates/command/src/api/write_result.rs
@@ -5,7 +5,7 @@
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct WriteResult {
     /// Identity of the command.
     #[serde(with = "super::hex")]
     pub command: u64,
--- a/crates/command/src/command.rs
+++ b/crates/command/src/command.rs
@@ -3,8 +3,8 @@
 use gumdrop::Options;
 
 use crate::{
-    Config, ConfigAction, Customer, CustomerAction, Error, Pool, PoolAction, Server, ServerAction,
-    Status, Waiting,
+    Config, ConfigAction, Customer, CustomerAction, ParseError, Pool, PoolAction, Server,
+    ServerAction, Status, Waiting,
 };
 
 /// Any command of an operator.
@@ -37,13 +37,13 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Help`] when the words ask for help, [`Error::Usage`] when they
+    /// [`ParseError::Help`] when the words ask for help, [`ParseError::Usage`] when they
     /// are not a command.
-    pub fn parse<S: AsRef<str>>(words: &[S]) -> Result<Self, Error> {
-        let parsed =
-            Words::parse_args_default(words).map_err(|error| Error::Usage(error.to_string()))?;
+    pub fn parse<S: AsRef<str>>(words: &[S]) -> Result<Self, ParseError> {
+        let parsed = Words::parse_args_default(words)
+            .map_err(|error| ParseError::Usage(error.to_string()))?;
         if parsed.help_requested() {
-            return Err(Error::Help(help(words, &parsed)));
+            return Err(ParseError::Help(help(words, &parsed)));
         }
         let command = parsed.command.ok_or_else(missing)?;
         command.check()?;
@@ -52,19 +52,20 @@
 
     /// The list of commands, one a line.
     #[must_use]
-    pub fn list() -> &'static str {
+    pub fn summary() -> &'static str {
         Self::usage()
     }
 
     /// Whether it changes the configuration.
     #[must_use]
-    pub fn writes(&self) -> bool {
+    pub fn is_write(&self) -> bool {
         match self {
-            Self::Customer(customer) => {
-                customer.action.as_ref().is_some_and(CustomerAction::writes)
-            }
-            Self::Pool(pool) => pool.action.as_ref().is_some_and(PoolAction::writes),
-            Self::Server(server) => server.action.as_ref().is_some_and(ServerAction::writes),
+            Self::Customer(customer) => customer
+                .action
+                .as_ref()
+                .is_some_and(CustomerAction::is_write),
+            Self::Pool(pool) => pool.action.as_ref().is_some_and(PoolAction::is_write),
+            Self::Server(server) => server.action.as_ref().is_some_and(ServerAction::is_write),
             Self::Status(_) | Self::Waiting(_) | Self::Config(_) => false,
         }
     }
@@ -93,31 +94,31 @@
         }
     }
 
-    fn check(&self) -> Result<(), Error> {
+    fn check(&self) -> Result<(), ParseError> {
         match self {
             Self::Customer(customer) => match &customer.action {
-                Some(action) => action.check().map_err(Error::Usage),
+                Some(action) => action.check().map_err(ParseError::Usage),
                 None => Err(missing()),
             },
             Self::Pool(pool) => match &pool.action {
-                Some(action) => action.check().map_err(Error::Usage),
+                Some(action) => action.check().map_err(ParseError::Usage),
                 None => Err(missing()),
             },
             Self::Server(server) => match &server.action {
-                Some(action) => action.check().map_err(Error::Usage),
+                Some(action) => action.check().map_err(ParseError::Usage),
                 None => Err(missing()),
             },
-            Self::Waiting(waiting) => waiting.check().map_err(Error::Usage),
+            Self::Waiting(waiting) => waiting.check().map_err(ParseError::Usage),
             Self::Config(config) if config.action.is_none() => Err(missing()),
             Self::Status(_) | Self::Config(_) => Ok(()),
         }
     }
 }
 
-fn missing() -> Error {
-    Error::Usage(format!(
+fn missing() -> ParseError {
+    ParseError::Usage(format!(
         "a word is missing; the commands are\n{}",
-        Command::list()
+        Command::summary()
     ))
 }
 
--- a/crates/command/src/customer.rs
+++ b/crates/command/src/customer.rs
@@ -144,7 +144,7 @@
 }
 
 impl Action {
-    pub(crate) const fn writes(&self) -> bool {
+    pub(crate) const fn is_write(&self) -> bool {
         matches!(self, Self::Add(_) | Self::Set(_) | Self::Remove(_))
     }
 
--- a/crates/command/src/error.rs
+++ b/crates/command/src/error.rs
@@ -4,11 +4,11 @@
 
 /// Why words are not a command.
 #[derive(Debug, Display, PartialEq, Eq)]
-pub enum Error {
+pub enum ParseError {
     /// {0}
     Help(String),
     /// could not read command: {0}
     Usage(String),
 }
 
-impl std::error::Error for Error {}
+impl std::error::Error for ParseError {}
--- a/crates/command/src/words.rs
+++ b/crates/command/src/redact.rs
@@ -9,7 +9,7 @@
 /// Joins the words of a command, without bearer keys and without what only
 /// concerns the printing.
 #[must_use]
-pub fn kept<S: AsRef<str>>(words: &[S]) -> String {
+pub fn redact<S: AsRef<str>>(words: &[S]) -> String {
     let mut kept: Vec<&str> = Vec::with_capacity(words.len());
     let mut secret = false;
     let history = words.first().is_some_and(|word| word.as_ref() == "config");
--- a/crates/command/tests/json.rs
+++ b/crates/command/tests/json.rs
@@ -1,7 +1,7 @@
 //! The JSON form of requests and answers.
 
 use googletest::prelude::*;
-use mulberryyoke_command::answer::{Answer, Code, Refusal, Reply, Request, Written};
+use mulberryyoke_command::api::{CommandError, ErrorCode, Output, Request, Response, WriteResult};
 use serde_json::json;
 
 #[gtest]
@@ -29,7 +29,7 @@
 
 #[gtest]
 fn writes_identities_as_digits() {
-    let written = Written {
+    let written = WriteResult {
         command: u64::MAX,
         key: "pool/chat".to_owned(),
         revision: 4,
@@ -38,26 +38,26 @@
         replaced: None,
         object: None,
     };
-    let reply = Reply::from(Ok(Answer::Written(written)));
+    let reply = Response::from(Ok(Output::Written(written)));
     let body = serde_json::to_value(&reply).expect("it has a JSON form");
     expect_that!(
         body["answer"]["written"]["command"],
         eq("f".repeat(16).as_str())
     );
-    expect_that!(serde_json::from_value::<Reply>(body), ok(eq(&reply)));
+    expect_that!(serde_json::from_value::<Response>(body), ok(eq(&reply)));
 }
 
 #[gtest]
 fn refusals_survive_the_wire() {
-    for code in [Code::Conflict, Code::Unknown, Code::Denied] {
-        let refusal = Refusal {
+    for code in [ErrorCode::Conflict, ErrorCode::Unknown, ErrorCode::Denied] {
+        let refusal = CommandError {
             command: Some(7),
-            ..Refusal::new(code, "why")
+            ..CommandError::new(code, "why")
         };
-        let reply = Reply::from(Err(refusal));
+        let reply = Response::from(Err(refusal));
         let body = serde_json::to_value(&reply).expect("it has a JSON form");
         expect_that!(body["ok"], eq(&json!(false)));
-        expect_that!(body["error"]["code"], eq(code.word()));
-        expect_that!(serde_json::from_value::<Reply>(body), ok(eq(&reply)));
+        expect_that!(body["error"]["code"], eq(code.as_str()));
+        expect_that!(serde_json::from_value::<Response>(body), ok(eq(&reply)));
     }
 }
--- a/crates/command/tests/parse.rs
+++ b/crates/command/tests/parse.rs
@@ -1,7 +1,7 @@
 //! Which words are commands, and which are not.
 
 use googletest::prelude::*;
-use mulberryyoke_command::{Command, CustomerAction, Error, words};
+use mulberryyoke_command::{Command, CustomerAction, ParseError, redact};
 use mulberryyoke_model::Class;
 
 const KEY: &str = "a-key-of-sixteen";
@@ -90,7 +90,9 @@
     for (line, reason) in lines {
         expect_that!(
             Command::parse(&split(line)),
-            err(matches_pattern!(Error::Usage(contains_substring(reason)))),
+            err(matches_pattern!(ParseError::Usage(contains_substring(
+                reason
+            )))),
             "{line}"
         );
     }
@@ -108,7 +110,9 @@
         let example = format!("Example: mulberryyoke {named}");
         expect_that!(
             told,
-            err(matches_pattern!(Error::Help(contains_substring(example)))),
+            err(matches_pattern!(ParseError::Help(contains_substring(
+                example
+            )))),
             "{line}"
         );
     }
@@ -145,6 +149,6 @@
         ),
     ];
     for (line, kept) in lines {
-        expect_that!(words::kept(&split(&line)), eq(kept));
+        expect_that!(redact(&split(&line)), eq(kept));
     }
 }
--- a/crates/daemon/src/operator/executor.rs
+++ b/crates/daemon/src/operator/executor.rs
@@ -6,8 +6,8 @@
 
 use std::sync::Arc;
 
-use mulberryyoke_command::answer::{Answer, Code, Refusal, Request, Written};
-use mulberryyoke_command::{Command, ConfigAction, Error, Waiting, words};
+use mulberryyoke_command::api::{CommandError, ErrorCode, Output, Request, WriteResult};
+use mulberryyoke_command::{Command, ConfigAction, ParseError, Waiting, redact};
 use mulberryyoke_decide::cas::{self, Outcome};
 use mulberryyoke_model::{Attempt, Millis, Object};
 
@@ -41,11 +41,17 @@
         }
     }
 
-    pub(crate) async fn run(&self, request: &Request, author: &Author) -> Result<Answer, Refusal> {
+    pub(crate) async fn run(
+        &self,
+        request: &Request,
+        author: &Author,
+    ) -> Result<Output, CommandError> {
         let command = match Command::parse(&request.words) {
             Ok(command) => command,
-            Err(Error::Help(help)) => return Ok(Answer::Help(help)),
-            Err(Error::Usage(reason)) => return Err(Refusal::new(Code::Usage, reason)),
+            Err(ParseError::Help(help)) => return Ok(Output::Help(help)),
+            Err(ParseError::Usage(reason)) => {
+                return Err(CommandError::new(ErrorCode::Usage, reason));
+            }
         };
         match &command {
             Command::Customer(customer) => self.customer(customer.action.as_ref(), author).await,
@@ -57,26 +63,26 @@
         }
     }
 
-    async fn waiting(&self, query: &Waiting) -> Answer {
+    async fn waiting(&self, query: &Waiting) -> Output {
         let mut waiting = self.router.waiting(query);
         let attempt = query.request.as_deref().and_then(Attempt::parse_request_id);
         if let Some(attempt) = attempt {
             waiting.outcome = Some(self.router.outcome(attempt).await);
         }
-        Answer::Waiting(waiting)
+        Output::Waiting(waiting)
     }
 
-    async fn list(&self, prefix: &str) -> Result<Vec<(String, Snapshot)>, Refusal> {
+    async fn list(&self, prefix: &str) -> Result<Vec<(String, Snapshot)>, CommandError> {
         let accepted = self.router.config().revision;
         self.store.list(prefix, accepted).await
     }
 
-    async fn get(&self, key: &str) -> Result<Snapshot, Refusal> {
+    async fn get(&self, key: &str) -> Result<Snapshot, CommandError> {
         let accepted = self.router.config().revision;
         self.store.get(key, accepted).await
     }
 
-    async fn config(&self, action: Option<&ConfigAction>) -> Result<Answer, Refusal> {
+    async fn config(&self, action: Option<&ConfigAction>) -> Result<Output, CommandError> {
         match action {
             Some(ConfigAction::History(history)) => {
                 let listing = self.list(&history.key).await?;
@@ -106,41 +112,41 @@
         key: &str,
         current: &Snapshot,
         at: Option<u64>,
-        plan: impl FnOnce() -> Result<Plan, Refusal>,
+        plan: impl FnOnce() -> Result<Plan, CommandError>,
         author: &Author,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<Output, CommandError> {
         if current.is_unreadable() {
             let message = format!("{key}: current value cannot be parsed");
-            return Err(Refusal::new(Code::Refused, message));
+            return Err(CommandError::new(ErrorCode::Refused, message));
         }
         if let Some(written) = find_repeat(key, current, author) {
-            return Ok(Answer::Written(written));
+            return Ok(Output::Written(written));
         }
         if at.is_some() && at != current.revision {
             return Err(conflict(key, current, author));
         }
-        let plan = plan().map_err(|refusal| with_conflict(refusal, key, current, author))?;
+        let plan = plan().map_err(|error| with_conflict(error, key, current, author))?;
         let written = match plan {
             Plan::Write(object) => self.store.swap(key, current, object, author).await?,
             Plan::Unchanged => unchanged(key, current, author),
         };
-        Ok(Answer::Written(written))
+        Ok(Output::Written(written))
     }
 }
 
 /// Text of a command without bearer keys, for the log and the history.
 pub(crate) fn redacted_words(request: &Request) -> String {
-    words::kept(&request.words)
+    redact(&request.words)
 }
 
 /// Finds the earlier result of a command that is sent again.
-fn find_repeat(key: &str, current: &Snapshot, author: &Author) -> Option<Written> {
+fn find_repeat(key: &str, current: &Snapshot, author: &Author) -> Option<WriteResult> {
     let (entry, revision) = current.versioned_entry()?;
     let Outcome::Written { revision, replaced } = cas::find(author.command, entry, revision)?
     else {
         return None;
     };
-    Some(Written {
+    Some(WriteResult {
         revision,
         repeated: true,
         replaced,
@@ -148,8 +154,8 @@
     })
 }
 
-fn unchanged(key: &str, current: &Snapshot, author: &Author) -> Written {
-    Written {
+fn unchanged(key: &str, current: &Snapshot, author: &Author) -> WriteResult {
+    WriteResult {
         command: author.command,
         key: key.to_owned(),
         revision: current.revision.unwrap_or_default(),
@@ -161,13 +167,18 @@
 }
 
 /// Adds the current state of the key to a conflict.
-fn with_conflict(refusal: Refusal, key: &str, current: &Snapshot, author: &Author) -> Refusal {
-    if refusal.code != Code::Conflict {
-        return refusal;
+fn with_conflict(
+    error: CommandError,
+    key: &str,
+    current: &Snapshot,
+    author: &Author,
+) -> CommandError {
+    if error.code != ErrorCode::Conflict {
+        return error;
     }
     let conflict = conflict(key, current, author);
-    Refusal {
-        message: format!("{}; {}", refusal.message, conflict.message),
+    CommandError {
+        message: format!("{}; {}", error.message, conflict.message),
         ..conflict
     }
 }
@@ -177,6 +188,6 @@
     listing.iter().filter_map(|(_, current)| current.object())
 }
 
-fn missing_action() -> Refusal {
-    Refusal::new(Code::Usage, "subcommand missing")
+fn missing_action() -> CommandError {
+    CommandError::new(ErrorCode::Usage, "subcommand missing")
 }
--- a/crates/daemon/src/operator/executor/customer.rs
+++ b/crates/daemon/src/operator/executor/customer.rs
@@ -1,7 +1,7 @@
 //! Commands on customers.
 
 use mulberryyoke_command::CustomerAction;
-use mulberryyoke_command::answer::{Answer, Refusal};
+use mulberryyoke_command::api::{CommandError, Output};
 use mulberryyoke_model::{Customer, Object};
 
 use super::{Executor, missing_action, objects};
@@ -15,7 +15,7 @@
         &self,
         action: Option<&CustomerAction>,
         author: &Author,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<Output, CommandError> {
         match action {
             Some(CustomerAction::Add(add)) => {
                 let key = format!("customer/{}", add.name);
--- a/crates/daemon/src/operator/executor/pool.rs
+++ b/crates/daemon/src/operator/executor/pool.rs
@@ -1,7 +1,7 @@
 //! Commands on pools.
 
 use mulberryyoke_command::PoolAction;
-use mulberryyoke_command::answer::{Answer, Refusal};
+use mulberryyoke_command::api::{CommandError, Output};
 use mulberryyoke_model::{Object, Pool};
 
 use super::server::servers;
@@ -16,7 +16,7 @@
         &self,
         action: Option<&PoolAction>,
         author: &Author,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<Output, CommandError> {
         match action {
             Some(PoolAction::Add(add)) => {
                 let key = format!("pool/{}", add.name);
--- a/crates/daemon/src/operator/executor/server.rs
+++ b/crates/daemon/src/operator/executor/server.rs
@@ -1,6 +1,6 @@
 //! Commands on servers.
 
-use mulberryyoke_command::answer::{Answer, Code, Refusal};
+use mulberryyoke_command::api::{CommandError, ErrorCode, Output};
 use mulberryyoke_command::{ServerAction, ServerAdd, ServerList};
 use mulberryyoke_model::{Object, Revision, Server, State};
 
@@ -15,7 +15,7 @@
         &self,
         action: Option<&ServerAction>,
         author: &Author,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<Output, CommandError> {
         match action {
             Some(ServerAction::Add(add)) => self.add_server(add, author).await,
             Some(ServerAction::Drain(drain)) => {
@@ -42,12 +42,12 @@
         }
     }
 
-    async fn add_server(&self, add: &ServerAdd, author: &Author) -> Result<Answer, Refusal> {
+    async fn add_server(&self, add: &ServerAdd, author: &Author) -> Result<Output, CommandError> {
         let key = format!("server/{}", add.name);
         let pool = self.get(&format!("pool/{}", add.pool)).await?;
         if pool.object().is_none() {
             let message = format!("pool/{}: does not exist; add it first", add.pool);
-            return Err(Refusal::new(Code::Missing, message));
+            return Err(CommandError::new(ErrorCode::Missing, message));
         }
         let listing = self.list("server/").await?;
         let (current, others) = (lookup(&listing, &key), servers(objects(&listing)));
@@ -63,7 +63,7 @@
         state: State,
         at: Option<Revision>,
         author: &Author,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<Output, CommandError> {
         let key = format!("server/{name}");
         let current = self.get(&key).await?;
         let plan = || plan::set_state(name, state, current.object(), author.at);
--- a/crates/daemon/src/operator/gauges.rs
+++ b/crates/daemon/src/operator/gauges.rs
@@ -1,6 +1,6 @@
 //! Metrics that are read from the router on each scrape.
 
-use mulberryyoke_command::answer::{Node, Role};
+use mulberryyoke_command::api::{Node, Role};
 
 use super::router_state::RouterState;
 
@@ -10,7 +10,7 @@
     let revision = router.config().revision;
     let tally = router.tally();
     let nodes = router.nodes();
-    let behind = nodes.iter().filter(|node| node.lags(revision)).count();
+    let behind = nodes.iter().filter(|node| node.is_behind(revision)).count();
     let (read, written) = router.control_bytes();
     metrics::gauge!("router_config_revision", "router" => name.clone()).set(to_f64(revision));
     metrics::gauge!("router_kv_up", "router" => name.clone()).set(if router.is_kv_up() {
--- a/crates/daemon/src/operator/handler.rs
+++ b/crates/daemon/src/operator/handler.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use mulberryyoke_command::answer::{self, Answer, Code, Refusal, Reply};
+use mulberryyoke_command::api::{self, CommandError, ErrorCode, Output};
 use mulberryyoke_event::{Event, log};
 use slog::Logger;
 
@@ -58,13 +58,13 @@
     async fn command(&self, request: Request<Incoming>, peer: SocketAddr) -> Response<Full<Bytes>> {
         let Some(operator) = self.access.operator(request.headers()) else {
             log!(self.logger, Event::OperatorDenied, "peer" => peer.to_string());
-            let refusal = Refusal::new(Code::Denied, "bearer key of an operator required");
-            return reply(Err(refusal));
+            let error = CommandError::new(ErrorCode::Denied, "bearer key of an operator required");
+            return reply(Err(error));
         };
         let operator = operator.to_owned();
         let request = match parse_request(request.into_body()).await {
             Ok(request) => request,
-            Err(refusal) => return reply(Err(refusal)),
+            Err(error) => return reply(Err(error)),
         };
         let author = Author {
             command: request.command.unwrap_or_else(rand::random),
@@ -77,13 +77,13 @@
         reply(result)
     }
 
-    fn audit(&self, author: &Author, result: &Result<Answer, Refusal>) {
+    fn audit(&self, author: &Author, result: &Result<Output, CommandError>) {
         let outcome = match result {
             Ok(_) => "ok",
-            Err(refusal) => refusal.code.word(),
+            Err(error) => error.code.as_str(),
         };
         let revision = match result {
-            Ok(Answer::Written(written)) => written.revision,
+            Ok(Output::Written(written)) => written.revision,
             _ => 0,
         };
         metrics::counter!("operator_commands_total", "result" => outcome).increment(1);
@@ -98,25 +98,25 @@
     }
 }
 
-async fn parse_request(body: Incoming) -> Result<answer::Request, Refusal> {
-    let usage = |reason: String| Refusal::new(Code::Usage, format!("body: {reason}"));
+async fn parse_request(body: Incoming) -> Result<api::Request, CommandError> {
+    let usage = |reason: String| CommandError::new(ErrorCode::Usage, format!("body: {reason}"));
     let body = Limited::new(body, MAX_COMMAND_BYTES).collect().await;
     let bytes = body.map_err(|e| usage(e.to_string()))?.to_bytes();
     serde_json::from_slice(&bytes).map_err(|e| usage(e.to_string()))
 }
 
-fn reply(result: Result<Answer, Refusal>) -> Response<Full<Bytes>> {
+fn reply(result: Result<Output, CommandError>) -> Response<Full<Bytes>> {
     let status = match &result {
         Ok(_) => StatusCode::OK,
-        Err(refusal) => status(refusal.code),
+        Err(error) => status(error.code),
     };
-    let mut body = serde_json::to_vec(&Reply::from(result)).unwrap_or_default();
+    let mut body = serde_json::to_vec(&api::Response::from(result)).unwrap_or_default();
     body.push(b'\n');
     respond(status, "application/json", Bytes::from(body))
 }
 
-fn status(code: Code) -> StatusCode {
-    StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
+fn status(code: ErrorCode) -> StatusCode {
+    StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
 fn text(status: StatusCode, text: impl Into<String>) -> Response<Full<Bytes>> {
--- a/crates/daemon/src/operator/plan/customer.rs
+++ b/crates/daemon/src/operator/plan/customer.rs
@@ -1,6 +1,6 @@
 //! Changes of customers.
 
-use mulberryyoke_command::answer::Refusal;
+use mulberryyoke_command::api::CommandError;
 use mulberryyoke_command::{CustomerAdd, CustomerSet};
 use mulberryyoke_model::{Customer, CustomerId, KeyHash, Object};
 
@@ -11,7 +11,7 @@
     add: &CustomerAdd,
     current: Option<&Object>,
     others: &[Customer],
-) -> Result<Plan, Refusal> {
+) -> Result<Plan, CommandError> {
     let key = format!("customer/{}", add.name);
     let customer = Customer {
         name: add.name.clone(),
@@ -34,7 +34,7 @@
     set: &CustomerSet,
     current: Option<&Object>,
     others: &[Customer],
-) -> Result<Plan, Refusal> {
+) -> Result<Plan, CommandError> {
     let key = format!("customer/{}", set.name);
     let Some(Object::Customer(old)) = current else {
         return Err(not_found(&key));
@@ -55,14 +55,14 @@
     Ok(Plan::write_if_changed(Object::Customer(customer), current))
 }
 
-pub(crate) fn remove(name: &str, current: Option<&Object>) -> Result<Plan, Refusal> {
+pub(crate) fn remove(name: &str, current: Option<&Object>) -> Result<Plan, CommandError> {
     match current {
         Some(_) => Ok(Plan::Write(None)),
         None => Err(not_found(&format!("customer/{name}"))),
     }
 }
 
-fn drop_key(key: &str, keys: &mut Vec<KeyHash>, hash_prefix: &str) -> Result<(), Refusal> {
+fn drop_key(key: &str, keys: &mut Vec<KeyHash>, hash_prefix: &str) -> Result<(), CommandError> {
     let matches = |hash: &KeyHash| hash.0.starts_with(hash_prefix);
     match keys.iter().filter(|hash| matches(hash)).count() {
         1 => keys.retain(|hash| !matches(hash)),
@@ -81,7 +81,7 @@
 }
 
 /// Rejects an ID or key that another customer has.
-fn check_unique(key: &str, customer: &Customer, others: &[Customer]) -> Result<(), Refusal> {
+fn check_unique(key: &str, customer: &Customer, others: &[Customer]) -> Result<(), CommandError> {
     let id = CustomerId::of(&customer.name);
     for other in others.iter().filter(|other| other.name != customer.name) {
         if CustomerId::of(&other.name) == id {
--- a/crates/daemon/src/operator/plan/mod.rs
+++ b/crates/daemon/src/operator/plan/mod.rs
@@ -4,7 +4,7 @@
 pub(crate) mod pool;
 pub(crate) mod server;
 
-use mulberryyoke_command::answer::{Code, Refusal};
+use mulberryyoke_command::api::{CommandError, ErrorCode};
 use mulberryyoke_model::Object;
 
 /// Effect of a change on a key.
@@ -26,14 +26,14 @@
     }
 }
 
-fn already_exists(key: &str) -> Refusal {
-    Refusal::new(Code::Conflict, format!("{key}: already exists"))
+fn already_exists(key: &str) -> CommandError {
+    CommandError::new(ErrorCode::Conflict, format!("{key}: already exists"))
 }
 
-fn not_found(key: &str) -> Refusal {
-    Refusal::new(Code::Missing, format!("{key}: does not exist"))
+fn not_found(key: &str) -> CommandError {
+    CommandError::new(ErrorCode::Missing, format!("{key}: does not exist"))
 }
 
-fn rejected(key: &str, reason: impl std::fmt::Display) -> Refusal {
-    Refusal::new(Code::Refused, format!("{key}: {reason}"))
+fn rejected(key: &str, reason: impl std::fmt::Display) -> CommandError {
+    CommandError::new(ErrorCode::Refused, format!("{key}: {reason}"))
 }
--- a/crates/daemon/src/operator/plan/pool.rs
+++ b/crates/daemon/src/operator/plan/pool.rs
@@ -1,6 +1,6 @@
 //! Changes of pools.
 
-use mulberryyoke_command::answer::Refusal;
+use mulberryyoke_command::api::CommandError;
 use mulberryyoke_command::{PoolAdd, PoolSet};
 use mulberryyoke_model::{Kind, Object, Pool, PoolId, Route, Server, State};
 
@@ -11,7 +11,7 @@
     add: &PoolAdd,
     current: Option<&Object>,
     others: &[Pool],
-) -> Result<Plan, Refusal> {
+) -> Result<Plan, CommandError> {
     let key = format!("pool/{}", add.name);
     let pool = Pool {
         name: add.name.clone(),
@@ -32,7 +32,7 @@
     set: &PoolSet,
     current: Option<&Object>,
     others: &[Pool],
-) -> Result<Plan, Refusal> {
+) -> Result<Plan, CommandError> {
     let key = format!("pool/{}", set.name);
     let Some(Object::Pool(old)) = current else {
         return Err(not_found(&key));
@@ -53,7 +53,7 @@
     name: &str,
     current: Option<&Object>,
     servers: &[Server],
-) -> Result<Plan, Refusal> {
+) -> Result<Plan, CommandError> {
     let key = format!("pool/{name}");
     if current.is_none() {
         return Err(not_found(&key));
@@ -74,7 +74,7 @@
 }
 
 /// Rejects an ID or route that another pool has.
-fn check_unique(key: &str, pool: &Pool, others: &[Pool]) -> Result<(), Refusal> {
+fn check_unique(key: &str, pool: &Pool, others: &[Pool]) -> Result<(), CommandError> {
     let id = PoolId::of(&pool.name);
     for other in others.iter().filter(|other| other.name != pool.name) {
         if PoolId::of(&other.name) == id {
--- a/crates/daemon/src/operator/plan/server.rs
+++ b/crates/daemon/src/operator/plan/server.rs
@@ -1,7 +1,7 @@
 //! Changes of servers.
 
 use mulberryyoke_command::ServerAdd;
-use mulberryyoke_command::answer::Refusal;
+use mulberryyoke_command::api::CommandError;
 use mulberryyoke_model::{Millis, Object, Server, ServerId, State};
 
 use super::{Plan, already_exists, not_found, rejected};
@@ -13,7 +13,7 @@
     current: Option<&Object>,
     others: &[Server],
     now: Millis,
-) -> Result<Plan, Refusal> {
+) -> Result<Plan, CommandError> {
     let key = format!("server/{}", add.name);
     let old = match current {
         Some(Object::Server(old)) => Some(old),
@@ -51,7 +51,7 @@
     state: State,
     current: Option<&Object>,
     now: Millis,
-) -> Result<Plan, Refusal> {
+) -> Result<Plan, CommandError> {
     let key = format!("server/{name}");
     let Some(Object::Server(old)) = current else {
         return Err(not_found(&key));
@@ -70,7 +70,7 @@
     Ok(Plan::Write(Some(Object::Server(server))))
 }
 
-fn compare_existing(key: &str, old: &Server, requested: Server) -> Result<Plan, Refusal> {
+fn compare_existing(key: &str, old: &Server, requested: Server) -> Result<Plan, CommandError> {
     let requested = Server {
         state: old.state,
         changed_at: old.changed_at,
@@ -83,7 +83,7 @@
 }
 
 /// Rejects an ID or address that another server has.
-fn check_unique(key: &str, server: &Server, others: &[Server]) -> Result<(), Refusal> {
+fn check_unique(key: &str, server: &Server, others: &[Server]) -> Result<(), CommandError> {
     let id = ServerId::of(&server.name);
     for other in others.iter().filter(|other| other.name != server.name) {
         if ServerId::of(&other.name) == id {
--- a/crates/daemon/src/operator/router_state.rs
+++ b/crates/daemon/src/operator/router_state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use mulberryyoke_command as command;
-use mulberryyoke_command::answer::{Node, Tally, Waiting};
+use mulberryyoke_command::api::{Counts, Node, WaitingList};
 use mulberryyoke_model::{Attempt, Config, Outcome};
 
 /// State of the router behind the operator API.
@@ -31,10 +31,10 @@
     fn control_bytes(&self) -> (u64, u64);
 
     /// Request counts.
-    fn tally(&self) -> Tally;
+    fn tally(&self) -> Counts;
 
     /// Waiting requests that match a query.
-    fn waiting(&self, query: &command::Waiting) -> Waiting;
+    fn waiting(&self, query: &command::Waiting) -> WaitingList;
 
     /// Outcome of a request of any router.
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>>;
--- a/crates/daemon/src/operator/store.rs
+++ b/crates/daemon/src/operator/store.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use mulberryyoke_command::answer::{Code, Conflict, Refusal, Written};
+use mulberryyoke_command::api::{CommandError, Conflict, ErrorCode, WriteResult};
 use mulberryyoke_decide::cas::{self, Outcome};
 use mulberryyoke_model::{Entry, Object, Revision};
 use mulberryyoke_platform::Backoff;
@@ -40,7 +40,7 @@
         &self,
         prefix: &str,
         accepted: Revision,
-    ) -> Result<Vec<(String, Snapshot)>, Refusal> {
+    ) -> Result<Vec<(String, Snapshot)>, CommandError> {
         let full = format!("{}{prefix}", self.prefix);
         let listing = self.kv.range(&full).await.map_err(|e| read_failed(&e))?;
         if listing.revision < accepted {
@@ -51,7 +51,11 @@
     }
 
     /// Reads one key.
-    pub(crate) async fn get(&self, key: &str, accepted: Revision) -> Result<Snapshot, Refusal> {
+    pub(crate) async fn get(
+        &self,
+        key: &str,
+        accepted: Revision,
+    ) -> Result<Snapshot, CommandError> {
         let listing = self.list(key, accepted).await?;
         Ok(lookup(&listing, key))
     }
@@ -65,7 +69,7 @@
         expected: &Snapshot,
         object: Option<Object>,
         author: &Author,
-    ) -> Result<Written, Refusal> {
+    ) -> Result<WriteResult, CommandError> {
         let full = format!("{}{key}", self.prefix);
         let expect = expected.revision.map_or(Expect::Absent, Expect::Revision);
         let value = serialize(expected, object.clone(), author)?;
@@ -122,21 +126,21 @@
     found: &Snapshot,
     author: &Author,
     uncertain: bool,
-) -> Result<Written, Refusal> {
-    let mut refusal = conflict(key, found, author);
+) -> Result<WriteResult, CommandError> {
+    let mut error = conflict(key, found, author);
     match cas::resolve(author.command, expected.revision, found.versioned_entry()) {
         Outcome::Written { revision, replaced } => {
             let object = found.object().cloned();
             let written = written(key, author, revision, object);
-            return Ok(Written {
+            return Ok(WriteResult {
                 replaced,
                 ..written
             });
         }
-        Outcome::Unknown if uncertain => refusal.code = Code::Unknown,
+        Outcome::Unknown if uncertain => error.code = ErrorCode::Unknown,
         Outcome::Conflict | Outcome::NotApplied | Outcome::Unknown => {}
     }
-    Err(refusal)
+    Err(error)
 }
 
 /// Looks up a key in a listing.
@@ -147,8 +151,8 @@
         .unwrap_or_default()
 }
 
-/// Returns a refusal that reports the current entry of a key.
-pub(crate) fn conflict(key: &str, current: &Snapshot, author: &Author) -> Refusal {
+/// Returns an error that reports the current entry of a key.
+pub(crate) fn conflict(key: &str, current: &Snapshot, author: &Author) -> CommandError {
     let entry = current.entry.clone().unwrap_or_default();
     let message = match current.revision {
         None => format!("{key}: does not exist"),
@@ -166,16 +170,16 @@
         words: entry.words,
         object: entry.object,
     };
-    Refusal {
-        code: Code::Conflict,
+    CommandError {
+        code: ErrorCode::Conflict,
         message,
         command: Some(author.command),
         conflict: Some(Box::new(conflict)),
     }
 }
 
-fn written(key: &str, author: &Author, revision: Revision, object: Option<Object>) -> Written {
-    Written {
+fn written(key: &str, author: &Author, revision: Revision, object: Option<Object>) -> WriteResult {
+    WriteResult {
         command: author.command,
         key: key.to_owned(),
         revision,
@@ -190,7 +194,7 @@
     previous: &Snapshot,
     object: Option<Object>,
     author: &Author,
-) -> Result<Vec<u8>, Refusal> {
+) -> Result<Vec<u8>, CommandError> {
     let earlier = previous
         .versioned_entry()
         .map(|(entry, revision)| cas::history(entry, revision));
@@ -202,41 +206,41 @@
         object,
         earlier: earlier.unwrap_or_default(),
     };
-    serde_json::to_vec(&entry).map_err(|e| Refusal::new(Code::Refused, e.to_string()))
+    serde_json::to_vec(&entry).map_err(|e| CommandError::new(ErrorCode::Refused, e.to_string()))
 }
 
-fn stale_contents(revision: Revision, accepted: Revision) -> Refusal {
+fn stale_contents(revision: Revision, accepted: Revision) -> CommandError {
     let message = format!(
         "key-value service has older contents (revision {revision}) than the applied configuration \
          (revision {accepted}); nothing was changed"
     );
-    Refusal::new(Code::Unavailable, message)
+    CommandError::new(ErrorCode::Unavailable, message)
 }
 
-fn read_failed(error: &Error) -> Refusal {
-    Refusal::new(Code::Unavailable, error.to_string())
+fn read_failed(error: &Error) -> CommandError {
+    CommandError::new(ErrorCode::Unavailable, error.to_string())
 }
 
-fn write_failed(error: &Error, author: &Author) -> Refusal {
+fn write_failed(error: &Error, author: &Author) -> CommandError {
     let code = match error {
-        Error::TooLarge { .. } => Code::Refused,
-        _ => Code::Unavailable,
+        Error::TooLarge { .. } => ErrorCode::Refused,
+        _ => ErrorCode::Unavailable,
     };
     let message = format!("{error}; nothing was changed");
-    Refusal {
+    CommandError {
         command: Some(author.command),
-        ..Refusal::new(code, message)
+        ..CommandError::new(code, message)
     }
 }
 
-fn outcome_unknown(key: &str, author: &Author) -> Refusal {
+fn outcome_unknown(key: &str, author: &Author) -> CommandError {
     let message = format!(
         "{key}: response of the key-value service was lost, and the change may have taken effect; \
          send command {:016x} again",
         author.command
     );
-    Refusal {
+    CommandError {
         command: Some(author.command),
-        ..Refusal::new(Code::Unknown, message)
+        ..CommandError::new(ErrorCode::Unknown, message)
     }
 }
--- a/crates/daemon/src/router/operators.rs
+++ b/crates/daemon/src/router/operators.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use mulberryyoke_command as command;
-use mulberryyoke_command::answer::{Node, Tally, Waiting};
+use mulberryyoke_command::api::{Counts, Node, WaitingList};
 use mulberryyoke_model::{Attempt, Config, Outcome};
 use mulberryyoke_platform::kv;
 
@@ -73,9 +73,9 @@
         (bytes.read(), bytes.written())
     }
 
-    fn tally(&self) -> Tally {
+    fn tally(&self) -> Counts {
         let customers = self.inspect.customers();
-        Tally {
+        Counts {
             customers: customers.len(),
             waiting: customers
                 .iter()
@@ -85,7 +85,7 @@
         }
     }
 
-    fn waiting(&self, query: &command::Waiting) -> Waiting {
+    fn waiting(&self, query: &command::Waiting) -> WaitingList {
         waiting::answer(self.name(), &self.inspect, query)
     }
 
--- a/crates/daemon/src/router/operators/nodes.rs
+++ b/crates/daemon/src/router/operators/nodes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use mulberryyoke_command::answer::{Node, Role};
+use mulberryyoke_command::api::{Node, Role};
 use mulberryyoke_model as model;
 use mulberryyoke_model::{Config, PoolId, ServerId, State};
 
--- a/crates/daemon/src/router/operators/waiting.rs
+++ b/crates/daemon/src/router/operators/waiting.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use mulberryyoke_command as command;
-use mulberryyoke_command::answer::{Counter, Waiter, Waiting};
+use mulberryyoke_command::api::{CustomerQueue, WaitingList, WaitingRequest};
 use mulberryyoke_model::Class;
 
 use crate::router::inspect::{self, Customer, Inspect, Server};
@@ -12,7 +12,7 @@
 const MAX_NAMED: usize = 3;
 
 /// Answers a query on waiting requests.
-pub(crate) fn answer(router: &str, inspect: &Inspect, query: &command::Waiting) -> Waiting {
+pub(crate) fn answer(router: &str, inspect: &Inspect, query: &command::Waiting) -> WaitingList {
     let requests = inspect.waiting();
     let servers = inspect.servers();
     let counters = counters(&inspect.customers(), &requests);
@@ -24,7 +24,7 @@
     let limit = usize::try_from(query.limit).unwrap_or(usize::MAX);
     let more = matching.len().saturating_sub(limit);
     let listed = matching.iter().take(limit);
-    Waiting {
+    WaitingList {
         router: router.to_owned(),
         requests: listed
             .map(|request| {
@@ -56,7 +56,7 @@
 }
 
 /// Returns the customers with waiting requests in the order of service.
-fn counters(customers: &[Customer], requests: &[inspect::Waiting]) -> Vec<Counter> {
+fn counters(customers: &[Customer], requests: &[inspect::Waiting]) -> Vec<CustomerQueue> {
     let mut waiting: BTreeMap<&str, ([u64; 3], u64)> = BTreeMap::new();
     for request in requests {
         let (classes, since) = waiting
@@ -67,7 +67,7 @@
     }
     let with_requests = customers.iter().filter_map(|customer| {
         let (classes, since) = waiting.get(customer.name.as_str())?;
-        Some(Counter {
+        Some(CustomerQueue {
             customer: customer.name.clone(),
             share: customer.share,
             waiting: *classes,
@@ -76,7 +76,7 @@
             since: *since,
         })
     });
-    let mut counters: Vec<Counter> = with_requests.collect();
+    let mut counters: Vec<CustomerQueue> = with_requests.collect();
     counters.sort_by(|a, b| a.per_share.total_cmp(&b.per_share));
     counters
 }
@@ -84,7 +84,7 @@
 /// Returns the customers with waiting requests for a pool in the order of service.
 fn contenders<'a>(
     pool: &str,
-    counters: &'a [Counter],
+    counters: &'a [CustomerQueue],
     requests: &[inspect::Waiting],
 ) -> Vec<&'a str> {
     let names = counters.iter().map(|counter| counter.customer.as_str());
@@ -95,8 +95,8 @@
     names.filter(waits).collect()
 }
 
-fn waiter(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> Waiter {
-    Waiter {
+fn waiter(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> WaitingRequest {
+    WaitingRequest {
         request: request.request.clone(),
         customer: request.customer.clone(),
         pool: request.pool.clone(),
--- a/crates/daemon/tests/operator/access.rs
+++ b/crates/daemon/tests/operator/access.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
-use mulberryyoke_command::answer::{Answer, Code};
+use mulberryyoke_command::api::{ErrorCode, Output};
 
 use crate::fixture::{Fixture, KEY};
 
@@ -16,8 +16,8 @@
         let (status, reply) = fixture.send_command(key, STATUS.to_owned()).await;
         assert_that!(status, eq(StatusCode::UNAUTHORIZED));
         assert_that!(
-            reply.error.map(|refusal| refusal.code),
-            some(eq(Code::Denied))
+            reply.error.map(|error| error.code),
+            some(eq(ErrorCode::Denied))
         );
     }
     let without_key = Request::post("/v1/command").header("host", "operators");
@@ -40,22 +40,22 @@
         let (status, reply) = fixture.send_command(KEY, body.to_owned()).await;
         assert_that!(status, eq(StatusCode::BAD_REQUEST));
         assert_that!(
-            reply.error.map(|refusal| refusal.code),
-            some(eq(Code::Usage))
+            reply.error.map(|error| error.code),
+            some(eq(ErrorCode::Usage))
         );
     }
-    let refusal = fixture
+    let error = fixture
         .run(1, "customer burn x")
         .await
         .expect_err("command is unknown");
-    assert_that!(refusal.code, eq(Code::Usage));
+    assert_that!(error.code, eq(ErrorCode::Usage));
     let help = fixture
         .run(1, "server drain --help")
         .await
         .expect("help is returned");
     assert_that!(
         help,
-        matches_pattern!(Answer::Help(contains_substring("server drain m-3")))
+        matches_pattern!(Output::Help(contains_substring("server drain m-3")))
     );
 }
 
--- a/crates/daemon/tests/operator/changes.rs
+++ b/crates/daemon/tests/operator/changes.rs
@@ -1,7 +1,7 @@
 //! Stored values and rejections of changes.
 
 use googletest::prelude::*;
-use mulberryyoke_command::answer::Code;
+use mulberryyoke_command::api::ErrorCode;
 use mulberryyoke_model::{Class, KeyHash, Object, State};
 
 use crate::fixture::Fixture;
@@ -13,16 +13,16 @@
 async fn fixture_after(lines: &[&str]) -> Fixture {
     let fixture = Fixture::open().await;
     for (command, line) in (100..).zip(lines) {
-        if let Err(refusal) = fixture.change(command, line).await {
-            panic!("{line}: {refusal}");
+        if let Err(error) = fixture.change(command, line).await {
+            panic!("{line}: {error}");
         }
     }
     fixture
 }
 
-async fn rejection(fixture: &Fixture, line: &str) -> (Code, String) {
-    let refusal = fixture.change(1, line).await.expect_err(line);
-    (refusal.code, refusal.message)
+async fn rejection(fixture: &Fixture, line: &str) -> (ErrorCode, String) {
+    let error = fixture.change(1, line).await.expect_err(line);
+    (error.code, error.message)
 }
 
 #[tokio::test]
@@ -74,7 +74,7 @@
     assert_that!(removed.map(|written| written.object), ok(none()));
     assert_that!(
         rejection(&fixture, "customer remove scouts").await.0,
-        eq(Code::Missing)
+        eq(ErrorCode::Missing)
     );
     let again = fixture.change(12, "customer add scouts").await;
     assert_that!(again.map(|written| written.unchanged), ok(eq(&false)));
@@ -92,57 +92,57 @@
     let table = [
         (
             "customer add scouts --share 2",
-            Code::Conflict,
+            ErrorCode::Conflict,
             "already exists",
         ),
         (
             "customer add other --key the-key-of-scouts",
-            Code::Refused,
+            ErrorCode::Refused,
             "belongs to customer scouts",
         ),
         (
             "customer set none --share 2",
-            Code::Missing,
+            ErrorCode::Missing,
             "customer/none: does not exist",
         ),
         (
             "customer set scouts --drop-key 00",
-            Code::Refused,
+            ErrorCode::Refused,
             "no key's hash starts with 00",
         ),
         (
             "customer set scouts --share 2 --at 99",
-            Code::Conflict,
+            ErrorCode::Conflict,
             "changed at revision 1",
         ),
         (
             "pool remove chat",
-            Code::Refused,
+            ErrorCode::Refused,
             "pool still has servers, for example m-1",
         ),
         (
             "pool remove none",
-            Code::Missing,
+            ErrorCode::Missing,
             "pool/none: does not exist",
         ),
         (
             "server add m-2 --pool none --zone a --slots 8 --control 10.0.0.2:1 --data 10.0.0.2:2",
-            Code::Missing,
+            ErrorCode::Missing,
             "pool/none: does not exist; add it first",
         ),
         (
             "server add m-2 --pool chat --zone a --slots 8 --control 10.0.0.2:1 --data 10.0.0.1:7101",
-            Code::Refused,
+            ErrorCode::Refused,
             "address already in use by server m-1",
         ),
         (
             "server add m-1 --pool chat --zone b --slots 8 --control 10.0.0.1:7100 --data 10.0.0.1:7101",
-            Code::Conflict,
+            ErrorCode::Conflict,
             "already exists",
         ),
         (
             "server drain m-9",
-            Code::Missing,
+            ErrorCode::Missing,
             "server/m-9: does not exist",
         ),
     ];
@@ -180,7 +180,7 @@
         .expect("server is removed");
     assert_that!(
         rejection(&fixture, "server resume m-1").await.0,
-        eq(Code::Refused)
+        eq(ErrorCode::Refused)
     );
     fixture
         .change(21, "pool remove chat")
--- a/crates/daemon/tests/operator/faults.rs
+++ b/crates/daemon/tests/operator/faults.rs
@@ -1,7 +1,7 @@
 //! Lost responses, races, outages and retried commands.
 
 use googletest::prelude::*;
-use mulberryyoke_command::answer::Code;
+use mulberryyoke_command::api::ErrorCode;
 use mulberryyoke_model::{Class, Customer, Object};
 
 use crate::fixture::Fixture;
@@ -77,18 +77,18 @@
         other.earlier = mulberryyoke_decide::cas::history(&stored, revision);
         fixture.kv.inject([fault(KEY, other)]);
         let line = "customer set scouts --share 3";
-        let refusal = fixture
+        let error = fixture
             .change(COMMAND, line)
             .await
             .expect_err("another write came first");
-        assert_that!(refusal.code, eq(Code::Conflict));
-        let conflict = refusal.conflict.expect("refusal reports the current entry");
+        assert_that!(error.code, eq(ErrorCode::Conflict));
+        let conflict = error.conflict.expect("error reports the current entry");
         assert_that!(conflict.operator, eq("amal"));
         assert_that!(conflict.command, eq(OTHER_COMMAND));
         assert_that!(conflict.object, some(eq(&customer(9))));
         let revision = fixture.kv.entry(KEY).map(|(_, revision)| revision);
         assert_that!(conflict.revision, eq(revision));
-        assert_that!(refusal.message, contains_substring("by amal"));
+        assert_that!(error.message, contains_substring("by amal"));
     }
 }
 
@@ -99,20 +99,20 @@
     let other = entry("amal", OTHER_COMMAND, customer(9));
     fixture.kv.inject([Fault::RequestLostThenWrite(KEY, other)]);
     let line = "customer set scouts --share 3";
-    let refusal = fixture
+    let error = fixture
         .change(COMMAND, line)
         .await
         .expect_err("outcome is unknown");
-    assert_that!(refusal.code, eq(Code::Unknown));
-    assert_that!(refusal.command, some(eq(COMMAND)));
+    assert_that!(error.code, eq(ErrorCode::Unknown));
+    assert_that!(error.command, some(eq(COMMAND)));
     // If no response was lost, a conflict proves that the change had no effect.
     let other = entry("amal", OTHER_COMMAND, customer(8));
     fixture.kv.inject([Fault::Race(KEY, other)]);
-    let refusal = fixture
+    let error = fixture
         .change(COMMAND, line)
         .await
         .expect_err("another write came first");
-    assert_that!(refusal.code, eq(Code::Conflict));
+    assert_that!(error.code, eq(ErrorCode::Conflict));
 }
 
 #[tokio::test]
@@ -135,11 +135,11 @@
     let first = fixture.change(COMMAND, "customer set scouts --share 3 --at 1");
     let second = fixture.change(OTHER_COMMAND, "customer set scouts --share 4 --at 1");
     let (first, second) = tokio::join!(first, second);
-    let refusals: Vec<Code> = [&first, &second]
+    let errors: Vec<ErrorCode> = [&first, &second]
         .into_iter()
-        .filter_map(|result| result.as_ref().err().map(|refusal| refusal.code))
+        .filter_map(|result| result.as_ref().err().map(|error| error.code))
         .collect();
-    assert_that!(refusals, elements_are![eq(&Code::Conflict)]);
+    assert_that!(errors, elements_are![eq(&ErrorCode::Conflict)]);
     assert_that!(fixture.kv.writes(), eq(1));
 }
 
@@ -148,18 +148,18 @@
     let fixture = fixture_with_customer().await;
     fixture.kv.inject([Fault::Unsent]);
     let line = "customer set scouts --share 3";
-    let refusal = fixture
+    let error = fixture
         .change(COMMAND, line)
         .await
         .expect_err("request is not sent");
-    assert_that!(refusal.code, eq(Code::Unavailable));
-    assert_that!(refusal.message, contains_substring("nothing was changed"));
+    assert_that!(error.code, eq(ErrorCode::Unavailable));
+    assert_that!(error.message, contains_substring("nothing was changed"));
     fixture.kv.set_down(true);
-    let refusal = fixture
+    let error = fixture
         .change(COMMAND, line)
         .await
         .expect_err("service is down");
-    assert_that!(refusal.code, eq(Code::Unavailable));
+    assert_that!(error.code, eq(ErrorCode::Unavailable));
     assert_that!(fixture.kv.writes(), eq(0));
 }
 
@@ -196,13 +196,13 @@
     let fixture = fixture_with_customer().await;
     fixture.router.config.lock().revision = 40;
     let line = "customer set scouts --share 3";
-    let refusal = fixture
+    let error = fixture
         .change(COMMAND, line)
         .await
         .expect_err("contents are older");
-    assert_that!(refusal.code, eq(Code::Unavailable));
+    assert_that!(error.code, eq(ErrorCode::Unavailable));
     assert_that!(
-        refusal.message,
+        error.message,
         contains_substring("older contents (revision 1)")
     );
     assert_that!(fixture.kv.writes(), eq(0));
--- a/crates/daemon/tests/operator/fixture.rs
+++ b/crates/daemon/tests/operator/fixture.rs
@@ -9,7 +9,9 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use mulberryyoke_command as command;
-use mulberryyoke_command::answer::{Answer, Node, Refusal, Reply, Role, Tally, Waiting, Written};
+use mulberryyoke_command::api::{
+    CommandError, Counts, Node, Output, Response, Role, WaitingList, WriteResult,
+};
 use mulberryyoke_model::{Attempt, Config, KeyHash, Outcome};
 use mulberryyoke_settings as settings;
 use mulberryyoked::operator::{Api, Options, RouterState};
@@ -73,12 +75,12 @@
         (11, 12)
     }
 
-    fn tally(&self) -> Tally {
-        Tally::default()
+    fn tally(&self) -> Counts {
+        Counts::default()
     }
 
-    fn waiting(&self, _query: &command::Waiting) -> Waiting {
-        Waiting::default()
+    fn waiting(&self, _query: &command::Waiting) -> WaitingList {
+        WaitingList::default()
     }
 
     fn outcome(&self, _attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
@@ -134,37 +136,37 @@
     }
 
     /// Sends a command body with a bearer key.
-    pub async fn send_command(&self, key: &str, body: String) -> (StatusCode, Reply) {
+    pub async fn send_command(&self, key: &str, body: String) -> (StatusCode, Response) {
         let request = Request::post("/v1/command")
             .header("host", "operators")
             .header("authorization", format!("Bearer {key}"))
             .body(Full::from(body))
             .expect("request is valid");
         let (status, body) = self.send_request(request).await;
-        let reply = serde_json::from_slice(&body).expect("response body is a reply");
-        (status, reply)
+        let response = serde_json::from_slice(&body).expect("response body is JSON");
+        (status, response)
     }
 
     /// Runs a command line under a command ID.
-    pub async fn run(&self, command: u64, line: &str) -> Result<Answer, Refusal> {
+    pub async fn run(&self, command: u64, line: &str) -> Result<Output, CommandError> {
         let words: Vec<&str> = line.split(' ').collect();
         let body = serde_json::json!({ "words": words, "command": command });
-        let (status, reply) = self.send_command(KEY, body.to_string()).await;
-        assert_eq!(status.is_success(), reply.ok);
-        match (reply.answer, reply.error) {
+        let (status, response) = self.send_command(KEY, body.to_string()).await;
+        assert_eq!(status.is_success(), response.ok);
+        match (response.answer, response.error) {
             (Some(answer), None) => Ok(answer),
-            (None, Some(refusal)) => {
-                assert_eq!(status.as_u16(), refusal.code.status());
-                Err(refusal)
+            (None, Some(error)) => {
+                assert_eq!(status.as_u16(), error.code.http_status());
+                Err(error)
             }
             other => panic!("neither answer nor error: {other:?}"),
         }
     }
 
     /// Runs a command line that must be a change.
-    pub async fn change(&self, command: u64, line: &str) -> Result<Written, Refusal> {
+    pub async fn change(&self, command: u64, line: &str) -> Result<WriteResult, CommandError> {
         match self.run(command, line).await? {
-            Answer::Written(written) => Ok(written),
+            Output::Written(written) => Ok(written),
             other => panic!("not a change: {other:?}"),
         }
     }
--- a/crates/daemon/tests/operator/queries.rs
+++ b/crates/daemon/tests/operator/queries.rs
@@ -1,14 +1,14 @@
 //! Read-only commands.
 
 use googletest::prelude::*;
-use mulberryyoke_command::answer::{Answer, Code};
+use mulberryyoke_command::api::{ErrorCode, Output};
 use mulberryyoke_model::{Change, Kind, Object, Outcome, Pool};
 
 use crate::fixture::Fixture;
 
 async fn nodes(fixture: &Fixture, line: &str) -> Vec<String> {
     match fixture.run(1, line).await {
-        Ok(Answer::Status(status)) => status.nodes.into_iter().map(|node| node.name).collect(),
+        Ok(Output::Status(status)) => status.nodes.into_iter().map(|node| node.name).collect(),
         other => panic!("not a status: {other:?}"),
     }
 }
@@ -44,7 +44,7 @@
             .await
             .expect("change is accepted");
     }
-    let Ok(Answer::History(writes)) = fixture.run(20, "config history").await else {
+    let Ok(Output::History(writes)) = fixture.run(20, "config history").await else {
         panic!("not a history");
     };
     // Each key has its latest write and at most eight earlier ones.
@@ -54,7 +54,7 @@
     assert_that!(writes[0].operator, eq("noor"));
     assert_that!(writes[0].revision, eq(14));
     let line = "config history --key customer/g --limit 5";
-    let Ok(Answer::History(writes)) = fixture.run(21, line).await else {
+    let Ok(Output::History(writes)) = fixture.run(21, line).await else {
         panic!("not a history");
     };
     assert_that!(writes.len(), eq(1));
@@ -74,15 +74,15 @@
         object: Some(object),
     });
     for (line, count) in [("pool list", 1), ("customer list", 0), ("config show", 1)] {
-        let Ok(Answer::Items(items)) = fixture.run(1, line).await else {
+        let Ok(Output::Items(items)) = fixture.run(1, line).await else {
             panic!("{line}: not a list");
         };
         assert_that!(items.len(), eq(count), "{line}");
     }
     let missing = fixture.run(1, "customer show scouts").await;
     assert_that!(
-        missing.map_err(|refusal| refusal.code),
-        err(eq(&Code::Missing))
+        missing.map_err(|error| error.code),
+        err(eq(&ErrorCode::Missing))
     );
 }
 
@@ -90,7 +90,7 @@
 async fn a_request_that_is_not_waiting_has_an_outcome() {
     let fixture = Fixture::open().await;
     let line = "waiting --request 00000000000000ff-1c";
-    let Ok(Answer::Waiting(waiting)) = fixture.run(1, line).await else {
+    let Ok(Output::Waiting(waiting)) = fixture.run(1, line).await else {
         panic!("not a list of waiting requests");
     };
     assert_that!(waiting.outcome, some(eq(Outcome::Ran)));
--- a/crates/daemon/tests/proof/shared/fleet.rs
+++ b/crates/daemon/tests/proof/shared/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use futures::future::join_all;
-use mulberryyoke_command::answer::Reply;
+use mulberryyoke_command::api::Response;
 use mulberryyoke_event::Event;
 use mulberryyoke_model::KeyHash;
 use mulberryyoke_platform::vm::{Role, State, Vm};
@@ -224,7 +224,7 @@
     }
 
     /// Sends an operators' command under an id until its result is known.
-    pub(crate) async fn send(&self, router: usize, words: &[String], id: u64) -> Reply {
+    pub(crate) async fn send(&self, router: usize, words: &[String], id: u64) -> Response {
         let router = self.routers[router].status();
         let settled = operator::settle(&self.client, router, words, id).await;
         settled.unwrap()
--- a/crates/standin/src/fleet/operator.rs
+++ b/crates/standin/src/fleet/operator.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
-use mulberryyoke_command::answer::{Code, Refusal, Reply, Request as Command};
+use mulberryyoke_command::api::{CommandError, ErrorCode, Request as Command, Response};
 use tokio::time::sleep;
 
 use super::call::Client;
@@ -33,7 +33,7 @@
     router: SocketAddr,
     words: &[String],
     id: u64,
-) -> Result<Reply, String> {
+) -> Result<Response, String> {
     let command = Command {
         words: words.to_vec(),
         command: Some(id),
@@ -63,15 +63,15 @@
     router: SocketAddr,
     words: &[String],
     id: u64,
-) -> Result<Reply, Error> {
+) -> Result<Response, Error> {
     let mut reason = String::new();
     for _ in 0..MOST_SENDINGS {
         match send(client, router, words, id).await {
-            Ok(Reply {
+            Ok(Response {
                 error:
                     Some(
-                        refusal @ Refusal {
-                            code: Code::Unavailable | Code::Unknown,
+                        refusal @ CommandError {
+                            code: ErrorCode::Unavailable | ErrorCode::Unknown,
                             ..
                         },
                     ),
--- a/crates/standin/src/fleet/scene.rs
+++ b/crates/standin/src/fleet/scene.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures::future::join;
-use mulberryyoke_command::answer::{Code, Reply};
+use mulberryyoke_command::api::{ErrorCode, Response};
 use rustix::process::Signal;
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -200,14 +200,14 @@
             let (one, other) = (one?, other?);
             let won = usize::from(one.ok) + usize::from(other.ok);
             let codes = [one, other].map(|reply| reply.error.map(|error| error.code));
-            if won != 1 || !codes.contains(&Some(Code::Conflict)) {
+            if won != 1 || !codes.contains(&Some(ErrorCode::Conflict)) {
                 found.push(format!("{won} of two racing commands won: {codes:?}"));
             }
         }
         Ok(())
     }
 
-    async fn send(&self, router: usize, words: &[String]) -> Result<Reply, Error> {
+    async fn send(&self, router: usize, words: &[String]) -> Result<Response, Error> {
         let address = self.fleet.routers[router].status;
         operator::settle(&self.fleet.client, address, words, rand::random()).await
     }
