--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -26,27 +26,27 @@
 
 /// Result of an attempt.
 #[derive(Debug)]
-pub(crate) enum Sent {
-    /// The server sent an answer.
-    Answer(Response<Answer>),
+pub(crate) enum AttemptResult {
+    /// The server sent a response.
+    Response(Response<Answer>),
     /// The sidecar rejected the attempt. Carries its `Retry-After`, in seconds.
-    Verdict(Verdict, Option<u32>),
+    Rejected(Verdict, Option<u32>),
     /// The request was not sent.
-    Unsent(String),
+    NotSent(String),
     /// The attempt may be running or have run.
-    Lost(String),
-    /// Like [`Sent::Lost`], because the deadline passed.
-    Late,
-    /// Like [`Sent::Lost`], because the router is stopping.
+    Unknown(String),
+    /// Like [`AttemptResult::Unknown`], because the deadline passed.
+    TimedOut,
+    /// Like [`AttemptResult::Unknown`], because the router is stopping.
     Stopping,
 }
 
 /// Sends a request and waits for the response head.
-pub(crate) async fn send(core: &Arc<Core>, call: &Call, mut place: Place) -> Sent {
+pub(crate) async fn send(core: &Arc<Core>, call: &Call, mut place: Place) -> AttemptResult {
     let link = Arc::clone(&place.link);
     let mut sender = match link.data.sender().await {
         Ok(sender) => sender,
-        Err(error) => return Sent::Unsent(error.to_string()),
+        Err(error) => return AttemptResult::NotSent(error.to_string()),
     };
     let grant = place.take();
     let until = clock::now().saturating_add(core.settings.retention_ms);
@@ -67,16 +67,16 @@
         () = link.wait_silent() => {
             running.lose();
             late::watch(core, &link, call, pending);
-            Sent::Lost("server is silent".to_owned())
+            AttemptResult::Unknown("server is silent".to_owned())
         }
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => {
             running.lose();
             late::watch(core, &link, call, pending);
-            Sent::Late
+            AttemptResult::TimedOut
         }
         () = core.stop.cut.cancelled() => {
             running.lose();
-            Sent::Stopping
+            AttemptResult::Stopping
         }
     }
 }
@@ -98,27 +98,27 @@
     call: &Call,
     running: Running,
     result: Result<Response<Incoming>, TrySendError<Request<Full<Bytes>>>>,
-) -> Sent {
+) -> AttemptResult {
     let response = match result {
         Ok(response) => response,
         Err(error) if error.message().is_some() => {
             running.not_run();
-            return Sent::Unsent(error.error().to_string());
+            return AttemptResult::NotSent(error.error().to_string());
         }
         Err(error) => {
             running.lose();
-            return Sent::Lost(error.error().to_string());
+            return AttemptResult::Unknown(error.error().to_string());
         }
     };
     let Some(verdict) = verdict_of(&response) else {
-        return Sent::Answer(relay(core, call, running, response));
+        return AttemptResult::Response(relay(core, call, running, response));
     };
     if verdict.is_not_run() {
         running.not_run();
     } else {
         running.lose();
     }
-    Sent::Verdict(verdict, retry_after(&response))
+    AttemptResult::Rejected(verdict, retry_after(&response))
 }
 
 fn retry_after(response: &Response<Incoming>) -> Option<u32> {
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -10,7 +10,7 @@
 use mulberryyoke_wire::Verdict;
 
 use super::answer::Answer;
-use super::attempt::{self, Sent};
+use super::attempt::{self, AttemptResult};
 use super::call::Call;
 use super::core::Core;
 use super::home;
@@ -66,20 +66,25 @@
             }
             self.avoid = Some(link.id);
             // A server without a free slot rejected the request: queue it instead.
-            at_once = !matches!(sent, Sent::Verdict(Verdict::Busy | Verdict::Draining, _));
+            at_once = !matches!(
+                sent,
+                AttemptResult::Rejected(Verdict::Busy | Verdict::Draining, _)
+            );
             match sent {
-                Sent::Answer(response) => return Ok(response),
-                Sent::Verdict(verdict, after) => self.handle_verdict(verdict, after, &link)?,
-                Sent::Unsent(cause) => {
+                AttemptResult::Response(response) => return Ok(response),
+                AttemptResult::Rejected(verdict, after) => {
+                    self.handle_verdict(verdict, after, &link)?;
+                }
+                AttemptResult::NotSent(cause) => {
                     link.standing.exhaust();
                     self.retry(&cause)?;
                 }
-                Sent::Lost(cause) => self.lost(&cause)?,
-                Sent::Late => {
+                AttemptResult::Unknown(cause) => self.lost(&cause)?,
+                AttemptResult::TimedOut => {
                     self.may_have_run = true;
                     return Err(too_late());
                 }
-                Sent::Stopping => {
+                AttemptResult::Stopping => {
                     self.may_have_run = true;
                     return Err(wait::stopping());
                 }
