--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -11,7 +11,6 @@
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_wire::{Ticket, Verdict, ticket};
 
-use super::answer::Answer;
 use super::call::Call;
 use super::core::Core;
 use super::header;
@@ -21,6 +20,7 @@
 use super::place::Place;
 use super::refusal::REQUEST_ID;
 use super::relay::Relay;
+use super::response_body::ResponseBody;
 use super::running::Running;
 use crate::clock;
 
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) enum AttemptResult {
     /// The server sent a response.
-    Response(Response<Answer>),
+    Response(Response<ResponseBody>),
     /// The sidecar rejected the attempt. Carries its `Retry-After`, in seconds.
     Rejected(Verdict, Option<u32>),
     /// The request was not sent.
@@ -131,11 +131,11 @@
     call: &Call,
     running: Running,
     response: Response<Incoming>,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let (mut parts, body) = response.into_parts();
     header::back(&mut parts.headers);
     let relay = Relay::new(core.stalls.watch(body), running);
-    let mut response = Response::new(Answer::Relay(relay));
+    let mut response = Response::new(ResponseBody::Relay(relay));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers;
     if let Ok(id) = HeaderValue::from_str(&call.attempt.request_id()) {
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -9,7 +9,6 @@
 use mulberryyoke_settings::Policy;
 use mulberryyoke_wire::Verdict;
 
-use super::answer::Answer;
 use super::attempt::{self, AttemptResult};
 use super::call::Call;
 use super::core::Core;
@@ -20,6 +19,7 @@
 use super::refusals::{
     doubtful, keys_full, malformed, no_server, repeated, too_late, unknown, unreachable,
 };
+use super::response_body::ResponseBody;
 use super::wait::{self, Waited};
 use crate::clock;
 
@@ -27,7 +27,10 @@
 const MAX_ATTEMPTS: u8 = 100;
 
 /// Answers a request, or refuses it with the outcome known so far.
-pub(crate) async fn answer(core: &Arc<Core>, call: Call) -> Result<Response<Answer>, Refusal> {
+pub(crate) async fn answer(
+    core: &Arc<Core>,
+    call: Call,
+) -> Result<Response<ResponseBody>, Refusal> {
     core.budget.lock().deposit();
     let mut dispatch = Dispatch {
         core,
@@ -52,7 +55,7 @@
 }
 
 impl Dispatch<'_> {
-    async fn run(&mut self) -> Result<Response<Answer>, Refusal> {
+    async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         if self.call.is_late(clock::now()) {
             return Err(wait::late(self.core, &self.call));
         }
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -1,10 +1,9 @@
 //! The router role: accepts callers' requests, queues them, sends each to a server
 //! with a free slot, and forwards the answer.
 
-mod answer;
 mod attempt;
 mod body;
-mod broken;
+mod body_error;
 mod call;
 mod callers;
 mod core;
@@ -30,6 +29,7 @@
 mod refusals;
 mod relay;
 mod request;
+mod response_body;
 mod room;
 mod rooms;
 mod running;
--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -6,17 +6,17 @@
 use mulberryyoke_model::{Attempt, Outcome};
 use serde_json::json;
 
-use super::answer::Answer;
 use super::core::Core;
 use super::refusal::{Refusal, json};
 use super::request;
+use super::response_body::ResponseBody;
 
 /// Answers an outcome query.
 pub(crate) async fn serve(
     core: &Arc<Core>,
     id: &str,
     headers: &HeaderMap,
-) -> Result<Response<Answer>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     request::customer(&core.fleet.view(), headers)?;
     let attempt = Attempt::parse_request_id(id).ok_or_else(request_not_found)?;
     let outcome = core.fleet.outcome(attempt).await;
--- a/crates/daemon/src/router/refusal.rs
+++ b/crates/daemon/src/router/refusal.rs
@@ -7,7 +7,7 @@
 use mulberryyoke_model::Outcome;
 use serde_json::json;
 
-use super::answer::Answer;
+use super::response_body::ResponseBody;
 
 /// Response header with the outcome of a refused request.
 pub(crate) const OUTCOME: HeaderName = HeaderName::from_static("x-outcome");
@@ -54,7 +54,7 @@
     }
 
     /// Builds the response, with the request id if there is one.
-    pub(crate) fn into_response(self, id: Option<&str>) -> Response<Answer> {
+    pub(crate) fn into_response(self, id: Option<&str>) -> Response<ResponseBody> {
         let body = json!({"error": {
             "message": self.message,
             "type": kind(self.status),
@@ -84,8 +84,8 @@
 }
 
 /// A JSON response.
-pub(crate) fn json(status: StatusCode, body: String) -> Response<Answer> {
-    let mut response = Response::new(Answer::Whole(Full::new(Bytes::from(body))));
+pub(crate) fn json(status: StatusCode, body: String) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Full(Full::new(Bytes::from(body))));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::broken::Broken;
+use super::body_error::BodyError;
 use super::running::{End, Running};
 use super::stalls::Flow;
 use crate::clock;
@@ -45,12 +45,12 @@
     pub(super) fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.flow.polled();
         let polled = self.flow.with(|body| Pin::new(body).poll_frame(cx));
         let Some(polled) = polled else {
             self.finish(&End::Disconnected);
-            return Poll::Ready(Some(Err(Broken::Unread)));
+            return Poll::Ready(Some(Err(BodyError::CallerStalled)));
         };
         let frame = ready!(polled);
         match &frame {
@@ -62,7 +62,7 @@
             Some(Err(error)) => self.finish(&End::Failed(error.to_string())),
             None => self.finish(&End::Complete),
         }
-        Poll::Ready(frame.map(|frame| frame.map_err(Broken::Server)))
+        Poll::Ready(frame.map(|frame| frame.map_err(BodyError::Truncated)))
     }
 
     pub(super) fn is_end(&self) -> bool {
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -10,12 +10,12 @@
 use mulberryyoke_model::{Attempt, Outcome};
 use serde_json::json;
 
-use super::answer::Answer;
 use super::core::Core;
 use super::dispatch;
 use super::outcome;
 use super::refusal::{Refusal, json};
 use super::request;
+use super::response_body::ResponseBody;
 use super::wait;
 
 const MODELS: &str = "/v1/models";
@@ -27,7 +27,7 @@
 pub(crate) async fn serve(
     core: Arc<Core>,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let is_http1 = request.version() < Version::HTTP_2;
     let mut response = answer(&core, request).await;
     if is_http1 && core.stop.refuse.is_cancelled() {
@@ -37,7 +37,7 @@
     Ok(response)
 }
 
-async fn answer(core: &Arc<Core>, request: Request<Incoming>) -> Response<Answer> {
+async fn answer(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
     if request.method() != Method::GET {
         return run(core, request).await;
     }
@@ -52,7 +52,7 @@
     answer.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
 }
 
-async fn run(core: &Arc<Core>, request: Request<Incoming>) -> Response<Answer> {
+async fn run(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
     let attempt = Attempt {
         origin: core.origin(),
         request: core.memory.open(),
@@ -89,7 +89,7 @@
     refusal
 }
 
-fn models(core: &Core, request: &Request<Incoming>) -> Result<Response<Answer>, Refusal> {
+fn models(core: &Core, request: &Request<Incoming>) -> Result<Response<ResponseBody>, Refusal> {
     let view = core.fleet.view();
     request::customer(&view, request.headers())?;
     let mut names: Vec<&str> = view.model_pools().map(|pool| pool.name.as_str()).collect();
