--- a/crates/daemon/src/router/callers.rs
+++ b/crates/daemon/src/router/listener.rs
@@ -14,8 +14,8 @@
 
 use super::core::Core;
 use super::error::Error;
-use super::paced::Paced;
 use super::service;
+use super::timeout_stream::TimeoutStream;
 
 /// Largest HTTP/1.1 request head, in bytes; larger ones are answered 431.
 const HEAD_BYTES: usize = 64 << 10;
@@ -35,23 +35,23 @@
 /// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A bound listener.
-pub(crate) struct Port {
+/// Accepts callers' connections.
+pub(crate) struct Listener {
     core: Arc<Core>,
-    listener: TcpListener,
+    socket: TcpListener,
     connections: Arc<Semaphore>,
     shutdown: GracefulShutdown,
 }
 
-impl Port {
+impl Listener {
     pub(crate) async fn bind(core: &Arc<Core>) -> Result<Self, Error> {
         let address = core.settings.callers;
-        let listener = TcpListener::bind(address).await;
-        let listener = listener.map_err(|source| Error::Callers { address, source })?;
+        let socket = TcpListener::bind(address).await;
+        let socket = socket.map_err(|source| Error::Callers { address, source })?;
         let most = core.settings.limits.connections as usize;
         Ok(Self {
             core: Arc::clone(core),
-            listener,
+            socket,
             connections: Arc::new(Semaphore::new(most)),
             shutdown: GracefulShutdown::new(),
         })
@@ -60,7 +60,7 @@
     /// The bound address.
     pub(crate) fn address(&self) -> Result<SocketAddr, Error> {
         let address = self.core.settings.callers;
-        let local = self.listener.local_addr();
+        let local = self.socket.local_addr();
         local.map_err(|source| Error::Callers { address, source })
     }
 
@@ -79,14 +79,14 @@
             };
             let accepted = tokio::select! {
                 () = close.cancelled() => break,
-                accepted = self.listener.accept() => accepted,
+                accepted = self.socket.accept() => accepted,
             };
             match accepted {
                 Ok((stream, _)) => self.serve(stream, permit),
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
         }
-        drop(self.listener);
+        drop(self.socket);
         let end = self.core.stop.end.clone();
         tokio::select! {
             () = end.cancelled() => {}
@@ -109,7 +109,7 @@
         let head = Duration::from_millis(self.core.settings.limits.head_ms);
         let builder = builder(head);
         let stall = Duration::from_millis(self.core.settings.limits.stall_ms);
-        let stream = Paced::new(stream, stall);
+        let stream = TimeoutStream::new(stream, stall);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let connection = self.shutdown.watch(connection.into_owned());
         let end = self.core.stop.end.clone();
--- a/crates/daemon/src/router/handle.rs
+++ b/crates/daemon/src/router/role.rs
@@ -12,10 +12,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::callers::Port;
 use super::core::Core;
 use super::error::Error;
 use super::inspect::Inspect;
+use super::listener::Listener;
 use super::{links, operators, outcome};
 use crate::fleet::{Fleet, LocalRequests};
 use crate::operator::Api;
@@ -55,11 +55,11 @@
         let core = Arc::new(Core::new(settings, logger, fleet));
         core.fleet
             .set_local_requests(Arc::new(OwnRequests(Arc::clone(&core))));
-        let port = Port::bind(&core).await?;
-        let address = port.address()?;
+        let listener = Listener::bind(&core).await?;
+        let address = listener.address()?;
         let operators = operators::bind(&core).await?;
         let links = tokio::spawn(links::keep(Arc::clone(&core)));
-        let callers = tokio::spawn(port.run());
+        let callers = tokio::spawn(listener.run());
         log!(core.logger, Event::Ready,
             "role" => "router", "callers" => address.to_string());
         Ok(Self {
--- a/crates/daemon/src/router/paced.rs
+++ b/crates/daemon/src/router/timeout_stream.rs
@@ -10,43 +10,43 @@
 use tokio::time::{Sleep, sleep};
 
 /// A connection that fails with `TimedOut` if a write stays pending
-/// beyond the limit.
+/// beyond the timeout.
 #[derive(Debug)]
-pub(crate) struct Paced {
+pub(crate) struct TimeoutStream {
     stream: TcpStream,
-    limit: Duration,
-    timeout: Option<Pin<Box<Sleep>>>,
+    timeout: Duration,
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Paced {
-    /// Limits the time for which a write to `stream` may be pending.
-    pub(crate) const fn new(stream: TcpStream, limit: Duration) -> Self {
+impl TimeoutStream {
+    /// Wraps `stream`, whose writes may then be pending for at most `timeout`.
+    pub(crate) const fn new(stream: TcpStream, timeout: Duration) -> Self {
         Self {
             stream,
-            limit,
-            timeout: None,
+            timeout,
+            timer: None,
         }
     }
 
-    fn watch<T>(
+    fn limit_pending<T>(
         &mut self,
         cx: &mut Context<'_>,
-        written: Poll<io::Result<T>>,
+        polled: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        if written.is_ready() {
-            self.timeout = None;
-            return written;
+        if polled.is_ready() {
+            self.timer = None;
+            return polled;
         }
-        let limit = self.limit;
-        let timeout = self.timeout.get_or_insert_with(|| Box::pin(sleep(limit)));
-        match timeout.as_mut().poll(cx) {
+        let timeout = self.timeout;
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(timeout)));
+        match timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
     }
 }
 
-impl AsyncRead for Paced {
+impl AsyncRead for TimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -56,14 +56,14 @@
     }
 }
 
-impl AsyncWrite for Paced {
+impl AsyncWrite for TimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         data: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(cx, data);
-        self.watch(cx, written)
+        let polled = Pin::new(&mut self.stream).poll_write(cx, data);
+        self.limit_pending(cx, polled)
     }
 
     fn poll_write_vectored(
@@ -71,8 +71,8 @@
         cx: &mut Context<'_>,
         data: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, data);
-        self.watch(cx, written)
+        let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, data);
+        self.limit_pending(cx, polled)
     }
 
     fn is_write_vectored(&self) -> bool {
