--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -16,10 +16,10 @@
 use super::header;
 use super::late;
 use super::link::Link;
-use super::pending::{Pending, verdict_of};
 use super::place::Place;
 use super::refusal::REQUEST_ID;
 use super::relay::Relay;
+use super::response::{self, ResponseFuture};
 use super::response_body::ResponseBody;
 use super::running::Running;
 use crate::clock;
@@ -60,7 +60,7 @@
         "server" => &link.server.name,
         "granted" => grant.is_some(),
         "waited_ms" => clock::now().saturating_sub(call.since));
-    let mut pending: Pending = Box::pin(sender.try_send_request(request));
+    let mut pending: ResponseFuture = Box::pin(sender.try_send_request(request));
     tokio::select! {
         biased;
         result = &mut pending => read(core, call, running, result),
@@ -110,7 +110,7 @@
             return AttemptResult::Unknown(error.error().to_string());
         }
     };
-    let Some(verdict) = verdict_of(&response) else {
+    let Some(verdict) = response::verdict(&response) else {
         return AttemptResult::Response(relay(core, call, running, response));
     };
     if verdict.is_not_run() {
--- a/crates/daemon/src/router/late.rs
+++ b/crates/daemon/src/router/late.rs
@@ -9,7 +9,7 @@
 use super::call::Call;
 use super::core::Core;
 use super::link::Link;
-use super::pending::{Pending, verdict_of};
+use super::response::{self, ResponseFuture};
 
 /// How long to wait for a late answer.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_mins(1);
@@ -24,7 +24,7 @@
 
 /// Tries to withdraw an abandoned attempt and discards a late answer. Proof that the
 /// attempt did not run is recorded for later outcome queries.
-pub(crate) fn watch(core: &Arc<Core>, link: &Arc<Link>, call: &Call, pending: Pending) {
+pub(crate) fn watch(core: &Arc<Core>, link: &Arc<Link>, call: &Call, pending: ResponseFuture) {
     let late = Late {
         core: Arc::clone(core),
         link: Arc::clone(link),
@@ -35,7 +35,7 @@
 }
 
 impl Late {
-    async fn run(self, pending: Pending) {
+    async fn run(self, pending: ResponseFuture) {
         let withdrawn = tokio::select! {
             withdrawn = self.withdraw() => withdrawn,
             () = self.drop_answer(pending) => return,
@@ -56,11 +56,11 @@
         }
     }
 
-    async fn drop_answer(&self, pending: Pending) {
+    async fn drop_answer(&self, pending: ResponseFuture) {
         let Ok(Ok(response)) = tokio::time::timeout(LATE_ANSWER_TIMEOUT, pending).await else {
             return;
         };
-        if verdict_of(&response).is_some_and(mulberryyoke_wire::Verdict::is_not_run) {
+        if response::verdict(&response).is_some_and(mulberryyoke_wire::Verdict::is_not_run) {
             self.not_run();
             return;
         }
