--- a/crates/daemon/src/router/late.rs
+++ b/crates/daemon/src/router/abandoned_attempt.rs
@@ -1,4 +1,4 @@
-//! Handles answers that arrive after the attempt was abandoned.
+//! Withdraws abandoned attempts and discards their late responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,34 +11,34 @@
 use super::link::Link;
 use super::response::{self, ResponseFuture};
 
-/// How long to wait for a late answer.
-const LATE_ANSWER_TIMEOUT: Duration = Duration::from_mins(1);
+/// How long to wait for a late response.
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// An abandoned attempt that may have run.
-struct Late {
+struct AbandonedAttempt {
     core: Arc<Core>,
     link: Arc<Link>,
     attempt: Attempt,
     key: Option<KeyId>,
 }
 
-/// Tries to withdraw an abandoned attempt and discards a late answer. Proof that the
+/// Tries to withdraw an abandoned attempt and discards a late response. Proof that the
 /// attempt did not run is recorded for later outcome queries.
 pub(crate) fn watch(core: &Arc<Core>, link: &Arc<Link>, call: &Call, pending: ResponseFuture) {
-    let late = Late {
+    let abandoned = AbandonedAttempt {
         core: Arc::clone(core),
         link: Arc::clone(link),
         attempt: call.attempt,
         key: call.key.map(|key| key.id),
     };
-    tokio::spawn(late.run(pending));
+    tokio::spawn(abandoned.run(pending));
 }
 
-impl Late {
+impl AbandonedAttempt {
     async fn run(self, pending: ResponseFuture) {
         let withdrawn = tokio::select! {
             withdrawn = self.withdraw() => withdrawn,
-            () = self.drop_answer(pending) => return,
+            () = self.drop_response(pending) => return,
         };
         match withdrawn {
             Outcome::NotRun => self.not_run(),
@@ -56,8 +56,8 @@
         }
     }
 
-    async fn drop_answer(&self, pending: ResponseFuture) {
-        let Ok(Ok(response)) = tokio::time::timeout(LATE_ANSWER_TIMEOUT, pending).await else {
+    async fn drop_response(&self, pending: ResponseFuture) {
+        let Ok(Ok(response)) = tokio::time::timeout(LATE_RESPONSE_TIMEOUT, pending).await else {
             return;
         };
         if response::verdict(&response).is_some_and(mulberryyoke_wire::Verdict::is_not_run) {
--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -11,10 +11,10 @@
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_wire::{Ticket, Verdict, ticket};
 
+use super::abandoned_attempt;
 use super::call::Call;
 use super::core::Core;
 use super::header;
-use super::late;
 use super::link::Link;
 use super::place::Place;
 use super::refusal::REQUEST_ID;
@@ -66,12 +66,12 @@
         result = &mut pending => read(core, call, running, result),
         () = link.wait_silent() => {
             running.lose();
-            late::watch(core, &link, call, pending);
+            abandoned_attempt::watch(core, &link, call, pending);
             AttemptResult::Unknown("server is silent".to_owned())
         }
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => {
             running.lose();
-            late::watch(core, &link, call, pending);
+            abandoned_attempt::watch(core, &link, call, pending);
             AttemptResult::TimedOut
         }
         () = core.stop.cut.cancelled() => {
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -1,6 +1,7 @@
 //! The router role: accepts callers' requests, queues them, sends each to a server
 //! with a free slot, and forwards the answer.
 
+mod abandoned_attempt;
 mod attempt;
 mod body;
 mod body_error;
@@ -13,7 +14,6 @@
 mod home;
 pub mod inspect;
 mod keys;
-mod late;
 mod link;
 mod links;
 mod listener;
