--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -9,8 +9,7 @@
 use mulberryyoke_settings::Policy;
 use mulberryyoke_wire::Verdict;
 
-use super::answer::Answer;
-use super::attempt::{self, Sent};
+use super::attempt::{self, AttemptResult};
 use super::call::Call;
 use super::core::Core;
 use super::home;
@@ -20,6 +19,7 @@
 use super::refusals::{
     doubtful, keys_full, malformed, no_server, repeated, too_late, unknown, unreachable,
 };
+use super::response_body::ResponseBody;
 use super::wait::{self, Waited};
 use crate::clock;
 
@@ -27,7 +27,10 @@
 const MAX_ATTEMPTS: u8 = 100;
 
 /// Answers a request, or refuses it with the outcome known so far.
-pub(crate) async fn answer(core: &Arc<Core>, call: Call) -> Result<Response<Answer>, Refusal> {
+pub(crate) async fn answer(
+    core: &Arc<Core>,
+    call: Call,
+) -> Result<Response<ResponseBody>, Refusal> {
     core.budget.lock().deposit();
     let mut dispatch = Dispatch {
         core,
@@ -52,7 +55,7 @@
 }
 
 impl Dispatch<'_> {
-    async fn run(&mut self) -> Result<Response<Answer>, Refusal> {
+    async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         if self.call.is_late(clock::now()) {
             return Err(wait::late(self.core, &self.call));
         }
@@ -66,20 +69,25 @@
             }
             self.avoid = Some(link.id);
             // A server without a free slot rejected the request: queue it instead.
-            at_once = !matches!(sent, Sent::Verdict(Verdict::Busy | Verdict::Draining, _));
+            at_once = !matches!(
+                sent,
+                AttemptResult::Rejected(Verdict::Busy | Verdict::Draining, _)
+            );
             match sent {
-                Sent::Answer(response) => return Ok(response),
-                Sent::Verdict(verdict, after) => self.handle_verdict(verdict, after, &link)?,
-                Sent::Unsent(cause) => {
+                AttemptResult::Response(response) => return Ok(response),
+                AttemptResult::Rejected(verdict, after) => {
+                    self.handle_verdict(verdict, after, &link)?;
+                }
+                AttemptResult::NotSent(cause) => {
                     link.standing.exhaust();
                     self.retry(&cause)?;
                 }
-                Sent::Lost(cause) => self.lost(&cause)?,
-                Sent::Late => {
+                AttemptResult::Unknown(cause) => self.lost(&cause)?,
+                AttemptResult::TimedOut => {
                     self.may_have_run = true;
                     return Err(too_late());
                 }
-                Sent::Stopping => {
+                AttemptResult::Stopping => {
                     self.may_have_run = true;
                     return Err(wait::stopping());
                 }
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -1,44 +1,44 @@
 //! The router role: accepts callers' requests, queues them, sends each to a server
 //! with a free slot, and forwards the answer.
 
-mod answer;
+mod abandoned_attempt;
 mod attempt;
 mod body;
-mod broken;
+mod body_error;
 mod call;
-mod callers;
 mod core;
 mod counts;
 mod dispatch;
 mod error;
-mod handle;
 mod header;
 mod home;
 pub mod inspect;
 mod keys;
-mod late;
 mod link;
 mod links;
+mod listener;
 mod look;
 mod memory;
 mod operators;
 mod outcome;
-mod paced;
-mod pending;
 mod place;
 mod refusal;
 mod refusals;
 mod relay;
 mod request;
+mod response;
+mod response_body;
+mod role;
 mod room;
 mod rooms;
 mod running;
 mod service;
 mod stalls;
 mod stop;
+mod timeout_stream;
 mod wait;
 mod waiter;
 
 pub use error::Error;
-pub use handle::Router;
 pub use inspect::Inspect;
+pub use role::Router;
