--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -15,12 +15,12 @@
 use super::home;
 use super::link::Link;
 use super::place::Place;
+use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{
     doubtful, keys_full, malformed, no_server, repeated, too_late, unknown, unreachable,
 };
 use super::response_body::ResponseBody;
-use super::wait::{self, Waited};
 use crate::clock;
 
 /// Limit on attempts per request, regardless of the retry budget.
@@ -57,7 +57,7 @@
 impl Dispatch<'_> {
     async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         if self.call.is_late(clock::now()) {
-            return Err(wait::late(self.core, &self.call));
+            return Err(queueing::deadline_passed(self.core, &self.call));
         }
         let mut at_once = true;
         loop {
@@ -89,7 +89,7 @@
                 }
                 AttemptResult::Stopping => {
                     self.may_have_run = true;
-                    return Err(wait::stopping());
+                    return Err(queueing::stopping());
                 }
             }
             self.call.attempt = self.call.attempt.next();
@@ -117,16 +117,16 @@
             self.core.memory.wait(self.call.attempt.request);
         }
         let never = std::future::pending();
-        match wait::wait(self.core, &self.call, None, waited, never).await? {
-            Waited::Place(place) => Ok(place),
-            Waited::Moved => Err(no_server()),
+        match queueing::wait_for_slot(self.core, &self.call, None, waited, never).await? {
+            WaitResult::Place(place) => Ok(place),
+            WaitResult::HomeChanged => Err(no_server()),
         }
     }
 
     /// Selects a server expected to have a free slot, unless other requests are queued.
     fn direct(&self) -> Option<Place> {
-        let room = self.core.rooms.get(self.call.pool);
-        if !room.is_empty() {
+        let queue = self.core.queues.get(self.call.pool);
+        if !queue.is_empty() {
             return None;
         }
         let mut candidates = candidates(self.core, self.call.pool);
@@ -156,7 +156,7 @@
                 link.standing.exhaust();
                 Ok(())
             }
-            Verdict::Late => Err(wait::late(self.core, &self.call)),
+            Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
             Verdict::Malformed => Err(malformed()),
             Verdict::Full => Err(keys_full(after)),
             Verdict::Doubtful => Err(doubtful(after)),
