--- a/crates/daemon/tests/proof/once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -8,7 +8,7 @@
 use mulberryyoke_standin::fleet::call::End;
 use mulberryyoke_standin::kv::Switch;
 
-use crate::shared::{Ask, Fleet, Reply, Setup, wait};
+use crate::common::{Ask, Fleet, Reply, Setup, wait};
 
 /// Time of a call that is to be under way when a fault comes.
 const LONG: Duration = Duration::from_millis(800);
--- a/crates/daemon/tests/proof/starve.rs
+++ b/crates/daemon/tests/proof/fairness.rs
@@ -7,7 +7,7 @@
 use mulberryyoke_standin::fleet::call::End;
 use serde_json::json;
 
-use crate::shared::{Ask, Fleet, Setup};
+use crate::common::{Ask, Fleet, Setup};
 
 /// Rounds of a few calls at once, of which only one can run.
 const ROUNDS: u32 = 200;
--- a/crates/daemon/tests/proof/leave.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -9,7 +9,7 @@
 use mulberryyoke_standin::vms;
 use serde_json::Value;
 
-use crate::shared::{Ask, Fleet, Setup, Stream, wait};
+use crate::common::{Ask, Fleet, Setup, Stream, wait};
 
 /// Tokens of an answer that is under way when the server begins to leave.
 const TOKENS: u32 = 150;
--- a/crates/daemon/tests/proof/main.rs
+++ b/crates/daemon/tests/proof/main.rs
@@ -2,10 +2,10 @@
 //! on loopback beside stand-ins of the outside systems. `docs/PROOFS.md` lists
 //! them, one file here for each promise.
 
-mod leave;
-mod once;
-mod shared;
-mod starve;
-mod stop;
-mod truth;
-mod whole;
+mod at_most_once;
+mod common;
+mod fairness;
+mod leaving;
+mod outcomes;
+mod responses;
+mod shutdown;
--- a/crates/daemon/tests/proof/truth.rs
+++ b/crates/daemon/tests/proof/outcomes.rs
@@ -11,7 +11,7 @@
 use mulberryyoke_wire::connect_router;
 use serde_json::json;
 
-use crate::shared::{Ask, Fleet, Reply, Setup, Stream, wait};
+use crate::common::{Ask, Fleet, Reply, Setup, Stream, wait};
 
 /// Tokens of an answer that lasts until it is cut off.
 const ENDLESS: u32 = 100_000;
--- a/crates/daemon/tests/proof/whole.rs
+++ b/crates/daemon/tests/proof/responses.rs
@@ -9,7 +9,7 @@
 use mulberryyoke_standin::fleet::call::End;
 use serde_json::json;
 
-use crate::shared::{Ask, Fleet, Setup, Stream, wait};
+use crate::common::{Ask, Fleet, Setup, Stream, wait};
 
 /// Tokens of an answer that is under way when a fault comes.
 const TOKENS: u32 = 200;
--- a/crates/daemon/tests/proof/stop.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-use crate::shared::{Ask, Fleet, Node, Reply, Setup, Stream, wait};
+use crate::common::{Ask, Fleet, Node, Reply, Setup, Stream, wait};
 
 /// Tokens of an answer that is under way when the stop begins.
 const TOKENS: u32 = 100;
