--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -75,7 +75,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_key_through_two_routers_at_once() {
+async fn key_sent_through_two_routers_at_once_runs_once() {
     let fleet = Fleet::spawn(Setup {
         services: 2,
         latency: LONG / 8,
@@ -95,7 +95,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_killed_under_way_and_started_again() {
+async fn interrupted_key_is_not_run_again_after_a_sidecar_crash() {
     let fleet = Fleet::spawn(one()).await;
     let ask = Ask::booking("slot").keyed();
     let first = ask.spawn(fleet.router(0));
@@ -112,7 +112,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_stopped_as_planned_and_started_again() {
+async fn key_is_not_run_again_after_a_planned_sidecar_restart() {
     let fleet = Fleet::spawn(one()).await;
     let ask = Ask::booking("slot").keyed();
     let first = ask.spawn(fleet.router(0));
@@ -126,7 +126,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_killed_under_way() {
+async fn key_is_not_run_again_after_a_router_crash() {
     let fleet = Fleet::spawn(one()).await;
     let ask = Ask::booking("slot").keyed();
     let first = ask.spawn(fleet.router(0));
@@ -141,7 +141,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_and_the_sidecar_killed_together() {
+async fn interrupted_key_is_not_run_again_after_router_and_sidecar_crash_together() {
     let fleet = Fleet::spawn(one()).await;
     let ask = Ask::booking("slot").keyed();
     let first = ask.spawn(fleet.router(0));
@@ -163,7 +163,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_killed_while_the_kv_service_is_down() {
+async fn keys_are_not_run_again_after_a_sidecar_crash_during_a_kv_outage() {
     let fleet = Fleet::spawn(one()).await;
     let before = Ask::booking("before").keyed();
     settle(&fleet, 0, &before, End::Whole).await;
@@ -188,7 +188,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_of_the_kv_service_lost_at_a_planned_restart() {
+async fn key_is_not_run_again_after_a_restart_that_loses_kv_responses() {
     let fleet = Fleet::spawn(one()).await;
     let ask = Ask::booking("slot").keyed();
     settle(&fleet, 0, &ask, End::Whole).await;
@@ -205,7 +205,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn homes_moved_by_a_server_that_is_added() {
+async fn keys_run_once_when_an_added_server_becomes_their_home() {
     let fleet = Fleet::spawn(growing()).await;
     let moved = |n: u64| Ask::booking_at(&POOL, POOL[1], n);
     let before: Vec<Ask> = (0..8).map(moved).collect();
@@ -237,7 +237,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn homes_moved_by_a_server_that_is_drained() {
+async fn keys_run_once_when_their_home_is_drained() {
     let fleet = Fleet::spawn(Setup {
         services: 2,
         ..one()
@@ -269,7 +269,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_copy_on_its_way_while_homes_move() {
+async fn delayed_request_to_a_former_home_does_not_run_the_key_again() {
     let fleet = Fleet::spawn(Setup {
         relayed: true,
         ..growing()
@@ -297,7 +297,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_kv_service_that_is_down_for_long() {
+async fn keys_of_a_restarted_router_are_refused_during_a_kv_outage() {
     let fleet = Fleet::spawn(one()).await;
     settle(&fleet, 0, &Ask::booking("a").keyed(), End::Whole).await;
     settle(&fleet, 1, &Ask::booking("b").keyed(), End::Whole).await;
--- a/crates/daemon/tests/proof/fairness.rs
+++ b/crates/daemon/tests/proof/fairness.rs
@@ -14,7 +14,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn work_that_comes_just_as_slots_are_granted() {
+async fn requests_that_arrive_while_slots_are_granted_complete() {
     let fleet = Fleet::spawn(Setup {
         services: 1,
         slots: 1,
--- a/crates/daemon/tests/proof/leaving.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -114,7 +114,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn by_an_operators_order() {
+async fn drained_server_gets_no_new_requests() {
     let fleet = two().await;
     let streams = under_way(&fleet).await;
     fleet.command(0, "server drain assistant-0").await;
@@ -125,7 +125,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn by_the_vm_list() {
+async fn server_leaving_in_the_vm_list_gets_no_new_requests() {
     let fleet = two().await;
     let streams = under_way(&fleet).await;
     list_leaving(&fleet);
@@ -136,7 +136,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn by_the_vm_list_while_the_kv_service_is_down() {
+async fn server_leaving_in_the_vm_list_during_a_kv_outage_gets_no_new_requests() {
     let fleet = two().await;
     let streams = under_way(&fleet).await;
     outage(&fleet, true);
@@ -148,7 +148,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn by_an_order_just_before_the_kv_service_goes_down() {
+async fn server_drained_just_before_a_kv_outage_gets_no_new_requests() {
     let fleet = two().await;
     fleet.command(0, "server drain assistant-0").await;
     outage(&fleet, true);
@@ -158,7 +158,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_that_comes_back_while_the_kv_service_is_down() {
+async fn drained_server_gets_no_new_requests_after_a_router_crash_during_a_kv_outage() {
     let fleet = two().await;
     fleet.command(0, "server drain assistant-0").await;
     known(&fleet).await;
@@ -172,7 +172,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_that_was_frozen_when_it_was_ordered() {
+async fn server_drained_while_its_sidecar_is_suspended_gets_no_new_requests() {
     let fleet = two().await;
     fleet.sidecars[0].freeze();
     fleet.command(0, "server drain assistant-0").await;
--- a/crates/daemon/tests/proof/outcomes.rs
+++ b/crates/daemon/tests/proof/outcomes.rs
@@ -67,7 +67,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn more_than_may_wait() {
+async fn requests_refused_by_a_full_queue_do_not_run() {
     let fleet = Fleet::spawn(Setup {
         router: json!({"limits": {"queue_per_customer": 4}}),
         ..engine()
@@ -93,7 +93,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_deadline_that_passes_in_the_queue() {
+async fn request_whose_deadline_passes_in_the_queue_does_not_run() {
     let fleet = Fleet::spawn(engine()).await;
     let running = Stream::open(&Ask::chat("long", ENDLESS), fleet.router(0)).await;
     let ask = Ask::chat("late", 4).with("x-deadline", in_ms(300));
@@ -109,7 +109,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_deadline_that_passes_at_the_backend() {
+async fn outcome_is_correct_after_the_deadline_passes_at_the_backend() {
     let fleet = Fleet::spawn(Setup {
         latency: LONG,
         ..service()
@@ -124,7 +124,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_that_stops() {
+async fn requests_queued_at_a_stopping_router_do_not_run() {
     let fleet = Fleet::spawn(Setup {
         router: json!({"drain_ms": 1_000}),
         ..engine()
@@ -150,7 +150,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_frozen_between_its_check_and_the_call() {
+async fn outcome_is_correct_after_the_sidecar_is_suspended_before_it_calls_the_backend() {
     for _ in 0..ROUNDS {
         if frozen_between().await {
             return;
@@ -184,7 +184,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_frozen_before_its_check() {
+async fn outcomes_are_correct_after_the_sidecar_is_suspended_before_admission() {
     let fleet = Fleet::spawn(service()).await;
     fleet.sidecars[0].freeze();
     let asks: Vec<Ask> = (0..8).map(|n| Ask::booking(&format!("{n}"))).collect();
@@ -209,7 +209,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_copy_that_comes_after_its_withdrawal() {
+async fn request_that_arrives_after_its_withdrawal_does_not_run() {
     let fleet = Fleet::spawn(Setup {
         relayed: true,
         ..service()
@@ -238,7 +238,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_link_cut_while_the_call_runs() {
+async fn outcome_is_correct_after_the_data_link_is_cut_during_the_call() {
     let fleet = Fleet::spawn(Setup {
         relayed: true,
         latency: LONG / 3,
@@ -260,7 +260,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_killed_while_a_sidecar_is_frozen() {
+async fn repeated_key_runs_once_after_a_router_crash_while_the_sidecar_is_suspended() {
     let fleet = Fleet::spawn(service()).await;
     fleet.sidecars[0].freeze();
     let ask = Ask::booking("slot").keyed();
@@ -283,7 +283,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_outcome_asked_of_a_router_that_has_forgotten_it() {
+async fn restarted_router_reports_outcomes_of_earlier_requests_as_unknown() {
     let fleet = Fleet::spawn(service()).await;
     let ask = Ask::booking("slot");
     let reply = ask.send(fleet.router(0)).await;
--- a/crates/daemon/tests/proof/responses.rs
+++ b/crates/daemon/tests/proof/responses.rs
@@ -37,7 +37,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_killed_in_the_middle() {
+async fn response_is_truncated_when_the_sidecar_crashes() {
     let fleet = Fleet::spawn(engines(1)).await;
     let mut stream = Stream::open(&Ask::chat("a", TOKENS), fleet.router(0)).await;
     stream.read(3).await;
@@ -50,7 +50,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_killed_in_the_middle() {
+async fn response_is_truncated_when_the_router_crashes() {
     let fleet = Fleet::spawn(engines(1)).await;
     let mut stream = Stream::open(&Ask::chat("a", TOKENS), fleet.router(0)).await;
     stream.read(3).await;
@@ -64,7 +64,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_link_to_the_engine_cut_in_the_middle() {
+async fn streams_resume_after_the_engine_connection_is_cut() {
     let fleet = Fleet::spawn(engines(1)).await;
     let asks: Vec<Ask> = (0..2).map(|n| Ask::chat(&format!("{n}"), TOKENS)).collect();
     let sent: Vec<_> = asks.iter().map(|ask| ask.spawn(fleet.router(0))).collect();
@@ -82,7 +82,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_that_stays_away_in_the_middle() {
+async fn response_is_truncated_when_the_engine_stays_unreachable() {
     let fleet = Fleet::spawn(engines(1)).await;
     let mut stream = Stream::open(&Ask::chat("a", TOKENS), fleet.router(0)).await;
     stream.read(3).await;
@@ -96,7 +96,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_answer_that_comes_late() {
+async fn late_responses_are_dropped_or_their_attempts_withdrawn() {
     let fleet = Fleet::spawn(Setup {
         slots: 8,
         router: json!({"heartbeat_ms": 250}),
@@ -132,7 +132,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn many_callers_while_sidecars_freeze_and_die() {
+async fn no_caller_gets_a_wrong_response_while_sidecars_are_suspended_and_killed() {
     let fleet = Fleet::spawn(Setup {
         slots: 8,
         router: json!({"heartbeat_ms": 250}),
@@ -172,7 +172,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_key_of_two_customers() {
+async fn equal_keys_of_two_customers_get_separate_responses() {
     let fleet = Fleet::spawn(Setup {
         services: 1,
         ..Setup::default()
@@ -193,7 +193,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_reads_slowly() {
+async fn slow_reader_gets_the_complete_response() {
     let fleet = Fleet::spawn(Setup {
         token: Duration::ZERO,
         ..engines(1)
@@ -219,7 +219,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_reads_no_more() {
+async fn response_is_truncated_when_the_caller_stops_reading() {
     let fleet = Fleet::spawn(Setup {
         token: Duration::ZERO,
         router: json!({"limits": {"stall_ms": 500}}),
--- a/crates/daemon/tests/proof/shutdown.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -60,7 +60,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_a_router() {
+async fn requests_complete_when_their_router_stops() {
     let fleet = Fleet::spawn(mixed()).await;
     let sent = begin(&fleet, 0).await;
     expect_that!(fleet.routers[0].stop().await, some(eq(0)));
@@ -74,7 +74,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_a_sidecar() {
+async fn requests_complete_when_their_sidecars_stop() {
     let fleet = Fleet::spawn(mixed()).await;
     let sent = begin(&fleet, 0).await;
     let stops = [&fleet.sidecars[0], &fleet.sidecars[2]].map(Node::stop);
@@ -90,7 +90,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_a_router_and_a_sidecar_together_while_the_kv_service_is_down() {
+async fn requests_complete_when_router_and_sidecars_stop_during_a_kv_outage() {
     let fleet = Fleet::spawn(mixed()).await;
     let sent = begin(&fleet, 0).await;
     fleet.kv.switch(&mulberryyoke_standin::kv::Switch {
@@ -105,7 +105,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_a_router_whose_drain_deadline_passes() {
+async fn router_aborts_unfinished_streams_at_the_drain_deadline() {
     let fleet = Fleet::spawn(Setup {
         slots: 1,
         router: drain(1_000),
@@ -137,7 +137,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_a_sidecar_whose_drain_deadline_passes() {
+async fn key_aborted_at_the_sidecars_drain_deadline_is_not_run_again() {
     let fleet = Fleet::spawn(Setup {
         engines: 1,
         latency: LATENCY * 4,
@@ -167,7 +167,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_every_process_in_turn_under_load() {
+async fn rolling_restart_under_load_completes_every_request() {
     let fleet = Fleet::spawn(Setup {
         slots: 2,
         latency: LATENCY / 8,
