--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn repeated_reports_count_once() {
+async fn repeated_reports_are_counted_once() {
     let fleet = spawn("r1").await;
     let usage = |tokens| Usage {
         pool: PoolId::of("chat"),
--- a/crates/daemon/tests/gateway.rs
+++ b/crates/daemon/tests/gateway.rs
@@ -168,7 +168,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_gateway_whose_address_is_taken_is_started_on_others() {
+async fn gateway_exits_if_its_address_is_in_use() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address");
     let process = Process::try_spawn("taken", Duration::ZERO, [address, free(), free()]).await;
@@ -177,7 +177,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_refused_request_leads_to_what_the_server_had_to_do() {
+async fn refused_request_logs_the_expected_wait_at_the_server() {
     let process = Process::spawn("refused", Duration::from_secs(2)).await;
     let _long = process.send("long", "any", 60_000).await;
     process
@@ -199,7 +199,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_late_first_event_leads_to_the_server_and_its_prompt() {
+async fn late_first_event_logs_the_server_and_the_uncached_tokens() {
     let process = Process::spawn("late", Duration::from_millis(700)).await;
     process.ask("late", "any", 1_000).await;
     let events = process.events("late", 1014).await;
@@ -218,7 +218,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_broken_stream_leads_to_the_server_that_broke_off() {
+async fn truncated_stream_logs_its_server() {
     let process = Process::spawn("broken", Duration::ZERO).await;
     let reply = process.ask("broken", "broken", 1_000).await;
     expect_that!(reply, not(contains_substring("\r\n0\r\n")));
@@ -238,7 +238,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn settings_are_read_again_on_a_signal_and_when_the_file_changes() {
+async fn settings_are_reloaded_on_sighup_and_on_file_changes() {
     let process = Process::spawn("reload", Duration::ZERO).await;
     process.signal(Signal::HUP);
     let line = process.wait(|line| line["event"] == 5004).await;
@@ -262,7 +262,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_planned_stop_ends_with_success() {
+async fn sigterm_completes_the_running_request_and_exits_with_success() {
     let mut process = Process::spawn("stop", Duration::from_millis(300)).await;
     let stream = process.send("running", "any", 10).await;
     process
--- a/crates/daemon/tests/pages.rs
+++ b/crates/daemon/tests/pages.rs
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn every_role_and_option_stands_on_the_pages() {
+fn every_role_and_option_is_documented() {
     let top = help(&[]);
     for path in PAGES {
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn every_metric_stands_on_the_page() {
+fn metrics_page_lists_exactly_the_recorded_metrics() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operating/metrics.md");
     let page = fs::read_to_string(page).expect("the page is there");
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
