--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Tests of [`Fleet`] without reachable peers or services.
+//! Tests of [`Fleet`] while no peer or service is reachable.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use serde_json::json;
 use slog::{Discard, Logger, o};
 
-/// An address on which nothing listens.
+/// Address on which nothing listens.
 const UNREACHABLE: &str = "127.0.0.1:9";
 
 fn settings(name: &str) -> Arc<Router> {
@@ -28,7 +28,7 @@
     Fleet::spawn(settings(name), logger).await.unwrap()
 }
 
-fn pool(revision: u64) -> Change {
+fn pool_change(revision: u64) -> Change {
     let object = Object::Pool(Pool {
         name: "chat".to_owned(),
         kind: Kind::Model,
@@ -44,13 +44,13 @@
 #[tokio::test]
 async fn merged_configuration_is_published_once() {
     let fleet = spawn("r1").await;
-    let mut watch = fleet.watch();
-    fleet.merge(vec![pool(7)]);
-    watch.changed().await.unwrap();
-    assert_that!(*watch.borrow_and_update(), eq(7));
+    let mut revision = fleet.watch();
+    fleet.merge(vec![pool_change(7)]);
+    revision.changed().await.unwrap();
+    assert_that!(*revision.borrow_and_update(), eq(7));
     assert_that!(fleet.view().model_pool("chat"), some(anything()));
-    fleet.merge(vec![pool(7), pool(3)]);
-    assert_that!(watch.has_changed().unwrap(), eq(false));
+    fleet.merge(vec![pool_change(7), pool_change(3)]);
+    assert_that!(revision.has_changed().unwrap(), eq(false));
     fleet.stop().await;
 }
 
--- a/crates/daemon/tests/gateway.rs
+++ b/crates/daemon/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! The gateway as a process before stand-ins of the platform: signals, settings,
-//! and the way from a request's id to its cause by the log alone.
+//! Tests of the gateway process with stand-ins of the platform: signals, settings
+//! and the log events of each request.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 mod standin;
@@ -22,34 +22,34 @@
 use crate::standin::store::Store;
 use crate::standin::{caller, server};
 
-/// Longest time that a test waits for anything.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Maximum time to wait for a condition.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Times that a gateway is started on other addresses: a free one may be taken by another test,
-/// or by a connection, between its choice and the start.
-const TRIES: u32 = 10;
+/// Maximum number of start attempts. Another test or an outgoing connection can take a free
+/// port before the gateway binds it.
+const MAX_START_ATTEMPTS: u32 = 10;
 
-/// A running gateway and what it has logged.
+/// A running gateway and its log.
 struct Process {
     child: Child,
-    settings: PathBuf,
+    settings_path: PathBuf,
     callers: SocketAddr,
-    lines: Arc<Mutex<Vec<Value>>>,
+    log: Arc<Mutex<Vec<Value>>>,
     store: Store,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = fs::remove_file(&self.settings);
+        let _ = fs::remove_file(&self.settings_path);
     }
 }
 
-fn free() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address")
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    listener.local_addr().expect("listener has an address")
 }
 
 fn settings(store: &Store, addresses: [SocketAddr; 3]) -> Value {
@@ -60,108 +60,131 @@
 }
 
 impl Process {
-    /// Starts a gateway before one server that takes `pause` for each first event.
-    async fn spawn(name: &str, pause: Duration) -> Self {
-        for _ in 0..TRIES {
-            let addresses = [free(), free(), free()];
-            if let Some(process) = Self::try_spawn(name, pause, addresses).await {
+    /// Starts a gateway with one server that delays the first event of each response.
+    async fn spawn(name: &str, first_event_delay: Duration) -> Self {
+        for _ in 0..MAX_START_ATTEMPTS {
+            let addresses = [free_address(), free_address(), free_address()];
+            if let Some(process) = Self::try_spawn(name, first_event_delay, addresses).await {
                 return process;
             }
         }
-        panic!("the gateway finds free addresses");
+        panic!("gateway did not start in {MAX_START_ATTEMPTS} attempts");
     }
 
-    /// As [`Process::spawn`] on these addresses; `None` if it ends without being ready.
-    async fn try_spawn(name: &str, pause: Duration, addresses: [SocketAddr; 3]) -> Option<Self> {
+    /// Starts a gateway on these addresses; `None` if it exits before it has registered its
+    /// server.
+    async fn try_spawn(
+        name: &str,
+        first_event_delay: Duration,
+        addresses: [SocketAddr; 3],
+    ) -> Option<Self> {
         let store = Store::spawn().await;
-        let server = server::spawn(pause).await;
+        let server = server::spawn(first_event_delay).await;
         store.configure(server);
         let path =
             std::env::temp_dir().join(format!("mulberryyoke-{name}-{}.json", std::process::id()));
-        fs::write(&path, settings(&store, addresses).to_string()).expect("a file");
+        fs::write(&path, settings(&store, addresses).to_string())
+            .expect("settings file is writable");
         let mut child = Command::new(env!("CARGO_BIN_EXE_mulberryyoked"))
             .args(["gateway", "--settings"])
             .arg(&path)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the gateway starts");
-        let output = child.stdout.take().expect("its output");
-        let lines = Arc::new(Mutex::new(Vec::new()));
-        let read = Arc::clone(&lines);
+            .expect("gateway process starts");
+        let output = child.stdout.take().expect("standard output is piped");
+        let log = Arc::new(Mutex::new(Vec::new()));
+        let shared_log = Arc::clone(&log);
         thread::spawn(move || {
             for line in BufReader::new(output)
                 .lines()
                 .map_while(std::result::Result::ok)
             {
-                let line = serde_json::from_str(&line).expect("a line is JSON");
-                read.lock().expect("no panic").push(line);
+                let line = serde_json::from_str(&line).expect("log line is JSON");
+                shared_log.lock().expect("lock is not poisoned").push(line);
             }
         });
         let mut process = Self {
             child,
-            settings: path,
+            settings_path: path,
             callers: addresses[0],
-            lines,
+            log,
             store,
         };
-        let until = Instant::now() + LONGEST;
+        let deadline = Instant::now() + TIMEOUT;
         while process.find(|line| line["event"] == 1016).is_none() {
-            if process.child.try_wait().expect("its status").is_some() {
+            if process
+                .child
+                .try_wait()
+                .expect("exit status is available")
+                .is_some()
+            {
                 return None;
             }
-            assert!(Instant::now() < until, "the gateway knows its server");
+            assert!(
+                Instant::now() < deadline,
+                "gateway did not register its server in time"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         Some(process)
     }
 
-    /// A line of the log, if it is there.
-    fn find(&self, is_it: impl Fn(&Value) -> bool) -> Option<Value> {
-        let lines = self.lines.lock().expect("no panic");
-        lines.iter().find(|line| is_it(line)).cloned()
+    /// First log line that matches.
+    fn find(&self, predicate: impl Fn(&Value) -> bool) -> Option<Value> {
+        let log = self.log.lock().expect("lock is not poisoned");
+        log.iter().find(|line| predicate(line)).cloned()
     }
 
-    /// Waits for a line of the log.
-    async fn wait(&self, is_it: impl Fn(&Value) -> bool) -> Value {
-        let until = Instant::now() + LONGEST;
+    /// Waits for a log line that matches.
+    async fn wait(&self, predicate: impl Fn(&Value) -> bool) -> Value {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            if let Some(line) = self.find(&is_it) {
+            if let Some(line) = self.find(&predicate) {
                 return line;
             }
-            assert!(Instant::now() < until, "the line is logged");
+            assert!(
+                Instant::now() < deadline,
+                "expected log line did not appear in time"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Numbers of the events that have a request's id, in their order, once `last` is there.
-    async fn events(&self, id: &str, last: u64) -> Vec<u64> {
+    /// Event numbers of a request in log order, once event `last` is logged.
+    async fn event_numbers(&self, id: &str, last: u64) -> Vec<u64> {
         self.wait(|line| line["request"] == id && line["event"] == last)
             .await;
-        let lines = self.lines.lock().expect("no panic");
-        let of_id = lines.iter().filter(|line| line["request"] == id);
-        of_id.filter_map(|line| line["event"].as_u64()).collect()
+        let log = self.log.lock().expect("lock is not poisoned");
+        let of_request = log.iter().filter(|line| line["request"] == id);
+        of_request
+            .filter_map(|line| line["event"].as_u64())
+            .collect()
     }
 
     fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        kill_process(pid.expect("a process id"), signal).expect("it runs");
+        kill_process(pid.expect("process ID is valid"), signal).expect("process is running");
     }
 
-    async fn ask(&self, id: &str, path: &str, tokens: u32) -> String {
-        let mut stream = self.send(id, path, tokens).await;
-        let mut text = String::new();
-        // A connection that is reset ends here as well.
-        let _ = stream.read_to_string(&mut text).await;
-        text
+    /// Sends a request and reads the response until the connection closes.
+    async fn send(&self, id: &str, path: &str, tokens: u32) -> String {
+        let mut stream = self.open(id, path, tokens).await;
+        let mut response = String::new();
+        // A reset connection also ends the response.
+        let _ = stream.read_to_string(&mut response).await;
+        response
     }
 
-    async fn send(&self, id: &str, path: &str, tokens: u32) -> TcpStream {
-        let mut stream = TcpStream::connect(self.callers).await.expect("it listens");
+    /// Sends a request and returns its connection.
+    async fn open(&self, id: &str, path: &str, tokens: u32) -> TcpStream {
+        let mut stream = TcpStream::connect(self.callers)
+            .await
+            .expect("gateway accepts connections");
         let request = caller::raw_request(id, path, tokens);
         stream
             .write_all(request.as_bytes())
             .await
-            .expect("it reads");
+            .expect("gateway reads the request");
         stream
     }
 }
@@ -169,9 +192,14 @@
 #[gtest]
 #[tokio::test]
 async fn gateway_exits_if_its_address_is_in_use() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address");
-    let process = Process::try_spawn("taken", Duration::ZERO, [address, free(), free()]).await;
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = occupied.local_addr().expect("listener has an address");
+    let process = Process::try_spawn(
+        "taken",
+        Duration::ZERO,
+        [address, free_address(), free_address()],
+    )
+    .await;
     expect_that!(process.is_none(), eq(true));
 }
 
@@ -179,13 +207,13 @@
 #[tokio::test]
 async fn refused_request_logs_the_expected_wait_at_the_server() {
     let process = Process::spawn("refused", Duration::from_secs(2)).await;
-    let _long = process.send("long", "any", 60_000).await;
+    let _running = process.open("long", "any", 60_000).await;
     process
         .wait(|line| line["request"] == "long" && line["event"] == 1001)
         .await;
-    let reply = process.ask("refused", "any", 2_000).await;
-    expect_that!(reply, starts_with("HTTP/1.1 503"));
-    let events = process.events("refused", 1003).await;
+    let response = process.send("refused", "any", 2_000).await;
+    expect_that!(response, starts_with("HTTP/1.1 503"));
+    let events = process.event_numbers("refused", 1003).await;
     expect_that!(events, elements_are![eq(&1019), eq(&1003)]);
     let line = process
         .wait(|line| line["request"] == "refused" && line["event"] == 1019)
@@ -201,8 +229,8 @@
 #[tokio::test]
 async fn late_first_event_logs_the_server_and_the_uncached_tokens() {
     let process = Process::spawn("late", Duration::from_millis(700)).await;
-    process.ask("late", "any", 1_000).await;
-    let events = process.events("late", 1014).await;
+    process.send("late", "any", 1_000).await;
+    let events = process.event_numbers("late", 1014).await;
     expect_that!(events, elements_are![eq(&1001), eq(&1004), eq(&1014)]);
     let routed = process
         .wait(|line| line["request"] == "late" && line["event"] == 1001)
@@ -220,9 +248,9 @@
 #[tokio::test]
 async fn truncated_stream_logs_its_server() {
     let process = Process::spawn("broken", Duration::ZERO).await;
-    let reply = process.ask("broken", "broken", 1_000).await;
-    expect_that!(reply, not(contains_substring("\r\n0\r\n")));
-    let events = process.events("broken", 2007).await;
+    let response = process.send("broken", "broken", 1_000).await;
+    expect_that!(response, not(contains_substring("\r\n0\r\n")));
+    let events = process.event_numbers("broken", 2007).await;
     expect_that!(
         events,
         elements_are![eq(&1001), eq(&1004), eq(&1014), eq(&2007)]
@@ -244,18 +272,21 @@
     let line = process.wait(|line| line["event"] == 5004).await;
     expect_that!(line["needs_restart"].as_bool(), some(eq(false)));
     expect_that!(
-        process.ask("after", "any", 10).await,
+        process.send("after", "any", 10).await,
         starts_with("HTTP/1.1 200")
     );
-    fs::write(&process.settings, "{").expect("a file");
+    fs::write(&process.settings_path, "{").expect("settings file is writable");
     process.wait(|line| line["event"] == 5005).await;
-    let moved = settings(&process.store, [free(), free(), free()]);
-    fs::write(&process.settings, moved.to_string()).expect("a file");
+    let moved = settings(
+        &process.store,
+        [free_address(), free_address(), free_address()],
+    );
+    fs::write(&process.settings_path, moved.to_string()).expect("settings file is writable");
     process
         .wait(|line| line["event"] == 5004 && line["needs_restart"] == true)
         .await;
     expect_that!(
-        process.ask("later", "any", 10).await,
+        process.send("later", "any", 10).await,
         starts_with("HTTP/1.1 200")
     );
 }
@@ -264,22 +295,22 @@
 #[tokio::test]
 async fn sigterm_completes_the_running_request_and_exits_with_success() {
     let mut process = Process::spawn("stop", Duration::from_millis(300)).await;
-    let stream = process.send("running", "any", 10).await;
+    let stream = process.open("running", "any", 10).await;
     process
         .wait(|line| line["request"] == "running" && line["event"] == 1001)
         .await;
     process.signal(Signal::TERM);
     process.wait(|line| line["event"] == 5002).await;
-    let events = process.events("running", 1014).await;
+    let events = process.event_numbers("running", 1014).await;
     expect_that!(events.last(), some(eq(&1014)));
     drop(stream);
-    let until = Instant::now() + LONGEST;
-    while Instant::now() < until {
-        if let Some(status) = process.child.try_wait().expect("its status") {
+    let deadline = Instant::now() + TIMEOUT;
+    while Instant::now() < deadline {
+        if let Some(status) = process.child.try_wait().expect("exit status is available") {
             expect_that!(status.success(), eq(true));
             return;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    add_failure!("the process ends");
+    add_failure!("process did not exit in time");
 }
