--- a/crates/daemon/tests/proof/common/fleet.rs
+++ b/crates/daemon/tests/proof/common/fleet.rs
@@ -238,7 +238,7 @@
     /// Whether a router says that it takes requests.
     pub(crate) async fn is_ready(&self, router: usize) -> bool {
         let status = self.routers[router].status();
-        super::ask::get(status, "/readyz")
+        super::request::get(status, "/readyz")
             .await
             .is_some_and(|(code, _)| code == 200)
     }
@@ -295,7 +295,7 @@
 
     /// What a router tells of a request's outcome.
     pub(crate) async fn outcome(&self, router: usize, id: &str) -> String {
-        super::ask::outcome(self.router(router), id).await
+        super::request::fetch_outcome(self.router(router), id).await
     }
 }
 
--- a/crates/daemon/tests/proof/common/ask.rs
+++ b/crates/daemon/tests/proof/common/request.rs
@@ -7,7 +7,6 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
-use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use mulberryyoke_decide::home;
 use mulberryyoke_model::{CustomerId, KeyId, Server, ServerId, State};
@@ -21,7 +20,7 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct Request {
     customer: &'static str,
     /// Identity that the backend notes, `CUSTOMER/NAME`.
     pub(crate) op: String,
@@ -31,7 +30,7 @@
 
 /// What a caller holds in the end.
 #[derive(Clone, Debug)]
-pub(crate) struct Reply {
+pub(crate) struct Response {
     /// The HTTP status; 0 when there was none.
     pub(crate) status: u16,
     /// The header `x-outcome`.
@@ -43,12 +42,12 @@
     /// Seconds after which to come back.
     pub(crate) retry_after: Option<u64>,
     /// The body, or why it is not whole.
-    pub(crate) text: Result<String, String>,
+    pub(crate) body: Result<String, String>,
     /// The same, judged.
     pub(crate) end: End,
 }
 
-impl Ask {
+impl Request {
     /// Asks for a model answer of some tokens.
     pub(crate) fn chat(name: &str, tokens: u32) -> Self {
         let streamed = true;
@@ -63,12 +62,12 @@
     /// Asks for such a call whose key has its home at one of a pool's servers.
     pub(crate) fn booking_at(pool: &[&str], home: &str, number: u64) -> Self {
         let names = (0..).map(|tail| format!("{number}-{tail}"));
-        let mut asks = names.map(|name| Self::booking(&name).keyed());
-        let is_home = |ask: &Self| {
-            let key = KeyId::of(CustomerId::of(ask.customer), &ask.op);
+        let mut requests = names.map(|name| Self::booking(&name).with_key());
+        let is_home = |request: &Self| {
+            let key = KeyId::of(CustomerId::of(request.customer), &request.op);
             home_of(pool, key) == ServerId::of(home)
         };
-        asks.find(is_home).unwrap()
+        requests.find(is_home).unwrap()
     }
 
     fn new(name: &str, work: Work) -> Self {
@@ -81,24 +80,24 @@
     }
 
     /// For a customer other than the usual one.
-    pub(crate) fn of(mut self, customer: &'static str) -> Self {
+    pub(crate) fn for_customer(mut self, customer: &'static str) -> Self {
         self.op = self.op.replace(self.customer, customer);
         self.customer = customer;
         self
     }
 
     /// With an `Idempotency-Key`: its own identity.
-    pub(crate) fn keyed(self) -> Self {
+    pub(crate) fn with_key(self) -> Self {
         let key = self.op.clone();
-        self.with("idempotency-key", key)
+        self.with_header("idempotency-key", key)
     }
 
-    pub(crate) fn with(mut self, name: &'static str, value: impl Into<String>) -> Self {
+    pub(crate) fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    fn request(&self) -> Request<Full<Bytes>> {
+    fn to_http(&self) -> hyper::Request<Full<Bytes>> {
         let op = &self.op;
         let (path, body) = match self.work {
             Work::Booking => ("/bookings", json!({"op": op})),
@@ -112,7 +111,7 @@
                 ("/v1/chat/completions", body)
             }
         };
-        let mut request = Request::post(path)
+        let mut request = hyper::Request::post(path)
             .header("host", "router")
             .header("authorization", format!("Bearer {}", key(self.customer)));
         for (name, value) in &self.headers {
@@ -122,32 +121,35 @@
     }
 
     /// Sends it to a router on a connection of its own and reads the answer.
-    pub(crate) async fn send(&self, router: SocketAddr) -> Reply {
+    pub(crate) async fn send(&self, router: SocketAddr) -> Response {
         match self.open(router).await {
             Ok(response) => self.read(response).await,
-            Err(reply) => reply,
+            Err(response) => response,
         }
     }
 
     /// As [`Self::send`], in a task of its own.
-    pub(crate) fn spawn(&self, router: SocketAddr) -> JoinHandle<Reply> {
-        let ask = self.clone();
-        tokio::spawn(async move { ask.send(router).await })
+    pub(crate) fn spawn(&self, router: SocketAddr) -> JoinHandle<Response> {
+        let request = self.clone();
+        tokio::spawn(async move { request.send(router).await })
     }
 
     /// Sends it and reads the head of the answer.
-    pub(crate) async fn open(&self, router: SocketAddr) -> Result<Response<Incoming>, Reply> {
+    pub(crate) async fn open(
+        &self,
+        router: SocketAddr,
+    ) -> Result<hyper::Response<Incoming>, Response> {
         let stream = TcpStream::connect(router).await;
-        let stream = stream.map_err(|error| Reply::none(End::NotRun, &error.to_string()))?;
+        let stream = stream.map_err(|error| Response::none(End::NotRun, &error.to_string()))?;
         stream.set_nodelay(true).unwrap();
-        let lost = |error: hyper::Error| Reply::none(End::Unknown, &error.to_string());
+        let lost = |error: hyper::Error| Response::none(End::Unknown, &error.to_string());
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(lost)?;
         tokio::spawn(connection);
-        sender.send_request(self.request()).await.map_err(lost)
+        sender.send_request(self.to_http()).await.map_err(lost)
     }
 
-    async fn read(&self, response: Response<Incoming>) -> Reply {
+    async fn read(&self, response: hyper::Response<Incoming>) -> Response {
         let (parts, body) = response.into_parts();
         let text = match body.collect().await {
             Ok(whole) => Ok(String::from_utf8(whole.to_bytes().to_vec()).unwrap()),
@@ -160,7 +162,7 @@
         let refusal: Value = text.as_ref().map_or(Value::Null, |text| {
             serde_json::from_str(text).unwrap_or_default()
         });
-        let mut reply = Reply {
+        let mut response = Response {
             status: parts.status.as_u16(),
             outcome: header("x-outcome").to_owned(),
             code: refusal["error"]["code"]
@@ -169,15 +171,15 @@
                 .to_owned(),
             id: header("x-request-id").to_owned(),
             retry_after: header("retry-after").parse().ok(),
-            text,
+            body: text,
             end: End::Unknown,
         };
-        reply.end = self.judge(&reply);
-        reply
+        response.end = self.classify(&response);
+        response
     }
 
-    fn judge(&self, reply: &Reply) -> End {
-        match (&reply.text, reply.status, reply.outcome.as_str()) {
+    fn classify(&self, response: &Response) -> End {
+        match (&response.body, response.status, response.outcome.as_str()) {
             (Ok(text), 200, _) => judge(text.as_bytes(), &self.op, self.work),
             (_, _, "not-run") => End::NotRun,
             (_, _, "ran") => End::Ran,
@@ -186,7 +188,7 @@
     }
 }
 
-impl Reply {
+impl Response {
     fn none(end: End, cause: &str) -> Self {
         Self {
             status: 0,
@@ -194,7 +196,7 @@
             code: String::new(),
             id: String::new(),
             retry_after: None,
-            text: Err(cause.to_owned()),
+            body: Err(cause.to_owned()),
             end,
         }
     }
@@ -227,7 +229,7 @@
 }
 
 /// What a router tells of a request's outcome.
-pub(crate) async fn outcome(router: SocketAddr, id: &str) -> String {
+pub(crate) async fn fetch_outcome(router: SocketAddr, id: &str) -> String {
     let (_, body) = get(router, &format!("/v1/outcomes/{id}")).await.unwrap();
     let told: Value = serde_json::from_slice(&body).unwrap();
     told["outcome"].as_str().unwrap_or_default().to_owned()
@@ -238,7 +240,7 @@
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
-    let request = Request::get(path)
+    let request = hyper::Request::get(path)
         .header("host", "router")
         .header("authorization", format!("Bearer {}", key("scouts")))
         .body(Full::new(Bytes::new()))
--- a/crates/daemon/tests/proof/common/stream.rs
+++ b/crates/daemon/tests/proof/common/stream.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use super::Ask;
+use super::Request;
 
 /// An answer that a caller reads piece by piece.
 #[derive(Debug)]
@@ -19,9 +19,9 @@
 
 impl Stream {
     /// Sends a request and reads the head of its answer, which must be a good one.
-    pub(crate) async fn open(ask: &Ask, router: SocketAddr) -> Self {
-        let response = ask.open(router).await.unwrap();
-        assert_eq!(response.status(), 200, "{}", ask.op);
+    pub(crate) async fn open(request: &Request, router: SocketAddr) -> Self {
+        let response = request.open(router).await.unwrap();
+        assert_eq!(response.status(), 200, "{}", request.op);
         let id = response.headers()["x-request-id"].to_str().unwrap();
         Self {
             id: id.to_owned(),
--- a/crates/daemon/tests/proof/fairness.rs
+++ b/crates/daemon/tests/proof/fairness.rs
@@ -7,7 +7,7 @@
 use mulberryyoke_standin::fleet::call::End;
 use serde_json::json;
 
-use crate::common::{Ask, Fleet, Setup};
+use crate::common::{Fleet, Request, Setup};
 
 /// Rounds of a few calls at once, of which only one can run.
 const ROUNDS: u32 = 200;
@@ -24,13 +24,16 @@
     })
     .await;
     for round in 0..ROUNDS {
-        let asks: Vec<Ask> = (0..3)
-            .map(|n| Ask::booking(&format!("{round}-{n}")))
+        let requests: Vec<Request> = (0..3)
+            .map(|n| Request::booking(&format!("{round}-{n}")))
             .collect();
-        let sent: Vec<_> = asks.iter().map(|ask| ask.spawn(fleet.router(0))).collect();
-        for reply in join_all(sent).await {
-            let reply = reply.unwrap();
-            assert_that!(reply.end, eq(End::Whole), "{round}: {reply:?}");
+        let sent: Vec<_> = requests
+            .iter()
+            .map(|request| request.spawn(fleet.router(0)))
+            .collect();
+        for response in join_all(sent).await {
+            let response = response.unwrap();
+            assert_that!(response.end, eq(End::Whole), "{round}: {response:?}");
         }
     }
 }
--- a/crates/daemon/tests/proof/leaving.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -9,13 +9,13 @@
 use mulberryyoke_standin::vms;
 use serde_json::Value;
 
-use crate::common::{Ask, Fleet, Setup, Stream, wait};
+use crate::common::{Fleet, Request, Setup, Stream, wait};
 
 /// Tokens of an answer that is under way when the server begins to leave.
 const TOKENS: u32 = 150;
 
 /// Requests that are asked at once.
-const ASKS: usize = 24;
+const BATCH_SIZE: usize = 24;
 
 async fn two() -> Fleet {
     Fleet::spawn(Setup {
@@ -67,8 +67,8 @@
 async fn under_way(fleet: &Fleet) -> Vec<Stream> {
     let mut streams = Vec::new();
     for n in 0..4 {
-        let ask = Ask::chat(&format!("running-{n}"), TOKENS);
-        let mut stream = Stream::open(&ask, fleet.router(n % 2)).await;
+        let request = Request::chat(&format!("running-{n}"), TOKENS);
+        let mut stream = Stream::open(&request, fleet.router(n % 2)).await;
         stream.read(1).await;
         streams.push(stream);
     }
@@ -77,16 +77,18 @@
 
 /// Asks more than the other server can run at once; returns how much of it went
 /// to the first.
-async fn ask(fleet: &Fleet) -> usize {
+async fn send_batch(fleet: &Fleet) -> usize {
     let before = fleet.backends[0].journal().runs().len();
-    let asks: Vec<Ask> = (0..ASKS).map(|n| Ask::chat(&format!("{n}"), 10)).collect();
-    let asks = asks.iter().enumerate();
-    let replies: Vec<_> = asks
-        .map(|(n, ask)| ask.spawn(fleet.router(n % 2)))
+    let requests: Vec<Request> = (0..BATCH_SIZE)
+        .map(|n| Request::chat(&format!("{n}"), 10))
         .collect();
-    for reply in join_all(replies).await {
-        let reply = reply.unwrap();
-        expect_that!(reply.end, eq(End::Whole), "{reply:?}");
+    let requests = requests.iter().enumerate();
+    let responses: Vec<_> = requests
+        .map(|(n, request)| request.spawn(fleet.router(n % 2)))
+        .collect();
+    for response in join_all(responses).await {
+        let response = response.unwrap();
+        expect_that!(response.end, eq(End::Whole), "{response:?}");
     }
     fleet.backends[0].journal().runs().len() - before
 }
@@ -94,14 +96,14 @@
 /// A few seconds after the order nothing new may go to the first server any more.
 async fn expect_no_new_work(fleet: &Fleet) {
     wait::until("an end of new work", async || {
-        let more = ask(fleet).await;
+        let more = send_batch(fleet).await;
         (more == 0)
             .then_some(())
-            .ok_or(format!("{more} of {ASKS} more"))
+            .ok_or(format!("{more} of {BATCH_SIZE} more"))
     })
     .await;
     for _ in 0..2 {
-        expect_that!(ask(fleet).await, eq(0));
+        expect_that!(send_batch(fleet).await, eq(0));
     }
 }
 
--- a/crates/daemon/tests/proof/responses.rs
+++ b/crates/daemon/tests/proof/responses.rs
@@ -9,7 +9,7 @@
 use mulberryyoke_standin::fleet::call::End;
 use serde_json::json;
 
-use crate::common::{Ask, Fleet, Setup, Stream, wait};
+use crate::common::{Fleet, Request, Setup, Stream, wait};
 
 /// Tokens of an answer that is under way when a fault comes.
 const TOKENS: u32 = 200;
@@ -39,7 +39,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_sidecar_crashes() {
     let fleet = Fleet::spawn(engines(1)).await;
-    let mut stream = Stream::open(&Ask::chat("a", TOKENS), fleet.router(0)).await;
+    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.router(0)).await;
     stream.read(3).await;
     fleet.sidecars[0].kill().await;
     let held = stream.finish().await;
@@ -52,13 +52,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_router_crashes() {
     let fleet = Fleet::spawn(engines(1)).await;
-    let mut stream = Stream::open(&Ask::chat("a", TOKENS), fleet.router(0)).await;
+    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.router(0)).await;
     stream.read(3).await;
     fleet.routers[0].kill().await;
     let held = stream.finish().await;
     expect_that!(held, err(anything()));
     // The engine's slot comes free for others.
-    let next = Ask::chat("b", 4).send(fleet.router(1)).await;
+    let next = Request::chat("b", 4).send(fleet.router(1)).await;
     expect_that!(next.end, eq(End::Whole));
 }
 
@@ -66,17 +66,22 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn streams_resume_after_the_engine_connection_is_cut() {
     let fleet = Fleet::spawn(engines(1)).await;
-    let asks: Vec<Ask> = (0..2).map(|n| Ask::chat(&format!("{n}"), TOKENS)).collect();
-    let sent: Vec<_> = asks.iter().map(|ask| ask.spawn(fleet.router(0))).collect();
+    let requests: Vec<Request> = (0..2)
+        .map(|n| Request::chat(&format!("{n}"), TOKENS))
+        .collect();
+    let sent: Vec<_> = requests
+        .iter()
+        .map(|request| request.spawn(fleet.router(0)))
+        .collect();
     under_way(&fleet, 0).await;
     fleet.backends[0].relay.cut();
     fleet.backends[0].relay.mend();
-    for reply in join_all(sent).await {
-        expect_that!(reply.unwrap().end, eq(End::Whole));
+    for response in join_all(sent).await {
+        expect_that!(response.unwrap().end, eq(End::Whole));
     }
     expect_that!(fleet.sidecars[0].events(Event::Resumed), not(is_empty()));
-    for ask in &asks {
-        expect_that!(fleet.starts(&ask.op), eq(1));
+    for request in &requests {
+        expect_that!(fleet.starts(&request.op), eq(1));
     }
 }
 
@@ -84,13 +89,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_engine_stays_unreachable() {
     let fleet = Fleet::spawn(engines(1)).await;
-    let mut stream = Stream::open(&Ask::chat("a", TOKENS), fleet.router(0)).await;
+    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.router(0)).await;
     stream.read(3).await;
     fleet.backends[0].relay.cut();
     let held = stream.finish().await;
     expect_that!(held, err(anything()));
     fleet.backends[0].relay.mend();
-    let next = Ask::chat("b", 4).send(fleet.router(1)).await;
+    let next = Request::chat("b", 4).send(fleet.router(1)).await;
     expect_that!(next.end, any![eq(End::Whole), eq(End::NotRun)], "{next:?}");
 }
 
@@ -104,15 +109,18 @@
     })
     .await;
     fleet.sidecars[0].freeze();
-    let asks: Vec<Ask> = (0..8).map(|n| Ask::chat(&format!("{n}"), 8)).collect();
-    let sent: Vec<_> = asks.iter().map(|ask| ask.spawn(fleet.router(0))).collect();
-    let replies = join_all(sent).await;
-    for reply in replies {
-        let reply = reply.unwrap();
+    let requests: Vec<Request> = (0..8).map(|n| Request::chat(&format!("{n}"), 8)).collect();
+    let sent: Vec<_> = requests
+        .iter()
+        .map(|request| request.spawn(fleet.router(0)))
+        .collect();
+    let responses = join_all(sent).await;
+    for response in responses {
+        let response = response.unwrap();
         expect_that!(
-            reply.end,
+            response.end,
             any![eq(End::Whole), eq(End::Unknown)],
-            "{reply:?}"
+            "{response:?}"
         );
     }
     let lost = fleet.routers[0].events(Event::Retried);
@@ -139,12 +147,12 @@
         ..engines(3)
     })
     .await;
-    let asks: Vec<Ask> = (0..48)
-        .map(|n| Ask::chat(&format!("{n}"), 30 + n % 7))
+    let requests: Vec<Request> = (0..48)
+        .map(|n| Request::chat(&format!("{n}"), 30 + n % 7))
         .collect();
-    let calls = asks.iter().enumerate();
+    let calls = requests.iter().enumerate();
     let sent: Vec<_> = calls
-        .map(|(n, ask)| ask.spawn(fleet.router(n % 2)))
+        .map(|(n, request)| request.spawn(fleet.router(n % 2)))
         .collect();
     under_way(&fleet, 0).await;
     fleet.sidecars[0].freeze();
@@ -156,15 +164,15 @@
     fleet.sidecars[0].thaw();
     fleet.sidecars[1].start();
     let mut whole = 0;
-    for (ask, reply) in asks.iter().zip(join_all(sent).await) {
-        let reply = reply.unwrap();
+    for (request, response) in requests.iter().zip(join_all(sent).await) {
+        let response = response.unwrap();
         expect_that!(
-            reply.end,
+            response.end,
             any![eq(End::Whole), eq(End::Unknown), eq(End::NotRun)],
-            "{}: {reply:?}",
-            ask.op
+            "{}: {response:?}",
+            request.op
         );
-        whole += u32::from(reply.end == End::Whole);
+        whole += u32::from(response.end == End::Whole);
     }
     // The third server's answers at least.
     expect_that!(whole, ge(8));
@@ -178,15 +186,15 @@
         ..Setup::default()
     })
     .await;
-    let key = |ask: Ask| ask.with("idempotency-key", "one");
-    let asks = [
-        key(Ask::booking("slot")),
-        key(Ask::booking("slot").of("families")),
+    let key = |request: Request| request.with_header("idempotency-key", "one");
+    let requests = [
+        key(Request::booking("slot")),
+        key(Request::booking("slot").for_customer("families")),
     ];
     for round in 0..2 {
-        for ask in &asks {
-            let reply = ask.send(fleet.router(round)).await;
-            expect_that!(reply.end, eq(End::Whole), "{reply:?}");
+        for request in &requests {
+            let response = request.send(fleet.router(round)).await;
+            expect_that!(response.end, eq(End::Whole), "{response:?}");
         }
     }
 }
@@ -199,7 +207,7 @@
         ..engines(1)
     })
     .await;
-    let slow = Ask::chat("slow", MANY);
+    let slow = Request::chat("slow", MANY);
     let mut stream = Stream::open(&slow, fleet.router(0)).await;
     stream.read(1).await;
     // The engine has made it all; the caller reads none of it meanwhile.
@@ -209,7 +217,9 @@
     })
     .await;
     for n in 0..4 {
-        let next = Ask::chat(&format!("{n}"), 50).send(fleet.router(0)).await;
+        let next = Request::chat(&format!("{n}"), 50)
+            .send(fleet.router(0))
+            .await;
         expect_that!(next.end, eq(End::Whole));
     }
     let held = stream.finish().await.unwrap();
@@ -226,7 +236,7 @@
         ..engines(1)
     })
     .await;
-    let mut stream = Stream::open(&Ask::chat("slow", MANY), fleet.router(0)).await;
+    let mut stream = Stream::open(&Request::chat("slow", MANY), fleet.router(0)).await;
     stream.read(1).await;
     let cut = fleet.routers[0].event(Event::Truncated, |_| true).await;
     expect_that!(cut["side"].as_str(), some(eq("caller")));
--- a/crates/daemon/tests/proof/shutdown.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-use crate::common::{Ask, Fleet, Node, Reply, Setup, Stream, wait};
+use crate::common::{Fleet, Node, Request, Response, Setup, Stream, wait};
 
 /// Tokens of an answer that is under way when the stop begins.
 const TOKENS: u32 = 100;
@@ -39,22 +39,24 @@
 }
 
 /// Answers of all kinds, begun at a router and under way.
-async fn begin(fleet: &Fleet, router: usize) -> Vec<tokio::task::JoinHandle<Reply>> {
-    let chats = (0..6).map(|n| Ask::chat(&format!("{n}"), TOKENS));
-    let bookings = [Ask::booking("a"), Ask::booking("b").keyed()];
-    let asks: Vec<Ask> = chats.chain(bookings).collect();
-    let sent = asks.iter().map(|ask| ask.spawn(fleet.router(router)));
+async fn begin(fleet: &Fleet, router: usize) -> Vec<tokio::task::JoinHandle<Response>> {
+    let chats = (0..6).map(|n| Request::chat(&format!("{n}"), TOKENS));
+    let bookings = [Request::booking("a"), Request::booking("b").with_key()];
+    let requests: Vec<Request> = chats.chain(bookings).collect();
+    let sent = requests
+        .iter()
+        .map(|request| request.spawn(fleet.router(router)));
     let sent: Vec<_> = sent.collect();
-    for ask in &asks {
-        fleet.started(&ask.op, 1).await;
+    for request in &requests {
+        fleet.started(&request.op, 1).await;
     }
     sent
 }
 
-async fn expect_whole(sent: Vec<tokio::task::JoinHandle<Reply>>) {
-    for reply in join_all(sent).await {
-        let reply = reply.unwrap();
-        expect_that!(reply.end, eq(End::Whole), "{reply:?}");
+async fn expect_whole(sent: Vec<tokio::task::JoinHandle<Response>>) {
+    for response in join_all(sent).await {
+        let response = response.unwrap();
+        expect_that!(response.end, eq(End::Whole), "{response:?}");
     }
 }
 
@@ -66,9 +68,9 @@
     expect_that!(fleet.routers[0].stop().await, some(eq(0)));
     expect_whole(sent).await;
     expect_that!(fleet.routers[0].events(Event::Truncated), is_empty());
-    let refused = Ask::chat("next", 4).send(fleet.router(0)).await;
+    let refused = Request::chat("next", 4).send(fleet.router(0)).await;
     expect_that!(refused.end, eq(End::NotRun));
-    let next = Ask::chat("next", 4).send(fleet.router(1)).await;
+    let next = Request::chat("next", 4).send(fleet.router(1)).await;
     expect_that!(next.end, eq(End::Whole));
 }
 
@@ -78,13 +80,13 @@
     let fleet = Fleet::spawn(mixed()).await;
     let sent = begin(&fleet, 0).await;
     let stops = [&fleet.sidecars[0], &fleet.sidecars[2]].map(Node::stop);
-    let asks: Vec<Ask> = (6..18).map(|n| Ask::chat(&format!("{n}"), 4)).collect();
-    let asked = join_all(asks.iter().map(|ask| ask.send(fleet.router(1))));
-    let (codes, replies) = tokio::join!(join_all(stops), asked);
+    let requests: Vec<Request> = (6..18).map(|n| Request::chat(&format!("{n}"), 4)).collect();
+    let asked = join_all(requests.iter().map(|request| request.send(fleet.router(1))));
+    let (codes, responses) = tokio::join!(join_all(stops), asked);
     expect_that!(codes, each(some(eq(&0))));
     expect_whole(sent).await;
-    for reply in replies {
-        expect_that!(reply.end, eq(End::Whole), "{reply:?}");
+    for response in responses {
+        expect_that!(response.end, eq(End::Whole), "{response:?}");
     }
 }
 
@@ -114,10 +116,10 @@
     .await;
     let mut streams = Vec::new();
     for n in 0..2 {
-        let ask = Ask::chat(&format!("{n}"), ENDLESS);
-        streams.push(Stream::open(&ask, fleet.router(0)).await);
+        let request = Request::chat(&format!("{n}"), ENDLESS);
+        streams.push(Stream::open(&request, fleet.router(0)).await);
     }
-    let waiting = Ask::chat("waiting", 4);
+    let waiting = Request::chat("waiting", 4);
     let refused = waiting.spawn(fleet.router(0));
     fleet.routers[0].event(Event::Queued, |_| true).await;
     expect_that!(fleet.routers[0].stop().await, some(eq(0)));
@@ -130,7 +132,7 @@
         expect_that!(stream.finish().await, err(anything()));
         expect_that!(fleet.outcome(1, &id).await, eq("unknown"));
     }
-    let next = Ask::chat("next", 4).send(fleet.router(1)).await;
+    let next = Request::chat("next", 4).send(fleet.router(1)).await;
     expect_that!(next.end, eq(End::Whole));
     expect_that!(fleet.starts(&waiting.op), eq(0));
 }
@@ -145,16 +147,16 @@
         ..mixed()
     })
     .await;
-    let mut stream = Stream::open(&Ask::chat("a", ENDLESS), fleet.router(0)).await;
+    let mut stream = Stream::open(&Request::chat("a", ENDLESS), fleet.router(0)).await;
     stream.read(3).await;
-    let booking = Ask::booking("b").keyed();
+    let booking = Request::booking("b").with_key();
     let first = booking.spawn(fleet.router(0));
     fleet.started(&booking.op, 1).await;
     let stops = join_all(fleet.sidecars.iter().map(Node::stop)).await;
     expect_that!(stops, each(some(eq(&0))));
     expect_that!(stream.finish().await, err(anything()));
-    let reply = first.await.unwrap();
-    expect_that!(reply.refusal(), eq((502, "outcome_unknown", "unknown")));
+    let response = first.await.unwrap();
+    expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     // The next life knows that it was cut off, and never runs it again.
     fleet.sidecars[1].start();
     fleet.linked_to(1, &fleet.sidecars[1]).await;
@@ -195,8 +197,8 @@
     let (ends, ()) = tokio::join!(join_all(callers), rolling);
     let ends = ends.concat();
     expect_that!(ends.len(), ge(8));
-    for (op, reply) in ends {
-        expect_that!(reply.end, eq(End::Whole), "{op}: {reply:?}");
+    for (op, response) in ends {
+        expect_that!(response.end, eq(End::Whole), "{op}: {response:?}");
         expect_that!(fleet.starts(&op), eq(1), "{op}");
     }
 }
@@ -238,24 +240,26 @@
     }
 
     /// Asks one thing after the other, each until it is not told "not run" any more.
-    async fn call_on(&self, fleet: &Fleet, caller: usize) -> Vec<(String, Reply)> {
+    async fn call_on(&self, fleet: &Fleet, caller: usize) -> Vec<(String, Response)> {
         let mut ends = Vec::new();
         while !self.stop.is_cancelled() {
             let name = format!("{caller}-{}", ends.len());
-            let ask = match ends.len() % 2 {
-                0 => Ask::chat(&name, 20),
-                _ => Ask::booking(&name),
+            let request = match ends.len() % 2 {
+                0 => Request::chat(&name, 20),
+                _ => Request::booking(&name),
             };
             let mut turn = caller;
-            let reply = wait::until(&name, async || {
+            let response = wait::until(&name, async || {
                 turn += 1;
                 let out = self.out.load(Ordering::Relaxed);
                 let router = if turn % 2 == out { 1 - out } else { turn % 2 };
-                let reply = ask.send(fleet.router(router)).await;
-                let is_end = reply.end != End::NotRun;
-                is_end.then(|| reply.clone()).ok_or(format!("{reply:?}"))
+                let response = request.send(fleet.router(router)).await;
+                let is_end = response.end != End::NotRun;
+                is_end
+                    .then(|| response.clone())
+                    .ok_or(format!("{response:?}"))
             });
-            ends.push((ask.op.clone(), reply.await));
+            ends.push((request.op.clone(), response.await));
         }
         ends
     }
