--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -28,7 +28,7 @@
 fn growing() -> Setup {
     Setup {
         services: 2,
-        spare: 1,
+        unconfigured: 1,
         slots: 8,
         ..Setup::default()
     }
@@ -51,14 +51,14 @@
 /// Sends a call through every router at once.
 async fn send_all(fleet: &Fleet, request: &Request) -> Vec<Response> {
     let routers = 0..fleet.routers.len();
-    join_all(routers.map(|router| request.send(fleet.router(router)))).await
+    join_all(routers.map(|router| request.send(fleet.caller_address(router)))).await
 }
 
 /// Repeats a call through a router, as its caller does, until it is told what is
 /// wanted.
 async fn settle(fleet: &Fleet, router: usize, request: &Request, wanted: End) -> Response {
     wait::until(&format!("{wanted:?} of {}", request.op), async || {
-        let response = request.send(fleet.router(router)).await;
+        let response = request.send(fleet.caller_address(router)).await;
         let is_wanted = response.end == wanted;
         is_wanted
             .then(|| response.clone())
@@ -72,7 +72,7 @@
     for response in send_all(fleet, request).await {
         expect_that!(wanted, contains(eq(&response.end)), "{response:?}");
     }
-    expect_that!(fleet.starts(&request.op), eq(1), "{}", request.op);
+    expect_that!(fleet.start_count(&request.op), eq(1), "{}", request.op);
 }
 
 #[gtest]
@@ -91,7 +91,7 @@
     for (request, responses) in requests.iter().zip(responses) {
         let whole = settle(&fleet, 1, request, End::Whole).await;
         expect_that!(whole.body, ok(contains_substring("\"ran\":1")));
-        expect_that!(fleet.starts(&request.op), eq(1), "{responses:?}");
+        expect_that!(fleet.start_count(&request.op), eq(1), "{responses:?}");
     }
 }
 
@@ -100,8 +100,8 @@
 async fn interrupted_key_is_not_run_again_after_a_sidecar_crash() {
     let fleet = Fleet::spawn(one()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.router(0));
-    fleet.started(&request.op, 1).await;
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
     expect_that!(first.await.unwrap().end, eq(End::Unknown));
     fleet.sidecars[0].start();
@@ -109,7 +109,7 @@
     let next = Request::booking("next").with_key();
     settle(&fleet, 1, &next, End::Whole).await;
     expect_no_more_runs(&fleet, &request, &[End::Unknown]).await;
-    expect_that!(fleet.starts(&next.op), eq(1));
+    expect_that!(fleet.start_count(&next.op), eq(1));
 }
 
 #[gtest]
@@ -117,8 +117,8 @@
 async fn key_is_not_run_again_after_a_planned_sidecar_restart() {
     let fleet = Fleet::spawn(one()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.router(0));
-    fleet.started(&request.op, 1).await;
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.wait_started(&request.op, 1).await;
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
     expect_that!(first.await.unwrap().end, eq(End::Whole));
     fleet.sidecars[0].start();
@@ -131,13 +131,13 @@
 async fn key_is_not_run_again_after_a_router_crash() {
     let fleet = Fleet::spawn(one()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.router(0));
-    fleet.started(&request.op, 1).await;
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.wait_started(&request.op, 1).await;
     fleet.routers[0].kill().await;
     expect_that!(first.await.unwrap().end, eq(End::Unknown));
     settle(&fleet, 1, &request, End::Whole).await;
     fleet.routers[0].start();
-    fleet.linked(0).await;
+    fleet.wait_connected(0).await;
     expect_no_more_runs(&fleet, &request, &[End::Whole]).await;
 }
 
@@ -146,18 +146,18 @@
 async fn interrupted_key_is_not_run_again_after_router_and_sidecar_crash_together() {
     let fleet = Fleet::spawn(one()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.router(0));
-    fleet.started(&request.op, 1).await;
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.wait_started(&request.op, 1).await;
     // Nobody is left who remembers the key.
     fleet.routers[0].kill().await;
     fleet.sidecars[0].kill().await;
     expect_that!(first.await.unwrap().end, eq(End::Unknown));
     fleet.sidecars[0].start();
     fleet.routers[0].start();
-    fleet.linked(0).await;
+    fleet.wait_connected(0).await;
     expect_no_more_runs(&fleet, &request, &[End::Unknown]).await;
     let told = fleet.sidecars[0]
-        .event(Event::KeysIndeterminate, |_| true)
+        .wait_event(Event::KeysIndeterminate, |_| true)
         .await;
     expect_that!(told["routers"].as_u64(), some(ge(1)));
     expect_no_more_runs(&fleet, &request, &[End::Unknown]).await;
@@ -171,12 +171,12 @@
     settle(&fleet, 0, &before, End::Whole).await;
     fleet.kv.switch(&outage(true));
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.router(0));
-    fleet.started(&request.op, 1).await;
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
     expect_that!(first.await.unwrap().end, eq(End::Unknown));
     fleet.sidecars[0].start();
-    fleet.sidecars[0].event(Event::KvDown, |_| true).await;
+    fleet.sidecars[0].wait_event(Event::KvDown, |_| true).await;
     for request in [&before, &request] {
         expect_no_more_runs(&fleet, request, &[End::Unknown]).await;
     }
@@ -216,21 +216,21 @@
         settle(&fleet, 0, request, End::Whole).await;
     }
     let sending = join_all(during.iter().map(|request| send_all(&fleet, request)));
-    let ((), responses) = tokio::join!(fleet.add(0, 1), sending);
+    let ((), responses) = tokio::join!(fleet.configure_server(0, 1), sending);
     for router in 0..2 {
-        fleet.linked_to(router, &fleet.sidecars[1]).await;
+        fleet.wait_connected_to(router, &fleet.sidecars[1]).await;
     }
     for request in &before {
         expect_no_more_runs(&fleet, request, &[End::Ran]).await;
     }
     for (request, responses) in during.iter().zip(responses) {
         wait::until("an end", async || {
-            let response = request.send(fleet.router(1)).await;
+            let response = request.send(fleet.caller_address(1)).await;
             let is_end = matches!(response.end, End::Whole | End::Ran);
             is_end.then_some(()).ok_or(format!("{response:?}"))
         })
         .await;
-        expect_that!(fleet.starts(&request.op), eq(1), "{responses:?}");
+        expect_that!(fleet.start_count(&request.op), eq(1), "{responses:?}");
     }
     let next = moved(24);
     settle(&fleet, 0, &next, End::Whole).await;
@@ -248,9 +248,9 @@
     let done = Request::booking_at(&POOL, POOL[0], 0);
     settle(&fleet, 0, &done, End::Whole).await;
     let request = Request::booking_at(&POOL, POOL[0], 1);
-    let first = request.spawn(fleet.router(0));
-    fleet.started(&request.op, 1).await;
-    fleet.command(1, "server drain booking-0").await;
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.wait_started(&request.op, 1).await;
+    fleet.run_command(1, "server drain booking-0").await;
     for response in send_all(&fleet, &request).await {
         expect_that!(
             response.end,
@@ -273,28 +273,28 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn delayed_request_to_a_former_home_does_not_run_the_key_again() {
     let fleet = Fleet::spawn(Setup {
-        relayed: true,
+        with_sidecar_relays: true,
         ..growing()
     })
     .await;
     let moved = |n: u64| Request::booking_at(&POOL, POOL[1], n);
     settle(&fleet, 1, &moved(0), End::Whole).await;
-    let [_, data] = &fleet.links[0];
+    let [_, data] = &fleet.sidecar_relays[0];
     data.hold();
     let request = moved(1);
-    let late = request.spawn(fleet.router(1));
+    let late = request.spawn(fleet.caller_address(1));
     fleet.routers[1]
-        .event(Event::Routed, |line| {
+        .wait_event(Event::Routed, |line| {
             line["server"] == POOL[0] && line["waited_ms"].is_u64()
         })
         .await;
-    fleet.add(0, 1).await;
-    fleet.linked_to(0, &fleet.sidecars[1]).await;
+    fleet.configure_server(0, 1).await;
+    fleet.wait_connected_to(0, &fleet.sidecars[1]).await;
     settle(&fleet, 0, &request, End::Whole).await;
     data.release();
     let late = late.await.unwrap();
     expect_that!(late.end, eq(End::Whole), "{late:?}");
-    expect_that!(fleet.starts(&request.op), eq(1), "{late:?}");
+    expect_that!(fleet.start_count(&request.op), eq(1), "{late:?}");
 }
 
 #[gtest]
@@ -310,12 +310,12 @@
     // A router that comes new cannot be named in the home record now.
     fleet.routers[1].kill().await;
     fleet.routers[1].start();
-    fleet.linked(1).await;
+    fleet.wait_connected(1).await;
     expect_no_more_runs(&fleet, &request, &[End::Whole]).await;
     let next = Request::booking("next").with_key();
-    let refused = next.send(fleet.router(1)).await;
+    let refused = next.send(fleet.caller_address(1)).await;
     expect_that!(refused.refusal(), eq((503, "keys_full", "unknown")));
-    expect_that!(fleet.starts(&next.op), eq(0));
+    expect_that!(fleet.start_count(&next.op), eq(0));
     fleet.kv.switch(&outage(false));
     settle(&fleet, 1, &next, End::Whole).await;
 }
--- a/crates/daemon/tests/proof/common/backend.rs
+++ b/crates/daemon/tests/proof/common/backend.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a backend server.
+//! Stand-ins of backend servers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -9,10 +9,10 @@
 
 use super::Setup;
 
-/// Cost of a call of the plain service, in tokens.
-const COST: u32 = 10;
+/// Cost of a service call, in tokens.
+const SERVICE_COST: u32 = 10;
 
-/// The stand-in of a backend server, reached through a relay.
+/// Stand-in of a backend server, reached through a relay.
 #[derive(Debug)]
 pub(crate) struct Backend {
     kind: Kind,
@@ -26,21 +26,23 @@
 }
 
 impl Backend {
-    pub(crate) async fn engine(setup: &Setup) -> Self {
+    pub(crate) async fn spawn_engine(setup: &Setup) -> Self {
         let settings = engine::Settings {
             batch: setup.slots as usize,
-            token: setup.token,
+            token: setup.token_time,
             ..engine::Settings::default()
         };
-        let engine = Engine::bind(any(), settings).await.unwrap();
+        let engine = Engine::bind(any_port(), settings).await.unwrap();
         Self {
             relay: Relay::bind(engine.address()).await.unwrap(),
             kind: Kind::Engine(engine),
         }
     }
 
-    pub(crate) async fn service(setup: &Setup) -> Self {
-        let service = Service::bind(any(), setup.latency, COST).await.unwrap();
+    pub(crate) async fn spawn_service(setup: &Setup) -> Self {
+        let service = Service::bind(any_port(), setup.latency, SERVICE_COST)
+            .await
+            .unwrap();
         Self {
             relay: Relay::bind(service.address()).await.unwrap(),
             kind: Kind::Service(service),
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Runs of a request.
+    /// Executions of a request.
     pub(crate) fn runs(&self, op: &str) -> Vec<Run> {
         let mut runs = self.journal().runs();
         runs.retain(|run| run.op == op);
@@ -62,6 +64,6 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
--- a/crates/daemon/tests/proof/common/fleet.rs
+++ b/crates/daemon/tests/proof/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real processes.
+//! A small fleet of router and sidecar processes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -16,44 +16,46 @@
 use mulberryyoke_standin::{kv, vms};
 use serde_json::{Value, json};
 
-use super::setup::{CUSTOMERS, key, with};
-use super::{Backend, Gate, Node, Setup, wait};
+use super::setup::{CUSTOMERS, bearer_key, merge};
+use super::{Backend, BlockedPort, Node, Setup, wait};
 
-static FLEETS: AtomicU32 = AtomicU32::new(0);
+static FLEET_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A small fleet of real processes; it ends with the test.
+/// A small fleet of router and sidecar processes. Dropping it kills them.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pub(crate) kv: kv::Handle,
     pub(crate) vms: vms::Handle,
     pub(crate) routers: Vec<Node>,
-    /// Links to each router from the others.
-    pub(crate) peers: Vec<Relay>,
-    /// Sidecars of engines, then of services; backends in the same order.
+    /// Relay to the control port of each router, used by the other routers.
+    pub(crate) router_relays: Vec<Relay>,
+    /// Sidecars of the engines, then of the services. The backends have the same order.
     pub(crate) sidecars: Vec<Node>,
     pub(crate) backends: Vec<Backend>,
-    /// Links to each sidecar, when relayed: control, then data.
-    pub(crate) links: Vec<[Relay; 2]>,
-    /// Ways to each backend, when gated.
-    pub(crate) gates: Vec<Option<Gate>>,
+    /// Relays to the control and data port of each sidecar, if enabled in the setup.
+    pub(crate) sidecar_relays: Vec<[Relay; 2]>,
+    /// Port through which each sidecar reaches its backend, if blocked and not yet
+    /// unblocked.
+    pub(crate) blocked_ports: Vec<Option<BlockedPort>>,
     client: Client,
-    /// Commands that configure each server.
-    added: Vec<String>,
-    configured: usize,
+    /// Operator command that configures each server.
+    server_commands: Vec<String>,
+    /// Number of servers configured at the start.
+    configured_servers: usize,
     directory: PathBuf,
     _ports: Ports,
 }
 
-/// Addresses of one process.
+/// Listen addresses of one process.
 #[derive(Clone, Copy)]
-struct Place {
+struct Addresses {
     control: SocketAddr,
     data: SocketAddr,
     status: SocketAddr,
 }
 
-impl Place {
-    fn take(ports: &mut Ports) -> Self {
+impl Addresses {
+    fn allocate(ports: &mut Ports) -> Self {
         Self {
             control: ports.take().unwrap(),
             data: ports.take().unwrap(),
@@ -63,21 +65,23 @@
 }
 
 impl Fleet {
-    /// Starts a fleet, configures it and waits until every router is connected to
+    /// Starts and configures a fleet, and waits until every router is connected to
     /// every configured server.
     pub(crate) async fn spawn(setup: Setup) -> Self {
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("mulberryyoke-proof-{}-{number}", std::process::id());
         let directory = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&directory).unwrap();
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut ports = Ports::default();
-        let mut place = |_| Place::take(&mut ports);
-        let routers: Vec<Place> = (0..setup.routers).map(&mut place).collect();
+        let mut allocate = |_| Addresses::allocate(&mut ports);
+        let routers: Vec<Addresses> = (0..setup.routers).map(&mut allocate).collect();
         let servers = setup.engines + setup.services;
-        let servers: Vec<Place> = (0..servers).map(&mut place).collect();
-        let peers = routers.iter().map(|place| Relay::bind(place.control));
-        let peers: Vec<Relay> = join_all(peers)
+        let servers: Vec<Addresses> = (0..servers).map(&mut allocate).collect();
+        let router_relays = routers
+            .iter()
+            .map(|addresses| Relay::bind(addresses.control));
+        let router_relays: Vec<Relay> = join_all(router_relays)
             .await
             .into_iter()
             .map(Result::unwrap)
@@ -86,101 +90,101 @@
             kv: kv::Store::bind(any).await.unwrap(),
             vms: vms::Registry::bind(any, Vec::new()).await.unwrap(),
             routers: Vec::new(),
-            peers,
+            router_relays,
             sidecars: Vec::new(),
             backends: Vec::new(),
-            links: Vec::new(),
-            gates: Vec::new(),
+            sidecar_relays: Vec::new(),
+            blocked_ports: Vec::new(),
             client: client(),
-            added: Vec::new(),
-            configured: servers.len() - setup.spare,
+            server_commands: Vec::new(),
+            configured_servers: servers.len() - setup.unconfigured,
             directory,
             _ports: ports,
         };
-        for (index, place) in servers.iter().enumerate() {
-            fleet.add_server(&setup, index, *place).await;
+        for (index, addresses) in servers.iter().enumerate() {
+            fleet.spawn_server(&setup, index, *addresses).await;
         }
-        for (index, place) in routers.iter().enumerate() {
-            fleet.add_router(&setup, index, *place);
+        for (index, addresses) in routers.iter().enumerate() {
+            fleet.spawn_router(&setup, index, *addresses);
         }
         fleet.configure().await;
         for index in 0..setup.routers {
-            fleet.linked(index).await;
+            fleet.wait_connected(index).await;
         }
         fleet
     }
 
-    async fn add_server(&mut self, setup: &Setup, index: usize, place: Place) {
+    async fn spawn_server(&mut self, setup: &Setup, index: usize, addresses: Addresses) {
         let (pool, kind, backend) = if index < setup.engines {
-            ("assistant", "model", Backend::engine(setup).await)
+            ("assistant", "model", Backend::spawn_engine(setup).await)
         } else {
-            ("booking", "service", Backend::service(setup).await)
+            ("booking", "service", Backend::spawn_service(setup).await)
         };
         let name = format!(
             "{pool}-{}",
             index - if kind == "model" { 0 } else { setup.engines }
         );
-        let gate = if setup.gated {
-            Some(Gate::bind().await)
+        let blocked_port = if setup.block_backends {
+            Some(BlockedPort::bind().await)
         } else {
             None
         };
-        let address = gate
+        let address = blocked_port
             .as_ref()
-            .map_or(backend.relay.address, |gate| gate.address);
+            .map_or(backend.relay.address, |port| port.address);
         let settings = json!({
             "name": name,
             "zone": "delta-a",
             "pool": pool,
             "kind": kind,
-            "control": place.control,
-            "data": place.data,
-            "status": place.status,
+            "control": addresses.control,
+            "data": addresses.data,
+            "status": addresses.status,
             "backend": address,
             "slots": setup.slots,
             "kv": [self.kv.address()],
         });
-        let settings = with(settings, &setup.sidecar);
-        let (mut control, mut data) = (place.control, place.data);
-        if setup.relayed {
-            let links = [
+        let settings = merge(settings, &setup.sidecar_settings);
+        let (mut control, mut data) = (addresses.control, addresses.data);
+        if setup.with_sidecar_relays {
+            let relays = [
                 Relay::bind(control).await.unwrap(),
                 Relay::bind(data).await.unwrap(),
             ];
-            [control, data] = [links[0].address, links[1].address];
-            self.links.push(links);
+            [control, data] = [relays[0].address, relays[1].address];
+            self.sidecar_relays.push(relays);
         }
         let slots = setup.slots;
-        self.added.push(format!(
+        self.server_commands.push(format!(
             "server add {name} --pool {pool} --zone delta-a --control {control} --data {data} --slots {slots}"
         ));
-        self.list(&name, Role::Sidecar, place.control);
-        let process = spawn(&self.directory, "sidecar", place, &settings);
-        self.sidecars.push(Node::new(process, place.data));
+        self.register_vm(&name, Role::Sidecar, addresses.control);
+        let process = spawn_process(&self.directory, "sidecar", addresses, &settings);
+        self.sidecars.push(Node::new(process, addresses.data));
         self.backends.push(backend);
-        self.gates.push(gate);
+        self.blocked_ports.push(blocked_port);
     }
 
-    fn add_router(&mut self, setup: &Setup, index: usize, place: Place) {
+    fn spawn_router(&mut self, setup: &Setup, index: usize, addresses: Addresses) {
         let name = format!("router-{index}");
         let settings = json!({
             "name": name,
             "zone": "delta-a",
-            "callers": place.data,
-            "operators": place.status,
-            "control": place.control,
+            "callers": addresses.data,
+            "operators": addresses.status,
+            "control": addresses.control,
             "kv": [self.kv.address()],
             "vms": self.vms.address(),
             "operator_keys": [{"name": "proof", "key": KeyHash::of(operator::KEY)}],
             "exchange_ms": 200,
         });
-        let settings = with(settings, &setup.router);
-        self.list(&name, Role::Router, self.peers[index].address);
-        let process = spawn(&self.directory, "router", place, &settings);
-        self.routers.push(Node::new(process, place.data));
+        let settings = merge(settings, &setup.router_settings);
+        self.register_vm(&name, Role::Router, self.router_relays[index].address);
+        let process = spawn_process(&self.directory, "router", addresses, &settings);
+        self.routers.push(Node::new(process, addresses.data));
     }
 
-    fn list(&self, name: &str, role: Role, control: SocketAddr) {
+    fn register_vm(&self, name: &str, role: Role, control: SocketAddr) {
         let vm = Vm {
             name: name.to_owned(),
             role,
@@ -196,90 +200,99 @@
     }
 
     async fn configure(&self) {
-        self.command(0, "pool add assistant --kind model").await;
+        self.run_command(0, "pool add assistant --kind model").await;
         let mut pool = words("pool add booking --kind service --route");
         pool.push("POST /bookings once 10".to_owned());
-        let reply = self.send(0, &pool, 1).await;
+        let reply = self.send_command(0, &pool, 1).await;
         assert!(reply.ok, "{reply:?}");
         for customer in CUSTOMERS {
-            let key = key(customer);
-            self.command(0, &format!("customer add {customer} --key {key}"))
+            let key = bearer_key(customer);
+            self.run_command(0, &format!("customer add {customer} --key {key}"))
                 .await;
         }
-        for added in &self.added[..self.configured] {
-            self.command(0, added).await;
+        for command in &self.server_commands[..self.configured_servers] {
+            self.run_command(0, command).await;
         }
     }
 
-    /// Where callers connect to a router.
-    pub(crate) fn router(&self, index: usize) -> SocketAddr {
-        self.routers[index].data
+    /// Address of a router for callers.
+    pub(crate) fn caller_address(&self, index: usize) -> SocketAddr {
+        self.routers[index].data_address
     }
 
-    /// Carries out an operators' command through a router; it must be accepted.
-    pub(crate) async fn command(&self, router: usize, text: &str) -> Value {
-        let reply = self.send(router, &words(text), rand::random()).await;
+    /// Runs an operator command through a router, which must accept it.
+    pub(crate) async fn run_command(&self, router: usize, text: &str) -> Value {
+        let reply = self
+            .send_command(router, &words(text), rand::random())
+            .await;
         assert!(reply.ok, "{text}: {reply:?}");
         serde_json::to_value(reply.answer).unwrap()
     }
 
-    /// Sends an operators' command under an id until its result is known.
-    pub(crate) async fn send(&self, router: usize, words: &[String], id: u64) -> Response {
-        let router = self.routers[router].status();
-        let settled = operator::settle(&self.client, router, words, id).await;
-        settled.unwrap()
+    /// Sends an operator command with an ID until its result is known.
+    pub(crate) async fn send_command(&self, router: usize, words: &[String], id: u64) -> Response {
+        let router = self.routers[router].status_address();
+        let response = operator::settle(&self.client, router, words, id).await;
+        response.unwrap()
     }
 
-    /// Configures a server that was left out at the start.
-    pub(crate) async fn add(&self, router: usize, server: usize) {
-        self.command(router, &self.added[server]).await;
+    /// Configures a server that was not configured at the start.
+    pub(crate) async fn configure_server(&self, router: usize, server: usize) {
+        self.run_command(router, &self.server_commands[server])
+            .await;
     }
 
-    /// Whether a router says that it takes requests.
+    /// Whether a router reports that it is ready.
     pub(crate) async fn is_ready(&self, router: usize) -> bool {
-        let status = self.routers[router].status();
+        let status = self.routers[router].status_address();
         super::request::get(status, "/readyz")
             .await
             .is_some_and(|(code, _)| code == 200)
     }
 
     /// Waits until a router is connected to every server configured at the start.
-    pub(crate) async fn linked(&self, router: usize) {
-        for sidecar in &self.sidecars[..self.configured] {
-            self.linked_to(router, sidecar).await;
+    pub(crate) async fn wait_connected(&self, router: usize) {
+        for sidecar in &self.sidecars[..self.configured_servers] {
+            self.wait_connected_to(router, sidecar).await;
         }
     }
 
-    /// Waits until a router is connected to a server.
-    pub(crate) async fn linked_to(&self, router: usize, sidecar: &Node) {
-        let up = |line: &Value| line["server"] == sidecar.name;
-        self.routers[router].event(Event::LinkUp, up).await;
+    /// Waits until a router has connected to a server.
+    pub(crate) async fn wait_connected_to(&self, router: usize, sidecar: &Node) {
+        let is_server = |line: &Value| line["server"] == sidecar.name;
+        self.routers[router]
+            .wait_event(Event::LinkUp, is_server)
+            .await;
     }
 
-    /// Waits until a router is connected to a server once more.
-    pub(crate) async fn linked_again(&self, router: usize, server: usize) {
+    /// Waits until a router has reconnected to a server.
+    pub(crate) async fn wait_reconnected(&self, router: usize, server: usize) {
         let router = &self.routers[router];
         let name = &self.sidecars[server].name;
-        let last = |event| {
+        let last_time = |event| {
             let events = router.events(event);
             let last = events.iter().rfind(|line| line["server"] == **name);
             last.map(|line| line["ts"].to_string())
         };
-        let is_up = || last(Event::LinkUp) > last(Event::LinkDown);
-        wait::holds(&format!("{} to be connected", router.name), is_up).await;
+        let is_connected = || last_time(Event::LinkUp) > last_time(Event::LinkDown);
+        wait::until_true(
+            &format!("{} to reconnect to {name}", router.name),
+            is_connected,
+        )
+        .await;
     }
 
-    /// Starts of a request at the backends. Waiting there is none: every backend
-    /// has room for what its sidecar starts.
-    pub(crate) fn starts(&self, op: &str) -> usize {
+    /// Number of times the backends have started a request. Backends do not queue
+    /// requests, since each has capacity for all that its sidecar starts.
+    pub(crate) fn start_count(&self, op: &str) -> usize {
         let runs = self.backends.iter().flat_map(|backend| backend.runs(op));
         runs.filter(|run| run.started > 0).count()
     }
 
-    /// Waits until a number of starts of a request have been seen.
-    pub(crate) async fn started(&self, op: &str, count: usize) {
+    /// Waits until the backends have started a request `count` times.
+    pub(crate) async fn wait_started(&self, op: &str, count: usize) {
         wait::until(&format!("{count} starts of {op}"), async || {
-            let starts = self.starts(op);
+            let starts = self.start_count(op);
             (starts >= count)
                 .then_some(())
                 .ok_or(format!("{starts} starts"))
@@ -287,15 +300,17 @@
         .await;
     }
 
-    /// Opens a backend's gate and waits until a connection to it is set up.
-    pub(crate) async fn open_gate(&mut self, server: usize) {
-        let gate = self.gates[server].take().unwrap();
-        gate.open(self.backends[server].relay.address).await;
+    /// Unblocks the port of a backend and waits until a connection is established.
+    pub(crate) async fn unblock_backend(&mut self, server: usize) {
+        let blocked_port = self.blocked_ports[server].take().unwrap();
+        blocked_port
+            .unblock(self.backends[server].relay.address)
+            .await;
     }
 
-    /// What a router tells of a request's outcome.
+    /// Outcome of a request as reported by a router.
     pub(crate) async fn outcome(&self, router: usize, id: &str) -> String {
-        super::request::fetch_outcome(self.router(router), id).await
+        super::request::fetch_outcome(self.caller_address(router), id).await
     }
 }
 
@@ -307,7 +322,12 @@
     }
 }
 
-fn spawn(directory: &Path, role: &'static str, place: Place, settings: &Value) -> Process {
+fn spawn_process(
+    directory: &Path,
+    role: &'static str,
+    addresses: Addresses,
+    settings: &Value,
+) -> Process {
     let daemon = Path::new(env!("CARGO_BIN_EXE_mulberryyoked"));
-    Process::spawn(daemon, directory, role, place.status, settings).unwrap()
+    Process::spawn(daemon, directory, role, addresses.status, settings).unwrap()
 }
--- a/crates/daemon/tests/proof/common/node.rs
+++ b/crates/daemon/tests/proof/common/node.rs
@@ -10,29 +10,29 @@
 
 use super::wait;
 
-/// A router or sidecar.
+/// A router or sidecar process.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) name: String,
-    /// Where callers connect to a router, or routers to a sidecar for bodies.
-    pub(crate) data: SocketAddr,
+    /// Address for callers of a router; data address of a sidecar.
+    pub(crate) data_address: SocketAddr,
     process: Process,
-    /// Where the log of the present life begins.
-    born_at: AtomicUsize,
+    /// Offset in the log at which the process was last started.
+    log_start: AtomicUsize,
 }
 
 impl Node {
-    pub(crate) fn new(process: Process, data: SocketAddr) -> Self {
+    pub(crate) fn new(process: Process, data_address: SocketAddr) -> Self {
         Self {
             name: process.name.clone(),
-            data,
+            data_address,
             process,
-            born_at: AtomicUsize::new(0),
+            log_start: AtomicUsize::new(0),
         }
     }
 
-    /// The operators' port of a router, the status port of a sidecar.
-    pub(crate) fn status(&self) -> SocketAddr {
+    /// Address for operators of a router; status address of a sidecar.
+    pub(crate) fn status_address(&self) -> SocketAddr {
         self.process.status
     }
 
@@ -40,30 +40,30 @@
         self.process.end(Signal::KILL)
     }
 
-    /// Stops the process as planned; returns its exit code.
+    /// Shuts the process down gracefully; returns its exit code.
     pub(crate) fn stop(&self) -> impl Future<Output = Option<i32>> {
         self.process.end(Signal::TERM)
     }
 
-    pub(crate) fn freeze(&self) {
+    pub(crate) fn suspend(&self) {
         self.process.signal(Signal::STOP);
     }
 
-    pub(crate) fn thaw(&self) {
+    pub(crate) fn resume(&self) {
         self.process.signal(Signal::CONT);
     }
 
-    /// Starts a process again that has ended. It remembers nothing.
+    /// Restarts a process that has exited. State in memory is lost.
     pub(crate) fn start(&self) {
-        self.born_at
+        self.log_start
             .store(self.process.log().len(), Ordering::Relaxed);
         self.process.start().unwrap();
     }
 
-    /// Events of the present life.
+    /// Events logged since the process was last started.
     pub(crate) fn events(&self, event: Event) -> Vec<Value> {
         let log = self.process.log();
-        let log = log.get(self.born_at.load(Ordering::Relaxed)..);
+        let log = log.get(self.log_start.load(Ordering::Relaxed)..);
         let lines = log.unwrap_or_default().lines();
         let lines = lines.filter_map(|line| serde_json::from_str::<Value>(line).ok());
         lines
@@ -71,13 +71,17 @@
             .collect()
     }
 
-    /// Waits for an event of the present life that is as wanted.
-    pub(crate) async fn event(&self, event: Event, wanted: impl Fn(&Value) -> bool) -> Value {
+    /// Waits for a matching event logged since the process was last started.
+    pub(crate) async fn wait_event(
+        &self,
+        event: Event,
+        predicate: impl Fn(&Value) -> bool,
+    ) -> Value {
         let what = format!("event {} of {}", event.number(), self.name);
         wait::until(&what, async || {
             let mut events = self.events(event);
-            let found = events.iter().position(&wanted);
-            let found = found.map(|place| events.swap_remove(place));
+            let index = events.iter().position(&predicate);
+            let found = index.map(|index| events.swap_remove(index));
             found.ok_or_else(|| self.process.tail())
         })
         .await
--- a/crates/daemon/tests/proof/common/request.rs
+++ b/crates/daemon/tests/proof/common/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks, and what it holds in the end.
+//! Requests of callers and their responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,52 +16,52 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use super::setup::key;
+use super::setup::bearer_key;
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     customer: &'static str,
-    /// Identity that the backend notes, `CUSTOMER/NAME`.
+    /// Operation ID that the backend records, `CUSTOMER/NAME`.
     pub(crate) op: String,
     work: Work,
     headers: Vec<(&'static str, String)>,
 }
 
-/// What a caller holds in the end.
+/// Response as received by a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Response {
-    /// The HTTP status; 0 when there was none.
+    /// HTTP status; 0 if no response head was received.
     pub(crate) status: u16,
-    /// The header `x-outcome`.
+    /// Value of the `x-outcome` header.
     pub(crate) outcome: String,
-    /// The error's code.
+    /// Error code in the body.
     pub(crate) code: String,
-    /// The fleet's name of the request.
+    /// Value of the `x-request-id` header.
     pub(crate) id: String,
-    /// Seconds after which to come back.
+    /// Value of the `retry-after` header, in seconds.
     pub(crate) retry_after: Option<u64>,
-    /// The body, or why it is not whole.
+    /// Body, or the reason why it is incomplete.
     pub(crate) body: Result<String, String>,
-    /// The same, judged.
+    /// Classification of the response.
     pub(crate) end: End,
 }
 
 impl Request {
-    /// Asks for a model answer of some tokens.
+    /// Streamed chat completion of `tokens` tokens.
     pub(crate) fn chat(name: &str, tokens: u32) -> Self {
         let streamed = true;
         Self::new(name, Work::Chat { tokens, streamed })
     }
 
-    /// Asks for a call of the plain service, which may not be repeated.
+    /// Call of the service, which is not idempotent.
     pub(crate) fn booking(name: &str) -> Self {
         Self::new(name, Work::Booking)
     }
 
-    /// Asks for such a call whose key has its home at one of a pool's servers.
+    /// Call with an idempotency key whose home in `pool` is `home`.
     pub(crate) fn booking_at(pool: &[&str], home: &str, number: u64) -> Self {
-        let names = (0..).map(|tail| format!("{number}-{tail}"));
+        let names = (0..).map(|suffix| format!("{number}-{suffix}"));
         let mut requests = names.map(|name| Self::booking(&name).with_key());
         let is_home = |request: &Self| {
             let key = KeyId::of(CustomerId::of(request.customer), &request.op);
@@ -79,14 +79,14 @@
         }
     }
 
-    /// For a customer other than the usual one.
+    /// Sets a customer other than the default one.
     pub(crate) fn for_customer(mut self, customer: &'static str) -> Self {
         self.op = self.op.replace(self.customer, customer);
         self.customer = customer;
         self
     }
 
-    /// With an `Idempotency-Key`: its own identity.
+    /// Sets the operation ID as `Idempotency-Key`.
     pub(crate) fn with_key(self) -> Self {
         let key = self.op.clone();
         self.with_header("idempotency-key", key)
@@ -111,16 +111,17 @@
                 ("/v1/chat/completions", body)
             }
         };
-        let mut request = hyper::Request::post(path)
-            .header("host", "router")
-            .header("authorization", format!("Bearer {}", key(self.customer)));
+        let mut request = hyper::Request::post(path).header("host", "router").header(
+            "authorization",
+            format!("Bearer {}", bearer_key(self.customer)),
+        );
         for (name, value) in &self.headers {
             request = request.header(*name, value);
         }
         request.body(Full::from(body.to_string())).unwrap()
     }
 
-    /// Sends it to a router on a connection of its own and reads the answer.
+    /// Sends the request to a router on a new connection and reads the response.
     pub(crate) async fn send(&self, router: SocketAddr) -> Response {
         match self.open(router).await {
             Ok(response) => self.read(response).await,
@@ -128,44 +129,49 @@
         }
     }
 
-    /// As [`Self::send`], in a task of its own.
+    /// Sends the request in a new task.
     pub(crate) fn spawn(&self, router: SocketAddr) -> JoinHandle<Response> {
         let request = self.clone();
         tokio::spawn(async move { request.send(router).await })
     }
 
-    /// Sends it and reads the head of the answer.
+    /// Sends the request and reads the head of the response.
     pub(crate) async fn open(
         &self,
         router: SocketAddr,
     ) -> Result<hyper::Response<Incoming>, Response> {
         let stream = TcpStream::connect(router).await;
-        let stream = stream.map_err(|error| Response::none(End::NotRun, &error.to_string()))?;
+        let stream = stream.map_err(|error| Response::missing(End::NotRun, &error.to_string()))?;
         stream.set_nodelay(true).unwrap();
-        let lost = |error: hyper::Error| Response::none(End::Unknown, &error.to_string());
-        let (mut sender, connection) =
-            http1::handshake(TokioIo::new(stream)).await.map_err(lost)?;
+        let disconnected =
+            |error: hyper::Error| Response::missing(End::Unknown, &error.to_string());
+        let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(disconnected)?;
         tokio::spawn(connection);
-        sender.send_request(self.to_http()).await.map_err(lost)
+        sender
+            .send_request(self.to_http())
+            .await
+            .map_err(disconnected)
     }
 
     async fn read(&self, response: hyper::Response<Incoming>) -> Response {
         let (parts, body) = response.into_parts();
         let text = match body.collect().await {
-            Ok(whole) => Ok(String::from_utf8(whole.to_bytes().to_vec()).unwrap()),
+            Ok(body) => Ok(String::from_utf8(body.to_bytes().to_vec()).unwrap()),
             Err(error) => Err(error.to_string()),
         };
         let header = |name| {
             let value = parts.headers.get(name);
             value.map_or("", |value| value.to_str().unwrap())
         };
-        let refusal: Value = text.as_ref().map_or(Value::Null, |text| {
+        let error: Value = text.as_ref().map_or(Value::Null, |text| {
             serde_json::from_str(text).unwrap_or_default()
         });
         let mut response = Response {
             status: parts.status.as_u16(),
             outcome: header("x-outcome").to_owned(),
-            code: refusal["error"]["code"]
+            code: error["error"]["code"]
                 .as_str()
                 .unwrap_or_default()
                 .to_owned(),
@@ -189,25 +195,25 @@
 }
 
 impl Response {
-    fn none(end: End, cause: &str) -> Self {
+    fn missing(end: End, reason: &str) -> Self {
         Self {
             status: 0,
             outcome: String::new(),
             code: String::new(),
             id: String::new(),
             retry_after: None,
-            body: Err(cause.to_owned()),
+            body: Err(reason.to_owned()),
             end,
         }
     }
 
-    /// The status, the error's code and the outcome.
+    /// Status, error code and outcome.
     pub(crate) fn refusal(&self) -> (u16, &str, &str) {
         (self.status, &self.code, &self.outcome)
     }
 }
 
-/// The home of a key in a pool that has long been as it is.
+/// Home server of a key in a pool that has not changed within the retention time.
 fn home_of(pool: &[&str], key: KeyId) -> ServerId {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let servers = pool.iter().map(|name| {
@@ -228,21 +234,21 @@
     home::find(&servers, key, 1, 1).current.unwrap()
 }
 
-/// What a router tells of a request's outcome.
+/// Outcome of a request as reported by a router.
 pub(crate) async fn fetch_outcome(router: SocketAddr, id: &str) -> String {
     let (_, body) = get(router, &format!("/v1/outcomes/{id}")).await.unwrap();
-    let told: Value = serde_json::from_slice(&body).unwrap();
-    told["outcome"].as_str().unwrap_or_default().to_owned()
+    let response: Value = serde_json::from_slice(&body).unwrap();
+    response["outcome"].as_str().unwrap_or_default().to_owned()
 }
 
-/// The status and body at a path, if there is an answer.
+/// Status and body of a GET request, if it succeeds.
 pub(crate) async fn get(address: SocketAddr, path: &str) -> Option<(u16, Bytes)> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
     let request = hyper::Request::get(path)
         .header("host", "router")
-        .header("authorization", format!("Bearer {}", key("scouts")))
+        .header("authorization", format!("Bearer {}", bearer_key("scouts")))
         .body(Full::new(Bytes::new()))
         .unwrap();
     let response = sender.send_request(request).await.ok()?;
--- a/crates/daemon/tests/proof/common/setup.rs
+++ b/crates/daemon/tests/proof/common/setup.rs
@@ -1,34 +1,33 @@
-//! What a fleet consists of.
+//! Composition of a fleet.
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-/// What a fleet consists of. The names of its servers are `assistant-N` and
-/// `booking-N`.
+/// Composition of a fleet. Engines are named `assistant-N` and services `booking-N`.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) routers: usize,
-    /// Model servers.
+    /// Number of model servers.
     pub(crate) engines: usize,
-    /// Servers of a plain service whose calls may not be repeated.
+    /// Number of servers of a service whose calls are not idempotent.
     pub(crate) services: usize,
-    /// How many of all servers, the last ones, are not configured yet.
-    pub(crate) spare: usize,
-    /// Requests that a server runs at once.
+    /// Number of servers, counted from the last, that are not configured at the start.
+    pub(crate) unconfigured: usize,
+    /// Maximum number of concurrent requests per server.
     pub(crate) slots: u32,
-    /// Time of one token.
-    pub(crate) token: Duration,
-    /// Time of one call of the plain service.
+    /// Time an engine takes to generate a token.
+    pub(crate) token_time: Duration,
+    /// Time a service call takes.
     pub(crate) latency: Duration,
-    /// Whether routers reach sidecars through relays.
-    pub(crate) relayed: bool,
-    /// Whether connections to backends are set up only once their gates are opened.
-    pub(crate) gated: bool,
-    /// Settings of routers beside the usual ones.
-    pub(crate) router: Value,
-    /// Settings of sidecars beside the usual ones.
-    pub(crate) sidecar: Value,
+    /// Whether routers connect to sidecars through relays.
+    pub(crate) with_sidecar_relays: bool,
+    /// Whether backends accept no connections until they are unblocked.
+    pub(crate) block_backends: bool,
+    /// Additional settings of routers.
+    pub(crate) router_settings: Value,
+    /// Additional settings of sidecars.
+    pub(crate) sidecar_settings: Value,
 }
 
 impl Default for Setup {
@@ -37,29 +36,29 @@
             routers: 2,
             engines: 0,
             services: 0,
-            spare: 0,
+            unconfigured: 0,
             slots: 2,
-            token: Duration::from_millis(10),
+            token_time: Duration::from_millis(10),
             latency: Duration::from_millis(10),
-            relayed: false,
-            gated: false,
-            router: json!({}),
-            sidecar: json!({}),
+            with_sidecar_relays: false,
+            block_backends: false,
+            router_settings: json!({}),
+            sidecar_settings: json!({}),
         }
     }
 }
 
-/// Customers, all of share 1.
+/// Customers, each with share 1.
 pub(crate) const CUSTOMERS: [&str; 3] = ["scouts", "families", "schools"];
 
-/// The bearer key of a customer.
-pub(crate) fn key(customer: &str) -> String {
+/// Bearer key of a customer.
+pub(crate) fn bearer_key(customer: &str) -> String {
     format!("key-of-customer-{customer}")
 }
 
-/// Adds settings to others.
-pub(crate) fn with(mut settings: Value, more: &Value) -> Value {
-    for (name, value) in more.as_object().into_iter().flatten() {
+/// Merges settings; `overrides` takes precedence.
+pub(crate) fn merge(mut settings: Value, overrides: &Value) -> Value {
+    for (name, value) in overrides.as_object().into_iter().flatten() {
         settings[name] = value.clone();
     }
     settings
--- a/crates/daemon/tests/proof/common/stream.rs
+++ b/crates/daemon/tests/proof/common/stream.rs
@@ -1,4 +1,4 @@
-//! An answer that a caller reads piece by piece.
+//! A response that is read incrementally.
 
 use std::net::SocketAddr;
 
@@ -7,53 +7,60 @@
 
 use super::Request;
 
-/// An answer that a caller reads piece by piece.
+/// A response that is read incrementally.
 #[derive(Debug)]
 pub(crate) struct Stream {
-    body: Incoming,
-    /// The fleet's name of the request.
+    incoming: Incoming,
+    /// Value of the `x-request-id` header.
     pub(crate) id: String,
-    /// What was read so far.
-    pub(crate) text: String,
+    /// Body received so far.
+    pub(crate) received: String,
 }
 
 impl Stream {
-    /// Sends a request and reads the head of its answer, which must be a good one.
+    /// Sends a request and reads the head of the response, which must have status 200.
     pub(crate) async fn open(request: &Request, router: SocketAddr) -> Self {
         let response = request.open(router).await.unwrap();
         assert_eq!(response.status(), 200, "{}", request.op);
         let id = response.headers()["x-request-id"].to_str().unwrap();
         Self {
             id: id.to_owned(),
-            body: response.into_body(),
-            text: String::new(),
+            incoming: response.into_body(),
+            received: String::new(),
         }
     }
 
-    /// Reads until a number of tokens have come; fails when the answer ends before.
-    pub(crate) async fn read(&mut self, tokens: usize) {
-        while self.tokens() < tokens {
-            assert!(self.next().await.unwrap(), "ended after {}", self.text);
+    /// Reads until `tokens` tokens have been received; panics if the response ends
+    /// earlier.
+    pub(crate) async fn read_tokens(&mut self, tokens: usize) {
+        while self.token_count() < tokens {
+            assert!(
+                self.read_frame().await.unwrap(),
+                "response ended after {}",
+                self.received
+            );
         }
     }
 
-    /// Reads to the end; an error says that it is not whole.
-    pub(crate) async fn finish(mut self) -> Result<String, String> {
-        while self.next().await? {}
-        Ok(self.text)
+    /// Reads the rest of the response; fails if it is truncated.
+    pub(crate) async fn read_to_end(mut self) -> Result<String, String> {
+        while self.read_frame().await? {}
+        Ok(self.received)
     }
 
-    fn tokens(&self) -> usize {
-        self.text.matches("\"content\"").count()
+    fn token_count(&self) -> usize {
+        self.received.matches("\"content\"").count()
     }
 
-    async fn next(&mut self) -> Result<bool, String> {
-        let Some(frame) = self.body.frame().await else {
+    /// Reads one frame; `false` at the end of the response.
+    async fn read_frame(&mut self) -> Result<bool, String> {
+        let Some(frame) = self.incoming.frame().await else {
             return Ok(false);
         };
-        let frame = frame.map_err(|error| format!("{error} after {} tokens", self.tokens()))?;
+        let frame =
+            frame.map_err(|error| format!("{error} after {} tokens", self.token_count()))?;
         if let Some(data) = frame.data_ref() {
-            self.text += std::str::from_utf8(data).unwrap();
+            self.received += std::str::from_utf8(data).unwrap();
         }
         Ok(true)
     }
--- a/crates/daemon/tests/proof/common/wait.rs
+++ b/crates/daemon/tests/proof/common/wait.rs
@@ -1,31 +1,32 @@
-//! Waiting for events.
+//! Polling until a condition holds.
 
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything. Far above what any event takes.
-const BOUND: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a condition.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Looks until there is something; fails with what was seen last.
-pub(crate) async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Result<T, String>) -> T {
-    let begin = Instant::now();
+/// Polls until `check` returns a value; panics with its last error on timeout.
+pub(crate) async fn until<T>(what: &str, mut check: impl AsyncFnMut() -> Result<T, String>) -> T {
+    let start = Instant::now();
     loop {
-        match look().await {
-            Ok(found) => return found,
-            Err(seen) if begin.elapsed() > BOUND => panic!("waited for {what}; seen: {seen}"),
-            Err(_) => tokio::time::sleep(LOOK).await,
+        match check().await {
+            Ok(value) => return value,
+            Err(error) if start.elapsed() > TIMEOUT => {
+                panic!("timed out waiting for {what}: {error}")
+            }
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-/// Looks until something holds.
-pub(crate) async fn holds(what: &str, mut look: impl FnMut() -> bool) {
-    let look = async || {
-        look()
+/// Polls until `check` returns `true`.
+pub(crate) async fn until_true(what: &str, mut check: impl FnMut() -> bool) {
+    let check = async || {
+        check()
             .then_some(())
-            .ok_or_else(|| "it does not hold".to_owned())
+            .ok_or_else(|| "condition is false".to_owned())
     };
-    until(what, look).await;
+    until(what, check).await;
 }
--- a/crates/daemon/tests/proof/fairness.rs
+++ b/crates/daemon/tests/proof/fairness.rs
@@ -19,7 +19,7 @@
         services: 1,
         slots: 1,
         latency: Duration::from_millis(1),
-        router: json!({"limits": {"deadline_ms": 20_000}}),
+        router_settings: json!({"limits": {"deadline_ms": 20_000}}),
         ..Setup::default()
     })
     .await;
@@ -29,7 +29,7 @@
             .collect();
         let sent: Vec<_> = requests
             .iter()
-            .map(|request| request.spawn(fleet.router(0)))
+            .map(|request| request.spawn(fleet.caller_address(0)))
             .collect();
         for response in join_all(sent).await {
             let response = response.unwrap();
--- a/crates/daemon/tests/proof/leaving.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -46,7 +46,7 @@
 async fn known(fleet: &Fleet) {
     for router in 0..fleet.routers.len() {
         wait::until("the server to leave", async || {
-            let status = fleet.send(router, &words("status"), 1).await;
+            let status = fleet.send_command(router, &words("status"), 1).await;
             let status = serde_json::to_value(status.answer).unwrap();
             let nodes = status["status"]["nodes"]
                 .as_array()
@@ -68,8 +68,8 @@
     let mut streams = Vec::new();
     for n in 0..4 {
         let request = Request::chat(&format!("running-{n}"), TOKENS);
-        let mut stream = Stream::open(&request, fleet.router(n % 2)).await;
-        stream.read(1).await;
+        let mut stream = Stream::open(&request, fleet.caller_address(n % 2)).await;
+        stream.read_tokens(1).await;
         streams.push(stream);
     }
     streams
@@ -84,7 +84,7 @@
         .collect();
     let requests = requests.iter().enumerate();
     let responses: Vec<_> = requests
-        .map(|(n, request)| request.spawn(fleet.router(n % 2)))
+        .map(|(n, request)| request.spawn(fleet.caller_address(n % 2)))
         .collect();
     for response in join_all(responses).await {
         let response = response.unwrap();
@@ -109,7 +109,7 @@
 
 async fn expect_whole(streams: Vec<Stream>) {
     for stream in streams {
-        let held = stream.finish().await;
+        let held = stream.read_to_end().await;
         expect_that!(held, ok(contains_substring("[DONE]")));
     }
 }
@@ -119,7 +119,7 @@
 async fn drained_server_gets_no_new_requests() {
     let fleet = two().await;
     let streams = under_way(&fleet).await;
-    fleet.command(0, "server drain assistant-0").await;
+    fleet.run_command(0, "server drain assistant-0").await;
     known(&fleet).await;
     expect_no_new_work(&fleet).await;
     expect_whole(streams).await;
@@ -152,7 +152,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_drained_just_before_a_kv_outage_gets_no_new_requests() {
     let fleet = two().await;
-    fleet.command(0, "server drain assistant-0").await;
+    fleet.run_command(0, "server drain assistant-0").await;
     outage(&fleet, true);
     known(&fleet).await;
     expect_no_new_work(&fleet).await;
@@ -162,12 +162,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drained_server_gets_no_new_requests_after_a_router_crash_during_a_kv_outage() {
     let fleet = two().await;
-    fleet.command(0, "server drain assistant-0").await;
+    fleet.run_command(0, "server drain assistant-0").await;
     known(&fleet).await;
     outage(&fleet, true);
     fleet.routers[1].kill().await;
     fleet.routers[1].start();
-    fleet.linked_to(1, &fleet.sidecars[1]).await;
+    fleet.wait_connected_to(1, &fleet.sidecars[1]).await;
     known(&fleet).await;
     expect_no_new_work(&fleet).await;
 }
@@ -176,9 +176,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_drained_while_its_sidecar_is_suspended_gets_no_new_requests() {
     let fleet = two().await;
-    fleet.sidecars[0].freeze();
-    fleet.command(0, "server drain assistant-0").await;
+    fleet.sidecars[0].suspend();
+    fleet.run_command(0, "server drain assistant-0").await;
     known(&fleet).await;
-    fleet.sidecars[0].thaw();
+    fleet.sidecars[0].resume();
     expect_no_new_work(&fleet).await;
 }
--- a/crates/daemon/tests/proof/outcomes.rs
+++ b/crates/daemon/tests/proof/outcomes.rs
@@ -33,7 +33,7 @@
 fn service() -> Setup {
     Setup {
         services: 1,
-        router: json!({"heartbeat_ms": 250}),
+        router_settings: json!({"heartbeat_ms": 250}),
         ..Setup::default()
     }
 }
@@ -52,7 +52,7 @@
         known.then(|| told.clone()).ok_or(told)
     })
     .await;
-    let ran = fleet.starts(&request.op) > 0;
+    let ran = fleet.start_count(&request.op) > 0;
     expect_that!(
         told,
         eq(if ran { "ran" } else { "not-run" }),
@@ -65,7 +65,7 @@
 fn expect_not_run(fleet: &Fleet, requests: &[Request], responses: &[Response]) {
     for (request, response) in requests.iter().zip(responses) {
         if response.end == End::NotRun {
-            expect_that!(fleet.starts(&request.op), eq(0), "{response:?}");
+            expect_that!(fleet.start_count(&request.op), eq(0), "{response:?}");
         }
     }
 }
@@ -74,12 +74,17 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_refused_by_a_full_queue_do_not_run() {
     let fleet = Fleet::spawn(Setup {
-        router: json!({"limits": {"queue_per_customer": 4}}),
+        router_settings: json!({"limits": {"queue_per_customer": 4}}),
         ..engine()
     })
     .await;
     let requests: Vec<Request> = (0..40).map(|n| Request::chat(&format!("{n}"), 4)).collect();
-    let responses = join_all(requests.iter().map(|request| request.send(fleet.router(0)))).await;
+    let responses = join_all(
+        requests
+            .iter()
+            .map(|request| request.send(fleet.caller_address(0))),
+    )
+    .await;
     let refused = responses.iter().filter(|response| response.status == 429);
     for response in refused.clone() {
         expect_that!(response.refusal(), eq((429, "queue_full", "not-run")));
@@ -100,16 +105,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn request_whose_deadline_passes_in_the_queue_does_not_run() {
     let fleet = Fleet::spawn(engine()).await;
-    let running = Stream::open(&Request::chat("long", ENDLESS), fleet.router(0)).await;
+    let running = Stream::open(&Request::chat("long", ENDLESS), fleet.caller_address(0)).await;
     let request = Request::chat("late", 4).with_header("x-deadline", in_ms(300));
-    let response = request.send(fleet.router(1)).await;
+    let response = request.send(fleet.caller_address(1)).await;
     expect_that!(response.refusal(), eq((504, "deadline_passed", "not-run")));
     expect_that!(fleet.outcome(0, &response.id).await, eq("not-run"));
     drop(running);
     // What is asked next gets the slot; the late one never does.
-    let next = Request::chat("next", 4).send(fleet.router(1)).await;
+    let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole));
-    expect_that!(fleet.starts(&request.op), eq(0));
+    expect_that!(fleet.start_count(&request.op), eq(0));
 }
 
 #[gtest]
@@ -121,9 +126,9 @@
     })
     .await;
     let request = Request::booking("slot").with_header("x-deadline", in_ms(1_000));
-    let response = request.send(fleet.router(0)).await;
+    let response = request.send(fleet.caller_address(0)).await;
     expect_that!(response.refusal(), eq((504, "deadline_passed", "unknown")));
-    expect_that!(fleet.starts(&request.op), eq(1));
+    expect_that!(fleet.start_count(&request.op), eq(1));
     expect_truth(&fleet, 1, &request, &response.id).await;
 }
 
@@ -131,18 +136,18 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_queued_at_a_stopping_router_do_not_run() {
     let fleet = Fleet::spawn(Setup {
-        router: json!({"drain_ms": 1_000}),
+        router_settings: json!({"drain_ms": 1_000}),
         ..engine()
     })
     .await;
-    let running = Stream::open(&Request::chat("long", ENDLESS), fleet.router(1)).await;
+    let running = Stream::open(&Request::chat("long", ENDLESS), fleet.caller_address(1)).await;
     let requests: Vec<Request> = (0..4).map(|n| Request::chat(&format!("{n}"), 4)).collect();
     let waiting: Vec<_> = requests
         .iter()
-        .map(|request| request.spawn(fleet.router(0)))
+        .map(|request| request.spawn(fleet.caller_address(0)))
         .collect();
     let queued = || fleet.routers[0].events(Event::Queued).len() == requests.len();
-    wait::holds("all wait", queued).await;
+    wait::until_true("all wait", queued).await;
     expect_that!(fleet.routers[0].stop().await, some(eq(0)));
     let responses = join_all(waiting).await;
     let responses: Vec<Response> = responses
@@ -154,7 +159,7 @@
         expect_that!(response.retry_after, some(ge(1)));
     }
     drop(running);
-    let next = Request::chat("next", 4).send(fleet.router(1)).await;
+    let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole));
     expect_not_run(&fleet, &requests, &responses);
 }
@@ -174,32 +179,37 @@
 /// longer than it waits for a connection does not make it.
 async fn frozen_between() -> bool {
     let mut fleet = Fleet::spawn(Setup {
-        gated: true,
+        block_backends: true,
         ..service()
     })
     .await;
     let request = Request::booking("slot");
-    let first = request.spawn(fleet.router(0));
-    fleet.sidecars[0].event(Event::Started, |_| true).await;
-    fleet.sidecars[0].freeze();
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.sidecars[0].wait_event(Event::Started, |_| true).await;
+    fleet.sidecars[0].suspend();
     // The connection is set up only now, and the sidecar sends nothing on it.
-    fleet.open_gate(0).await;
+    fleet.unblock_backend(0).await;
     let response = first.await.unwrap();
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     expect_that!(fleet.outcome(0, &response.id).await, eq("unknown"));
-    expect_that!(fleet.starts(&request.op), eq(0));
-    fleet.sidecars[0].thaw();
+    expect_that!(fleet.start_count(&request.op), eq(0));
+    fleet.sidecars[0].resume();
     expect_truth(&fleet, 0, &request, &response.id).await;
-    fleet.starts(&request.op) > 0
+    fleet.start_count(&request.op) > 0
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn outcomes_are_correct_after_the_sidecar_is_suspended_before_admission() {
     let fleet = Fleet::spawn(service()).await;
-    fleet.sidecars[0].freeze();
+    fleet.sidecars[0].suspend();
     let requests: Vec<Request> = (0..8).map(|n| Request::booking(&format!("{n}"))).collect();
-    let responses = join_all(requests.iter().map(|request| request.send(fleet.router(0)))).await;
+    let responses = join_all(
+        requests
+            .iter()
+            .map(|request| request.send(fleet.caller_address(0))),
+    )
+    .await;
     for response in &responses {
         expect_that!(
             response.outcome.as_str(),
@@ -208,9 +218,9 @@
         );
     }
     expect_that!(responses, contains(field!(&Response.end, eq(End::Unknown))));
-    fleet.sidecars[0].thaw();
-    fleet.linked_again(0, 0).await;
-    let next = Request::booking("next").send(fleet.router(1)).await;
+    fleet.sidecars[0].resume();
+    fleet.wait_reconnected(0, 0).await;
+    let next = Request::booking("next").send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole), "{next:?}");
     for (request, response) in requests.iter().zip(&responses) {
         expect_truth(&fleet, 0, request, &response.id).await;
@@ -222,19 +232,21 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn request_that_arrives_after_its_withdrawal_does_not_run() {
     let fleet = Fleet::spawn(Setup {
-        relayed: true,
+        with_sidecar_relays: true,
         ..service()
     })
     .await;
-    let [control, data] = &fleet.links[0];
+    let [control, data] = &fleet.sidecar_relays[0];
     control.hold();
     data.hold();
     let request = Request::booking("slot");
-    let response = request.send(fleet.router(0)).await;
+    let response = request.send(fleet.caller_address(0)).await;
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     data.stop();
     control.release();
-    let withdrawn = fleet.sidecars[0].event(Event::Withdrawn, |_| true).await;
+    let withdrawn = fleet.sidecars[0]
+        .wait_event(Event::Withdrawn, |_| true)
+        .await;
     expect_that!(withdrawn["outcome"].as_str(), some(eq("not-run")));
     wait::until("the withdrawal to be known", async || {
         let told = fleet.outcome(0, &response.id).await;
@@ -242,24 +254,26 @@
     })
     .await;
     data.pass_late();
-    let turned_away = fleet.sidecars[0].event(Event::Rejected, |_| true).await;
+    let turned_away = fleet.sidecars[0]
+        .wait_event(Event::Rejected, |_| true)
+        .await;
     expect_that!(turned_away["verdict"].as_str(), some(eq("tombstone")));
-    expect_that!(fleet.starts(&request.op), eq(0));
+    expect_that!(fleet.start_count(&request.op), eq(0));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn outcome_is_correct_after_the_data_link_is_cut_during_the_call() {
     let fleet = Fleet::spawn(Setup {
-        relayed: true,
+        with_sidecar_relays: true,
         latency: LONG / 3,
         ..service()
     })
     .await;
     let request = Request::booking("slot");
-    let first = request.spawn(fleet.router(0));
-    fleet.started(&request.op, 1).await;
-    let [_, data] = &fleet.links[0];
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.wait_started(&request.op, 1).await;
+    let [_, data] = &fleet.sidecar_relays[0];
     data.cut();
     data.mend();
     let response = first.await.unwrap();
@@ -273,23 +287,23 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn repeated_key_runs_once_after_a_router_crash_while_the_sidecar_is_suspended() {
     let fleet = Fleet::spawn(service()).await;
-    fleet.sidecars[0].freeze();
+    fleet.sidecars[0].suspend();
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.router(0));
-    fleet.routers[0].event(Event::Routed, |_| true).await;
+    let first = request.spawn(fleet.caller_address(0));
+    fleet.routers[0].wait_event(Event::Routed, |_| true).await;
     fleet.routers[0].kill().await;
     expect_that!(first.await.unwrap().end, eq(End::Unknown));
-    let repeat = request.send(fleet.router(1)).await;
+    let repeat = request.send(fleet.caller_address(1)).await;
     expect_that!(repeat.outcome.as_str(), eq("unknown"), "{repeat:?}");
-    fleet.sidecars[0].thaw();
+    fleet.sidecars[0].resume();
     let end = wait::until("an end", async || {
-        let response = request.send(fleet.router(1)).await;
+        let response = request.send(fleet.caller_address(1)).await;
         (response.end == End::Whole)
             .then_some(())
             .ok_or(format!("{response:?}"))
     });
     end.await;
-    expect_that!(fleet.starts(&request.op), eq(1));
+    expect_that!(fleet.start_count(&request.op), eq(1));
 }
 
 #[gtest]
@@ -297,18 +311,18 @@
 async fn restarted_router_reports_outcomes_of_earlier_requests_as_unknown() {
     let fleet = Fleet::spawn(service()).await;
     let request = Request::booking("slot");
-    let response = request.send(fleet.router(0)).await;
+    let response = request.send(fleet.caller_address(0)).await;
     expect_that!(response.end, eq(End::Whole));
     fleet.routers[0].kill().await;
     fleet.routers[0].start();
-    fleet.linked(0).await;
-    let refused = Request::chat("slot", 4).send(fleet.router(0)).await;
+    fleet.wait_connected(0).await;
+    let refused = Request::chat("slot", 4).send(fleet.caller_address(0)).await;
     expect_that!(refused.refusal(), eq((503, "no_server", "not-run")));
     // Its first request, as the one that ran was the first of the earlier life.
     let [ran, refused] =
         [response, refused].map(|response| Attempt::parse_request_id(&response.id).unwrap());
     expect_that!(refused.request, eq(ran.request));
-    let client = connect_router(fleet.peers[0].address, Arc::default()).await;
+    let client = connect_router(fleet.router_relays[0].address, Arc::default()).await;
     let asked = client
         .unwrap()
         .outcome(tarpc::context::current(), ran)
--- a/crates/daemon/tests/proof/responses.rs
+++ b/crates/daemon/tests/proof/responses.rs
@@ -28,7 +28,7 @@
 
 /// Waits until some router's caller has some of its answer from a server.
 async fn under_way(fleet: &Fleet, server: usize) {
-    wait::holds("an answer under way", || {
+    wait::until_true("an answer under way", || {
         let runs = fleet.backends[server].journal().runs();
         runs.iter().any(|run| run.tokens > 2)
     })
@@ -39,12 +39,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_sidecar_crashes() {
     let fleet = Fleet::spawn(engines(1)).await;
-    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.router(0)).await;
-    stream.read(3).await;
+    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.caller_address(0)).await;
+    stream.read_tokens(3).await;
     fleet.sidecars[0].kill().await;
-    let held = stream.finish().await;
+    let held = stream.read_to_end().await;
     expect_that!(held, err(anything()));
-    let cut = fleet.routers[0].event(Event::Truncated, |_| true).await;
+    let cut = fleet.routers[0]
+        .wait_event(Event::Truncated, |_| true)
+        .await;
     expect_that!(cut["side"].as_str(), some(eq("server")));
 }
 
@@ -52,13 +54,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_router_crashes() {
     let fleet = Fleet::spawn(engines(1)).await;
-    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.router(0)).await;
-    stream.read(3).await;
+    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.caller_address(0)).await;
+    stream.read_tokens(3).await;
     fleet.routers[0].kill().await;
-    let held = stream.finish().await;
+    let held = stream.read_to_end().await;
     expect_that!(held, err(anything()));
     // The engine's slot comes free for others.
-    let next = Request::chat("b", 4).send(fleet.router(1)).await;
+    let next = Request::chat("b", 4).send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole));
 }
 
@@ -71,7 +73,7 @@
         .collect();
     let sent: Vec<_> = requests
         .iter()
-        .map(|request| request.spawn(fleet.router(0)))
+        .map(|request| request.spawn(fleet.caller_address(0)))
         .collect();
     under_way(&fleet, 0).await;
     fleet.backends[0].relay.cut();
@@ -81,7 +83,7 @@
     }
     expect_that!(fleet.sidecars[0].events(Event::Resumed), not(is_empty()));
     for request in &requests {
-        expect_that!(fleet.starts(&request.op), eq(1));
+        expect_that!(fleet.start_count(&request.op), eq(1));
     }
 }
 
@@ -89,13 +91,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_engine_stays_unreachable() {
     let fleet = Fleet::spawn(engines(1)).await;
-    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.router(0)).await;
-    stream.read(3).await;
+    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.caller_address(0)).await;
+    stream.read_tokens(3).await;
     fleet.backends[0].relay.cut();
-    let held = stream.finish().await;
+    let held = stream.read_to_end().await;
     expect_that!(held, err(anything()));
     fleet.backends[0].relay.mend();
-    let next = Request::chat("b", 4).send(fleet.router(1)).await;
+    let next = Request::chat("b", 4).send(fleet.caller_address(1)).await;
     expect_that!(next.end, any![eq(End::Whole), eq(End::NotRun)], "{next:?}");
 }
 
@@ -104,15 +106,15 @@
 async fn late_responses_are_dropped_or_their_attempts_withdrawn() {
     let fleet = Fleet::spawn(Setup {
         slots: 8,
-        router: json!({"heartbeat_ms": 250}),
+        router_settings: json!({"heartbeat_ms": 250}),
         ..engines(2)
     })
     .await;
-    fleet.sidecars[0].freeze();
+    fleet.sidecars[0].suspend();
     let requests: Vec<Request> = (0..8).map(|n| Request::chat(&format!("{n}"), 8)).collect();
     let sent: Vec<_> = requests
         .iter()
-        .map(|request| request.spawn(fleet.router(0)))
+        .map(|request| request.spawn(fleet.caller_address(0)))
         .collect();
     let responses = join_all(sent).await;
     for response in responses {
@@ -125,13 +127,13 @@
     }
     let lost = fleet.routers[0].events(Event::Retried);
     expect_that!(lost, not(is_empty()));
-    fleet.sidecars[0].thaw();
+    fleet.sidecars[0].resume();
     // What the frozen one answers now, or is told not to run, reaches nobody.
     let told = |event| {
         let events = [&fleet.routers[0], &fleet.sidecars[0]].map(|node| node.events(event));
         events.concat().len()
     };
-    wait::holds(
+    wait::until_true(
         "late answers to be dropped or their attempts withdrawn",
         || told(Event::Dropped) + told(Event::Withdrawn) >= lost.len(),
     )
@@ -143,7 +145,7 @@
 async fn no_caller_gets_a_wrong_response_while_sidecars_are_suspended_and_killed() {
     let fleet = Fleet::spawn(Setup {
         slots: 8,
-        router: json!({"heartbeat_ms": 250}),
+        router_settings: json!({"heartbeat_ms": 250}),
         ..engines(3)
     })
     .await;
@@ -152,16 +154,16 @@
         .collect();
     let calls = requests.iter().enumerate();
     let sent: Vec<_> = calls
-        .map(|(n, request)| request.spawn(fleet.router(n % 2)))
+        .map(|(n, request)| request.spawn(fleet.caller_address(n % 2)))
         .collect();
     under_way(&fleet, 0).await;
-    fleet.sidecars[0].freeze();
+    fleet.sidecars[0].suspend();
     under_way(&fleet, 1).await;
     fleet.sidecars[1].kill().await;
     fleet.routers[0]
-        .event(Event::LinkDown, |line| line["server"] == "assistant-0")
+        .wait_event(Event::LinkDown, |line| line["server"] == "assistant-0")
         .await;
-    fleet.sidecars[0].thaw();
+    fleet.sidecars[0].resume();
     fleet.sidecars[1].start();
     let mut whole = 0;
     for (request, response) in requests.iter().zip(join_all(sent).await) {
@@ -193,7 +195,7 @@
     ];
     for round in 0..2 {
         for request in &requests {
-            let response = request.send(fleet.router(round)).await;
+            let response = request.send(fleet.caller_address(round)).await;
             expect_that!(response.end, eq(End::Whole), "{response:?}");
         }
     }
@@ -203,26 +205,26 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn slow_reader_gets_the_complete_response() {
     let fleet = Fleet::spawn(Setup {
-        token: Duration::ZERO,
+        token_time: Duration::ZERO,
         ..engines(1)
     })
     .await;
     let slow = Request::chat("slow", MANY);
-    let mut stream = Stream::open(&slow, fleet.router(0)).await;
-    stream.read(1).await;
+    let mut stream = Stream::open(&slow, fleet.caller_address(0)).await;
+    stream.read_tokens(1).await;
     // The engine has made it all; the caller reads none of it meanwhile.
-    wait::holds("the whole answer", || {
+    wait::until_true("the whole answer", || {
         let runs = fleet.backends[0].runs(&slow.op);
         runs.iter().any(|run| run.ended > 0)
     })
     .await;
     for n in 0..4 {
         let next = Request::chat(&format!("{n}"), 50)
-            .send(fleet.router(0))
+            .send(fleet.caller_address(0))
             .await;
         expect_that!(next.end, eq(End::Whole));
     }
-    let held = stream.finish().await.unwrap();
+    let held = stream.read_to_end().await.unwrap();
     expect_that!(held.matches("\"content\"").count(), eq(MANY as usize));
     expect_that!(held.contains(DONE), eq(true));
 }
@@ -231,14 +233,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_caller_stops_reading() {
     let fleet = Fleet::spawn(Setup {
-        token: Duration::ZERO,
-        router: json!({"limits": {"stall_ms": 500}}),
+        token_time: Duration::ZERO,
+        router_settings: json!({"limits": {"stall_ms": 500}}),
         ..engines(1)
     })
     .await;
-    let mut stream = Stream::open(&Request::chat("slow", MANY), fleet.router(0)).await;
-    stream.read(1).await;
-    let cut = fleet.routers[0].event(Event::Truncated, |_| true).await;
+    let mut stream = Stream::open(&Request::chat("slow", MANY), fleet.caller_address(0)).await;
+    stream.read_tokens(1).await;
+    let cut = fleet.routers[0]
+        .wait_event(Event::Truncated, |_| true)
+        .await;
     expect_that!(cut["side"].as_str(), some(eq("caller")));
-    expect_that!(stream.finish().await, err(anything()));
+    expect_that!(stream.read_to_end().await, err(anything()));
 }
--- a/crates/daemon/tests/proof/shutdown.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -45,10 +45,10 @@
     let requests: Vec<Request> = chats.chain(bookings).collect();
     let sent = requests
         .iter()
-        .map(|request| request.spawn(fleet.router(router)));
+        .map(|request| request.spawn(fleet.caller_address(router)));
     let sent: Vec<_> = sent.collect();
     for request in &requests {
-        fleet.started(&request.op, 1).await;
+        fleet.wait_started(&request.op, 1).await;
     }
     sent
 }
@@ -68,9 +68,9 @@
     expect_that!(fleet.routers[0].stop().await, some(eq(0)));
     expect_whole(sent).await;
     expect_that!(fleet.routers[0].events(Event::Truncated), is_empty());
-    let refused = Request::chat("next", 4).send(fleet.router(0)).await;
+    let refused = Request::chat("next", 4).send(fleet.caller_address(0)).await;
     expect_that!(refused.end, eq(End::NotRun));
-    let next = Request::chat("next", 4).send(fleet.router(1)).await;
+    let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole));
 }
 
@@ -81,7 +81,11 @@
     let sent = begin(&fleet, 0).await;
     let stops = [&fleet.sidecars[0], &fleet.sidecars[2]].map(Node::stop);
     let requests: Vec<Request> = (6..18).map(|n| Request::chat(&format!("{n}"), 4)).collect();
-    let asked = join_all(requests.iter().map(|request| request.send(fleet.router(1))));
+    let asked = join_all(
+        requests
+            .iter()
+            .map(|request| request.send(fleet.caller_address(1))),
+    );
     let (codes, responses) = tokio::join!(join_all(stops), asked);
     expect_that!(codes, each(some(eq(&0))));
     expect_whole(sent).await;
@@ -110,18 +114,18 @@
 async fn router_aborts_unfinished_streams_at_the_drain_deadline() {
     let fleet = Fleet::spawn(Setup {
         slots: 1,
-        router: drain(1_000),
+        router_settings: drain(1_000),
         ..mixed()
     })
     .await;
     let mut streams = Vec::new();
     for n in 0..2 {
         let request = Request::chat(&format!("{n}"), ENDLESS);
-        streams.push(Stream::open(&request, fleet.router(0)).await);
+        streams.push(Stream::open(&request, fleet.caller_address(0)).await);
     }
     let waiting = Request::chat("waiting", 4);
-    let refused = waiting.spawn(fleet.router(0));
-    fleet.routers[0].event(Event::Queued, |_| true).await;
+    let refused = waiting.spawn(fleet.caller_address(0));
+    fleet.routers[0].wait_event(Event::Queued, |_| true).await;
     expect_that!(fleet.routers[0].stop().await, some(eq(0)));
     expect_that!(
         refused.await.unwrap().refusal(),
@@ -129,12 +133,12 @@
     );
     for stream in streams {
         let id = stream.id.clone();
-        expect_that!(stream.finish().await, err(anything()));
+        expect_that!(stream.read_to_end().await, err(anything()));
         expect_that!(fleet.outcome(1, &id).await, eq("unknown"));
     }
-    let next = Request::chat("next", 4).send(fleet.router(1)).await;
+    let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole));
-    expect_that!(fleet.starts(&waiting.op), eq(0));
+    expect_that!(fleet.start_count(&waiting.op), eq(0));
 }
 
 #[gtest]
@@ -143,28 +147,30 @@
     let fleet = Fleet::spawn(Setup {
         engines: 1,
         latency: LATENCY * 4,
-        sidecar: drain(500),
+        sidecar_settings: drain(500),
         ..mixed()
     })
     .await;
-    let mut stream = Stream::open(&Request::chat("a", ENDLESS), fleet.router(0)).await;
-    stream.read(3).await;
+    let mut stream = Stream::open(&Request::chat("a", ENDLESS), fleet.caller_address(0)).await;
+    stream.read_tokens(3).await;
     let booking = Request::booking("b").with_key();
-    let first = booking.spawn(fleet.router(0));
-    fleet.started(&booking.op, 1).await;
+    let first = booking.spawn(fleet.caller_address(0));
+    fleet.wait_started(&booking.op, 1).await;
     let stops = join_all(fleet.sidecars.iter().map(Node::stop)).await;
     expect_that!(stops, each(some(eq(&0))));
-    expect_that!(stream.finish().await, err(anything()));
+    expect_that!(stream.read_to_end().await, err(anything()));
     let response = first.await.unwrap();
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     // The next life knows that it was cut off, and never runs it again.
     fleet.sidecars[1].start();
-    fleet.linked_to(1, &fleet.sidecars[1]).await;
-    let repeat = booking.send(fleet.router(1)).await;
+    fleet.wait_connected_to(1, &fleet.sidecars[1]).await;
+    let repeat = booking.send(fleet.caller_address(1)).await;
     expect_that!(repeat.refusal(), eq((502, "outcome_unknown", "unknown")));
-    let turned_away = fleet.sidecars[1].event(Event::Rejected, |_| true).await;
+    let turned_away = fleet.sidecars[1]
+        .wait_event(Event::Rejected, |_| true)
+        .await;
     expect_that!(turned_away["verdict"].as_str(), some(eq("broken")));
-    expect_that!(fleet.starts(&booking.op), eq(1));
+    expect_that!(fleet.start_count(&booking.op), eq(1));
 }
 
 #[gtest]
@@ -187,7 +193,7 @@
             let (code, ()) = tokio::join!(router.stop(), balancer.leave(&fleet, index));
             expect_that!(code, some(eq(0)), "{}", router.name);
             router.start();
-            fleet.linked(index).await;
+            fleet.wait_connected(index).await;
             all_linked(&fleet).await;
             balancer.out.store(NONE, Ordering::Relaxed);
         }
@@ -199,14 +205,14 @@
     expect_that!(ends.len(), ge(8));
     for (op, response) in ends {
         expect_that!(response.end, eq(End::Whole), "{op}: {response:?}");
-        expect_that!(fleet.starts(&op), eq(1), "{op}");
+        expect_that!(fleet.start_count(&op), eq(1), "{op}");
     }
 }
 
 async fn all_linked(fleet: &Fleet) {
     for router in 0..fleet.routers.len() {
         for server in 0..fleet.sidecars.len() {
-            fleet.linked_again(router, server).await;
+            fleet.wait_reconnected(router, server).await;
         }
     }
 }
@@ -253,7 +259,7 @@
                 turn += 1;
                 let out = self.out.load(Ordering::Relaxed);
                 let router = if turn % 2 == out { 1 - out } else { turn % 2 };
-                let response = request.send(fleet.router(router)).await;
+                let response = request.send(fleet.caller_address(router)).await;
                 let is_end = response.end != End::NotRun;
                 is_end
                     .then(|| response.clone())
