--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -10,22 +10,22 @@
 
 use crate::common::{Fleet, Request, Response, Setup, wait};
 
-/// Time of a call that is to be under way when a fault comes.
-const LONG: Duration = Duration::from_millis(800);
+/// Duration of a call that is still running when a fault occurs.
+const SLOW_CALL: Duration = Duration::from_millis(800);
 
-/// The servers of the pool.
+/// Servers of the pool.
 const POOL: [&str; 2] = ["booking-0", "booking-1"];
 
-fn one() -> Setup {
+fn one_service() -> Setup {
     Setup {
         services: 1,
-        latency: LONG,
+        latency: SLOW_CALL,
         ..Setup::default()
     }
 }
 
-/// Two servers, of which the second is not configured yet.
-fn growing() -> Setup {
+/// Two servers, the second of which is not configured at the start.
+fn second_server_unconfigured() -> Setup {
     Setup {
         services: 2,
         unconfigured: 1,
@@ -48,29 +48,28 @@
     }
 }
 
-/// Sends a call through every router at once.
-async fn send_all(fleet: &Fleet, request: &Request) -> Vec<Response> {
+/// Sends a call through all routers concurrently.
+async fn send_through_all_routers(fleet: &Fleet, request: &Request) -> Vec<Response> {
     let routers = 0..fleet.routers.len();
     join_all(routers.map(|router| request.send(fleet.caller_address(router)))).await
 }
 
-/// Repeats a call through a router, as its caller does, until it is told what is
-/// wanted.
-async fn settle(fleet: &Fleet, router: usize, request: &Request, wanted: End) -> Response {
-    wait::until(&format!("{wanted:?} of {}", request.op), async || {
+/// Retries a call through a router until it ends as expected.
+async fn retry_until(fleet: &Fleet, router: usize, request: &Request, expected: End) -> Response {
+    wait::until(&format!("{expected:?} of {}", request.op), async || {
         let response = request.send(fleet.caller_address(router)).await;
-        let is_wanted = response.end == wanted;
-        is_wanted
+        let is_expected = response.end == expected;
+        is_expected
             .then(|| response.clone())
             .ok_or(format!("{response:?}"))
     })
     .await
 }
 
-/// Repeats a call through every router: none may run it again.
-async fn expect_no_more_runs(fleet: &Fleet, request: &Request, wanted: &[End]) {
-    for response in send_all(fleet, request).await {
-        expect_that!(wanted, contains(eq(&response.end)), "{response:?}");
+/// Repeats a call through all routers and expects that it does not run again.
+async fn expect_not_run_again(fleet: &Fleet, request: &Request, expected: &[End]) {
+    for response in send_through_all_routers(fleet, request).await {
+        expect_that!(expected, contains(eq(&response.end)), "{response:?}");
     }
     expect_that!(fleet.start_count(&request.op), eq(1), "{}", request.op);
 }
@@ -80,16 +79,21 @@
 async fn key_sent_through_two_routers_at_once_runs_once() {
     let fleet = Fleet::spawn(Setup {
         services: 2,
-        latency: LONG / 8,
+        latency: SLOW_CALL / 8,
         ..Setup::default()
     })
     .await;
     let requests: Vec<Request> = (0..16)
         .map(|n| Request::booking(&format!("{n}")).with_key())
         .collect();
-    let responses = join_all(requests.iter().map(|request| send_all(&fleet, request))).await;
+    let responses = join_all(
+        requests
+            .iter()
+            .map(|request| send_through_all_routers(&fleet, request)),
+    )
+    .await;
     for (request, responses) in requests.iter().zip(responses) {
-        let whole = settle(&fleet, 1, request, End::Whole).await;
+        let whole = retry_until(&fleet, 1, request, End::Whole).await;
         expect_that!(whole.body, ok(contains_substring("\"ran\":1")));
         expect_that!(fleet.start_count(&request.op), eq(1), "{responses:?}");
     }
@@ -98,142 +102,146 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn interrupted_key_is_not_run_again_after_a_sidecar_crash() {
-    let fleet = Fleet::spawn(one()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
-    expect_that!(first.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
     fleet.sidecars[0].start();
-    expect_no_more_runs(&fleet, &request, &[End::Unknown]).await;
+    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
     let next = Request::booking("next").with_key();
-    settle(&fleet, 1, &next, End::Whole).await;
-    expect_no_more_runs(&fleet, &request, &[End::Unknown]).await;
+    retry_until(&fleet, 1, &next, End::Whole).await;
+    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
     expect_that!(fleet.start_count(&next.op), eq(1));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn key_is_not_run_again_after_a_planned_sidecar_restart() {
-    let fleet = Fleet::spawn(one()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
-    expect_that!(first.await.unwrap().end, eq(End::Whole));
+    expect_that!(pending.await.unwrap().end, eq(End::Whole));
     fleet.sidecars[0].start();
-    settle(&fleet, 1, &request, End::Ran).await;
-    expect_no_more_runs(&fleet, &request, &[End::Ran]).await;
+    retry_until(&fleet, 1, &request, End::Ran).await;
+    expect_not_run_again(&fleet, &request, &[End::Ran]).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn key_is_not_run_again_after_a_router_crash() {
-    let fleet = Fleet::spawn(one()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.routers[0].kill().await;
-    expect_that!(first.await.unwrap().end, eq(End::Unknown));
-    settle(&fleet, 1, &request, End::Whole).await;
+    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
+    retry_until(&fleet, 1, &request, End::Whole).await;
     fleet.routers[0].start();
     fleet.wait_connected(0).await;
-    expect_no_more_runs(&fleet, &request, &[End::Whole]).await;
+    expect_not_run_again(&fleet, &request, &[End::Whole]).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn interrupted_key_is_not_run_again_after_router_and_sidecar_crash_together() {
-    let fleet = Fleet::spawn(one()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
-    // Nobody is left who remembers the key.
+    // No process that knows the key is left.
     fleet.routers[0].kill().await;
     fleet.sidecars[0].kill().await;
-    expect_that!(first.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
     fleet.sidecars[0].start();
     fleet.routers[0].start();
     fleet.wait_connected(0).await;
-    expect_no_more_runs(&fleet, &request, &[End::Unknown]).await;
-    let told = fleet.sidecars[0]
+    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
+    let indeterminate = fleet.sidecars[0]
         .wait_event(Event::KeysIndeterminate, |_| true)
         .await;
-    expect_that!(told["routers"].as_u64(), some(ge(1)));
-    expect_no_more_runs(&fleet, &request, &[End::Unknown]).await;
+    expect_that!(indeterminate["routers"].as_u64(), some(ge(1)));
+    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keys_are_not_run_again_after_a_sidecar_crash_during_a_kv_outage() {
-    let fleet = Fleet::spawn(one()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     let before = Request::booking("before").with_key();
-    settle(&fleet, 0, &before, End::Whole).await;
+    retry_until(&fleet, 0, &before, End::Whole).await;
     fleet.kv.switch(&outage(true));
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
-    expect_that!(first.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
     fleet.sidecars[0].start();
     fleet.sidecars[0].wait_event(Event::KvDown, |_| true).await;
     for request in [&before, &request] {
-        expect_no_more_runs(&fleet, request, &[End::Unknown]).await;
+        expect_not_run_again(&fleet, request, &[End::Unknown]).await;
     }
     fleet.kv.switch(&outage(false));
     let next = Request::booking("next").with_key();
-    settle(&fleet, 1, &next, End::Whole).await;
+    retry_until(&fleet, 1, &next, End::Whole).await;
     for request in [&before, &request] {
-        expect_no_more_runs(&fleet, request, &[End::Unknown]).await;
+        expect_not_run_again(&fleet, request, &[End::Unknown]).await;
     }
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn key_is_not_run_again_after_a_restart_that_loses_kv_responses() {
-    let fleet = Fleet::spawn(one()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot").with_key();
-    settle(&fleet, 0, &request, End::Whole).await;
-    // The answers to the last write of one life and the first of the next.
+    retry_until(&fleet, 0, &request, End::Whole).await;
+    // The responses to the last write of one instance and the first write of the next.
     fleet.kv.switch(&lose_answers(2));
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
     fleet.sidecars[0].start();
-    settle(&fleet, 1, &request, End::Ran).await;
+    retry_until(&fleet, 1, &request, End::Ran).await;
     expect_that!(fleet.kv.stats().lost_answers, eq(2));
-    expect_no_more_runs(&fleet, &request, &[End::Ran]).await;
+    expect_not_run_again(&fleet, &request, &[End::Ran]).await;
     let next = Request::booking("next").with_key();
-    settle(&fleet, 0, &next, End::Whole).await;
+    retry_until(&fleet, 0, &next, End::Whole).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keys_run_once_when_an_added_server_becomes_their_home() {
-    let fleet = Fleet::spawn(growing()).await;
-    let moved = |n: u64| Request::booking_at(&POOL, POOL[1], n);
-    let before: Vec<Request> = (0..8).map(moved).collect();
-    let during: Vec<Request> = (8..24).map(moved).collect();
+    let fleet = Fleet::spawn(second_server_unconfigured()).await;
+    let request_with_moved_key = |n: u64| Request::booking_at(&POOL, POOL[1], n);
+    let before: Vec<Request> = (0..8).map(request_with_moved_key).collect();
+    let during: Vec<Request> = (8..24).map(request_with_moved_key).collect();
     for request in &before {
-        settle(&fleet, 0, request, End::Whole).await;
+        retry_until(&fleet, 0, request, End::Whole).await;
     }
-    let sending = join_all(during.iter().map(|request| send_all(&fleet, request)));
+    let sending = join_all(
+        during
+            .iter()
+            .map(|request| send_through_all_routers(&fleet, request)),
+    );
     let ((), responses) = tokio::join!(fleet.configure_server(0, 1), sending);
     for router in 0..2 {
         fleet.wait_connected_to(router, &fleet.sidecars[1]).await;
     }
     for request in &before {
-        expect_no_more_runs(&fleet, request, &[End::Ran]).await;
+        expect_not_run_again(&fleet, request, &[End::Ran]).await;
     }
     for (request, responses) in during.iter().zip(responses) {
-        wait::until("an end", async || {
+        wait::until("a response that the call ran", async || {
             let response = request.send(fleet.caller_address(1)).await;
-            let is_end = matches!(response.end, End::Whole | End::Ran);
-            is_end.then_some(()).ok_or(format!("{response:?}"))
+            let has_run = matches!(response.end, End::Whole | End::Ran);
+            has_run.then_some(()).ok_or(format!("{response:?}"))
         })
         .await;
         expect_that!(fleet.start_count(&request.op), eq(1), "{responses:?}");
     }
-    let next = moved(24);
-    settle(&fleet, 0, &next, End::Whole).await;
+    let next = request_with_moved_key(24);
+    retry_until(&fleet, 0, &next, End::Whole).await;
     expect_that!(fleet.backends[1].runs(&next.op), len(eq(1)));
 }
 
@@ -242,30 +250,30 @@
 async fn keys_run_once_when_their_home_is_drained() {
     let fleet = Fleet::spawn(Setup {
         services: 2,
-        ..one()
+        ..one_service()
     })
     .await;
     let done = Request::booking_at(&POOL, POOL[0], 0);
-    settle(&fleet, 0, &done, End::Whole).await;
+    retry_until(&fleet, 0, &done, End::Whole).await;
     let request = Request::booking_at(&POOL, POOL[0], 1);
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.run_command(1, "server drain booking-0").await;
-    for response in send_all(&fleet, &request).await {
+    for response in send_through_all_routers(&fleet, &request).await {
         expect_that!(
             response.end,
             any![eq(End::Whole), eq(End::Ran), eq(End::Unknown)],
             "{response:?}"
         );
     }
-    expect_that!(first.await.unwrap().end, eq(End::Whole));
+    expect_that!(pending.await.unwrap().end, eq(End::Whole));
     let next = Request::booking_at(&POOL, POOL[0], 2);
     for router in 0..2 {
-        settle(&fleet, router, &next, End::Whole).await;
+        retry_until(&fleet, router, &next, End::Whole).await;
     }
     expect_that!(fleet.backends[1].runs(&next.op), len(eq(1)));
     for request in [&done, &request] {
-        expect_no_more_runs(&fleet, request, &[End::Ran]).await;
+        expect_not_run_again(&fleet, request, &[End::Ran]).await;
     }
 }
 
@@ -274,14 +282,14 @@
 async fn delayed_request_to_a_former_home_does_not_run_the_key_again() {
     let fleet = Fleet::spawn(Setup {
         with_sidecar_relays: true,
-        ..growing()
+        ..second_server_unconfigured()
     })
     .await;
-    let moved = |n: u64| Request::booking_at(&POOL, POOL[1], n);
-    settle(&fleet, 1, &moved(0), End::Whole).await;
+    let request_with_moved_key = |n: u64| Request::booking_at(&POOL, POOL[1], n);
+    retry_until(&fleet, 1, &request_with_moved_key(0), End::Whole).await;
     let [_, data] = &fleet.sidecar_relays[0];
     data.hold();
-    let request = moved(1);
+    let request = request_with_moved_key(1);
     let late = request.spawn(fleet.caller_address(1));
     fleet.routers[1]
         .wait_event(Event::Routed, |line| {
@@ -290,7 +298,7 @@
         .await;
     fleet.configure_server(0, 1).await;
     fleet.wait_connected_to(0, &fleet.sidecars[1]).await;
-    settle(&fleet, 0, &request, End::Whole).await;
+    retry_until(&fleet, 0, &request, End::Whole).await;
     data.release();
     let late = late.await.unwrap();
     expect_that!(late.end, eq(End::Whole), "{late:?}");
@@ -300,22 +308,22 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keys_of_a_restarted_router_are_refused_during_a_kv_outage() {
-    let fleet = Fleet::spawn(one()).await;
-    settle(&fleet, 0, &Request::booking("a").with_key(), End::Whole).await;
-    settle(&fleet, 1, &Request::booking("b").with_key(), End::Whole).await;
+    let fleet = Fleet::spawn(one_service()).await;
+    retry_until(&fleet, 0, &Request::booking("a").with_key(), End::Whole).await;
+    retry_until(&fleet, 1, &Request::booking("b").with_key(), End::Whole).await;
     fleet.kv.switch(&outage(true));
     let request = Request::booking("slot").with_key();
-    send_all(&fleet, &request).await;
-    settle(&fleet, 0, &request, End::Whole).await;
-    // A router that comes new cannot be named in the home record now.
+    send_through_all_routers(&fleet, &request).await;
+    retry_until(&fleet, 0, &request, End::Whole).await;
+    // The restarted router cannot be added to the home record during the outage.
     fleet.routers[1].kill().await;
     fleet.routers[1].start();
     fleet.wait_connected(1).await;
-    expect_no_more_runs(&fleet, &request, &[End::Whole]).await;
+    expect_not_run_again(&fleet, &request, &[End::Whole]).await;
     let next = Request::booking("next").with_key();
     let refused = next.send(fleet.caller_address(1)).await;
     expect_that!(refused.refusal(), eq((503, "keys_full", "unknown")));
     expect_that!(fleet.start_count(&next.op), eq(0));
     fleet.kv.switch(&outage(false));
-    settle(&fleet, 1, &next, End::Whole).await;
+    retry_until(&fleet, 1, &next, End::Whole).await;
 }
--- a/crates/daemon/tests/proof/fairness.rs
+++ b/crates/daemon/tests/proof/fairness.rs
@@ -1,4 +1,4 @@
-//! No customer starves, however large the others are.
+//! No customer is starved by the load of others.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::common::{Fleet, Request, Setup};
 
-/// Rounds of a few calls at once, of which only one can run.
+/// Number of rounds of concurrent calls, of which one can run at a time.
 const ROUNDS: u32 = 200;
 
 #[gtest]
@@ -27,11 +27,11 @@
         let requests: Vec<Request> = (0..3)
             .map(|n| Request::booking(&format!("{round}-{n}")))
             .collect();
-        let sent: Vec<_> = requests
+        let pending: Vec<_> = requests
             .iter()
             .map(|request| request.spawn(fleet.caller_address(0)))
             .collect();
-        for response in join_all(sent).await {
+        for response in join_all(pending).await {
             let response = response.unwrap();
             assert_that!(response.end, eq(End::Whole), "{round}: {response:?}");
         }
--- a/crates/daemon/tests/proof/leaving.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -1,4 +1,4 @@
-//! A backend server that is leaving receives no new work after a few seconds.
+//! A leaving backend server gets no new requests after a few seconds.
 
 use futures::future::join_all;
 use googletest::prelude::*;
@@ -11,13 +11,13 @@
 
 use crate::common::{Fleet, Request, Setup, Stream, wait};
 
-/// Tokens of an answer that is under way when the server begins to leave.
+/// Length of the responses that are streaming when the server starts to leave.
 const TOKENS: u32 = 150;
 
-/// Requests that are asked at once.
+/// Number of concurrent requests in a batch; exceeds the slots of one server.
 const BATCH_SIZE: usize = 24;
 
-async fn two() -> Fleet {
+async fn spawn_two_servers() -> Fleet {
     Fleet::spawn(Setup {
         engines: 2,
         slots: 4,
@@ -26,15 +26,15 @@
     .await
 }
 
-fn outage(fleet: &Fleet, outage: bool) {
+fn set_kv_outage(fleet: &Fleet, outage: bool) {
     fleet.kv.switch(&Switch {
         outage: Some(outage),
         ..Switch::default()
     });
 }
 
-/// The VM list says that the first server is leaving.
-fn list_leaving(fleet: &Fleet) {
+/// Marks the first server as leaving in the VM list.
+fn mark_leaving(fleet: &Fleet) {
     let leaving = [("assistant-0".to_owned(), State::Leaving)];
     fleet.vms.switch(vms::Switch {
         states: leaving.into(),
@@ -42,20 +42,21 @@
     });
 }
 
-/// Waits until every router says that the first server is leaving.
-async fn known(fleet: &Fleet) {
+/// Waits until all routers report that the first server is leaving.
+async fn wait_known_leaving(fleet: &Fleet) {
     for router in 0..fleet.routers.len() {
-        wait::until("the server to leave", async || {
+        wait::until("the server to be reported as leaving", async || {
             let status = fleet.send_command(router, &words("status"), 1).await;
             let status = serde_json::to_value(status.answer).unwrap();
             let nodes = status["status"]["nodes"]
                 .as_array()
                 .cloned()
                 .unwrap_or_default();
-            let leaves = |node: &Value| node["name"] == "assistant-0" && node["leaving"] == true;
+            let is_leaving =
+                |node: &Value| node["name"] == "assistant-0" && node["leaving"] == true;
             nodes
                 .iter()
-                .any(leaves)
+                .any(is_leaving)
                 .then_some(())
                 .ok_or(status.to_string())
         })
@@ -63,8 +64,8 @@
     }
 }
 
-/// An answer under way at each server; one of them is the first server's.
-async fn under_way(fleet: &Fleet) -> Vec<Stream> {
+/// Starts streams through both routers and reads the first token of each.
+async fn start_streams(fleet: &Fleet) -> Vec<Stream> {
     let mut streams = Vec::new();
     for n in 0..4 {
         let request = Request::chat(&format!("running-{n}"), TOKENS);
@@ -75,8 +76,7 @@
     streams
 }
 
-/// Asks more than the other server can run at once; returns how much of it went
-/// to the first.
+/// Sends a batch of requests; returns how many of them went to the first server.
 async fn send_batch(fleet: &Fleet) -> usize {
     let before = fleet.backends[0].journal().runs().len();
     let requests: Vec<Request> = (0..BATCH_SIZE)
@@ -93,13 +93,13 @@
     fleet.backends[0].journal().runs().len() - before
 }
 
-/// A few seconds after the order nothing new may go to the first server any more.
-async fn expect_no_new_work(fleet: &Fleet) {
-    wait::until("an end of new work", async || {
-        let more = send_batch(fleet).await;
-        (more == 0)
+/// Waits until the first server gets no new requests, and expects that this lasts.
+async fn expect_no_new_requests(fleet: &Fleet) {
+    wait::until("no new requests at the leaving server", async || {
+        let count = send_batch(fleet).await;
+        (count == 0)
             .then_some(())
-            .ok_or(format!("{more} of {BATCH_SIZE} more"))
+            .ok_or(format!("the server got {count} of {BATCH_SIZE} requests"))
     })
     .await;
     for _ in 0..2 {
@@ -107,78 +107,78 @@
     }
 }
 
-async fn expect_whole(streams: Vec<Stream>) {
+async fn expect_complete(streams: Vec<Stream>) {
     for stream in streams {
-        let held = stream.read_to_end().await;
-        expect_that!(held, ok(contains_substring("[DONE]")));
+        let body = stream.read_to_end().await;
+        expect_that!(body, ok(contains_substring("[DONE]")));
     }
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drained_server_gets_no_new_requests() {
-    let fleet = two().await;
-    let streams = under_way(&fleet).await;
+    let fleet = spawn_two_servers().await;
+    let streams = start_streams(&fleet).await;
     fleet.run_command(0, "server drain assistant-0").await;
-    known(&fleet).await;
-    expect_no_new_work(&fleet).await;
-    expect_whole(streams).await;
+    wait_known_leaving(&fleet).await;
+    expect_no_new_requests(&fleet).await;
+    expect_complete(streams).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_leaving_in_the_vm_list_gets_no_new_requests() {
-    let fleet = two().await;
-    let streams = under_way(&fleet).await;
-    list_leaving(&fleet);
-    known(&fleet).await;
-    expect_no_new_work(&fleet).await;
-    expect_whole(streams).await;
+    let fleet = spawn_two_servers().await;
+    let streams = start_streams(&fleet).await;
+    mark_leaving(&fleet);
+    wait_known_leaving(&fleet).await;
+    expect_no_new_requests(&fleet).await;
+    expect_complete(streams).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_leaving_in_the_vm_list_during_a_kv_outage_gets_no_new_requests() {
-    let fleet = two().await;
-    let streams = under_way(&fleet).await;
-    outage(&fleet, true);
-    list_leaving(&fleet);
-    known(&fleet).await;
-    expect_no_new_work(&fleet).await;
-    expect_whole(streams).await;
+    let fleet = spawn_two_servers().await;
+    let streams = start_streams(&fleet).await;
+    set_kv_outage(&fleet, true);
+    mark_leaving(&fleet);
+    wait_known_leaving(&fleet).await;
+    expect_no_new_requests(&fleet).await;
+    expect_complete(streams).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_drained_just_before_a_kv_outage_gets_no_new_requests() {
-    let fleet = two().await;
+    let fleet = spawn_two_servers().await;
     fleet.run_command(0, "server drain assistant-0").await;
-    outage(&fleet, true);
-    known(&fleet).await;
-    expect_no_new_work(&fleet).await;
+    set_kv_outage(&fleet, true);
+    wait_known_leaving(&fleet).await;
+    expect_no_new_requests(&fleet).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drained_server_gets_no_new_requests_after_a_router_crash_during_a_kv_outage() {
-    let fleet = two().await;
+    let fleet = spawn_two_servers().await;
     fleet.run_command(0, "server drain assistant-0").await;
-    known(&fleet).await;
-    outage(&fleet, true);
+    wait_known_leaving(&fleet).await;
+    set_kv_outage(&fleet, true);
     fleet.routers[1].kill().await;
     fleet.routers[1].start();
     fleet.wait_connected_to(1, &fleet.sidecars[1]).await;
-    known(&fleet).await;
-    expect_no_new_work(&fleet).await;
+    wait_known_leaving(&fleet).await;
+    expect_no_new_requests(&fleet).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_drained_while_its_sidecar_is_suspended_gets_no_new_requests() {
-    let fleet = two().await;
+    let fleet = spawn_two_servers().await;
     fleet.sidecars[0].suspend();
     fleet.run_command(0, "server drain assistant-0").await;
-    known(&fleet).await;
+    wait_known_leaving(&fleet).await;
     fleet.sidecars[0].resume();
-    expect_no_new_work(&fleet).await;
+    expect_no_new_requests(&fleet).await;
 }
--- a/crates/daemon/tests/proof/main.rs
+++ b/crates/daemon/tests/proof/main.rs
@@ -1,6 +1,6 @@
-//! Proofs of the promises under failure, on real processes: routers and sidecars
-//! on loopback beside stand-ins of the outside systems. `docs/PROOFS.md` lists
-//! them, one file here for each promise.
+//! Tests of the guarantees that hold under failures. Routers and sidecars run as
+//! processes on loopback, with stand-ins for external systems. Each module tests one
+//! guarantee; `docs/PROOFS.md` lists them.
 
 mod at_most_once;
 mod common;
--- a/crates/daemon/tests/proof/outcomes.rs
+++ b/crates/daemon/tests/proof/outcomes.rs
@@ -1,4 +1,4 @@
-//! When a caller is told "not run", the request truly did not run.
+//! A request reported as not run did not run.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,16 +13,16 @@
 
 use crate::common::{Fleet, Request, Response, Setup, Stream, wait};
 
-/// Tokens of an answer that lasts until it is cut off.
-const ENDLESS: u32 = 100_000;
+/// Length of a response that does not end within a test.
+const ENDLESS_TOKENS: u32 = 100_000;
 
-/// Time of a call that outlasts what a router waits for.
-const LONG: Duration = Duration::from_secs(3);
+/// Duration of a call that outlasts the deadline of its request.
+const SLOW_CALL: Duration = Duration::from_secs(3);
 
-/// Most tries at freezing a sidecar at the right instant.
-const ROUNDS: usize = 5;
+/// Maximum number of attempts to suspend a sidecar at the right time.
+const MAX_ATTEMPTS: usize = 5;
 
-fn engine() -> Setup {
+fn one_engine() -> Setup {
     Setup {
         engines: 1,
         slots: 1,
@@ -30,7 +30,7 @@
     }
 }
 
-fn service() -> Setup {
+fn one_service() -> Setup {
     Setup {
         services: 1,
         router_settings: json!({"heartbeat_ms": 250}),
@@ -38,30 +38,30 @@
     }
 }
 
-/// An instant in the time of day, in milliseconds.
-fn in_ms(ms: u128) -> String {
+/// Deadline `ms` milliseconds from now, in milliseconds since the Unix epoch.
+fn deadline_in(ms: u128) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     (now.as_millis() + ms).to_string()
 }
 
-/// Waits until an outcome is known; it must be the truth.
-async fn expect_truth(fleet: &Fleet, router: usize, request: &Request, id: &str) {
-    let told = wait::until(&format!("an outcome of {}", request.op), async || {
-        let told = fleet.outcome(router, id).await;
-        let known = told == "not-run" || told == "ran";
-        known.then(|| told.clone()).ok_or(told)
+/// Waits until the outcome of a request is known, and compares it with the backend.
+async fn expect_correct_outcome(fleet: &Fleet, router: usize, request: &Request, id: &str) {
+    let outcome = wait::until(&format!("the outcome of {}", request.op), async || {
+        let outcome = fleet.outcome(router, id).await;
+        let is_known = outcome == "not-run" || outcome == "ran";
+        is_known.then(|| outcome.clone()).ok_or(outcome)
     })
     .await;
     let ran = fleet.start_count(&request.op) > 0;
     expect_that!(
-        told,
+        outcome,
         eq(if ran { "ran" } else { "not-run" }),
         "{}",
         request.op
     );
 }
 
-/// Nothing of what was told not to have run may have run.
+/// Expects that requests reported as not run did not run.
 fn expect_not_run(fleet: &Fleet, requests: &[Request], responses: &[Response]) {
     for (request, response) in requests.iter().zip(responses) {
         if response.end == End::NotRun {
@@ -75,7 +75,7 @@
 async fn requests_refused_by_a_full_queue_do_not_run() {
     let fleet = Fleet::spawn(Setup {
         router_settings: json!({"limits": {"queue_per_customer": 4}}),
-        ..engine()
+        ..one_engine()
     })
     .await;
     let requests: Vec<Request> = (0..40).map(|n| Request::chat(&format!("{n}"), 4)).collect();
@@ -104,14 +104,18 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn request_whose_deadline_passes_in_the_queue_does_not_run() {
-    let fleet = Fleet::spawn(engine()).await;
-    let running = Stream::open(&Request::chat("long", ENDLESS), fleet.caller_address(0)).await;
-    let request = Request::chat("late", 4).with_header("x-deadline", in_ms(300));
+    let fleet = Fleet::spawn(one_engine()).await;
+    let running = Stream::open(
+        &Request::chat("long", ENDLESS_TOKENS),
+        fleet.caller_address(0),
+    )
+    .await;
+    let request = Request::chat("late", 4).with_header("x-deadline", deadline_in(300));
     let response = request.send(fleet.caller_address(1)).await;
     expect_that!(response.refusal(), eq((504, "deadline_passed", "not-run")));
     expect_that!(fleet.outcome(0, &response.id).await, eq("not-run"));
     drop(running);
-    // What is asked next gets the slot; the late one never does.
+    // The next request gets the free slot; the expired one is never started.
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole));
     expect_that!(fleet.start_count(&request.op), eq(0));
@@ -121,15 +125,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn outcome_is_correct_after_the_deadline_passes_at_the_backend() {
     let fleet = Fleet::spawn(Setup {
-        latency: LONG,
-        ..service()
+        latency: SLOW_CALL,
+        ..one_service()
     })
     .await;
-    let request = Request::booking("slot").with_header("x-deadline", in_ms(1_000));
+    let request = Request::booking("slot").with_header("x-deadline", deadline_in(1_000));
     let response = request.send(fleet.caller_address(0)).await;
     expect_that!(response.refusal(), eq((504, "deadline_passed", "unknown")));
     expect_that!(fleet.start_count(&request.op), eq(1));
-    expect_truth(&fleet, 1, &request, &response.id).await;
+    expect_correct_outcome(&fleet, 1, &request, &response.id).await;
 }
 
 #[gtest]
@@ -137,19 +141,23 @@
 async fn requests_queued_at_a_stopping_router_do_not_run() {
     let fleet = Fleet::spawn(Setup {
         router_settings: json!({"drain_ms": 1_000}),
-        ..engine()
+        ..one_engine()
     })
     .await;
-    let running = Stream::open(&Request::chat("long", ENDLESS), fleet.caller_address(1)).await;
+    let running = Stream::open(
+        &Request::chat("long", ENDLESS_TOKENS),
+        fleet.caller_address(1),
+    )
+    .await;
     let requests: Vec<Request> = (0..4).map(|n| Request::chat(&format!("{n}"), 4)).collect();
-    let waiting: Vec<_> = requests
+    let pending: Vec<_> = requests
         .iter()
         .map(|request| request.spawn(fleet.caller_address(0)))
         .collect();
-    let queued = || fleet.routers[0].events(Event::Queued).len() == requests.len();
-    wait::until_true("all wait", queued).await;
+    let are_queued = || fleet.routers[0].events(Event::Queued).len() == requests.len();
+    wait::until_true("all requests to be queued", are_queued).await;
     expect_that!(fleet.routers[0].stop().await, some(eq(0)));
-    let responses = join_all(waiting).await;
+    let responses = join_all(pending).await;
     let responses: Vec<Response> = responses
         .into_iter()
         .map(|response| response.unwrap())
@@ -167,41 +175,41 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn outcome_is_correct_after_the_sidecar_is_suspended_before_it_calls_the_backend() {
-    for _ in 0..ROUNDS {
-        if frozen_between().await {
+    for _ in 0..MAX_ATTEMPTS {
+        if suspend_while_connecting().await {
             return;
         }
     }
-    fail!("the sidecar gave up connecting, {ROUNDS} times").unwrap();
+    fail!("the sidecar timed out connecting in each of {MAX_ATTEMPTS} attempts").unwrap();
 }
 
-/// Returns whether the call was made in the end: a sidecar that is frozen for
-/// longer than it waits for a connection does not make it.
-async fn frozen_between() -> bool {
+/// Suspends the sidecar while it connects to the backend; returns whether it makes the
+/// call after it resumes. It does not if its connection timeout has passed.
+async fn suspend_while_connecting() -> bool {
     let mut fleet = Fleet::spawn(Setup {
         block_backends: true,
-        ..service()
+        ..one_service()
     })
     .await;
     let request = Request::booking("slot");
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.sidecars[0].wait_event(Event::Started, |_| true).await;
     fleet.sidecars[0].suspend();
-    // The connection is set up only now, and the sidecar sends nothing on it.
+    // The connection is established, but the suspended sidecar sends nothing.
     fleet.unblock_backend(0).await;
-    let response = first.await.unwrap();
+    let response = pending.await.unwrap();
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     expect_that!(fleet.outcome(0, &response.id).await, eq("unknown"));
     expect_that!(fleet.start_count(&request.op), eq(0));
     fleet.sidecars[0].resume();
-    expect_truth(&fleet, 0, &request, &response.id).await;
+    expect_correct_outcome(&fleet, 0, &request, &response.id).await;
     fleet.start_count(&request.op) > 0
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn outcomes_are_correct_after_the_sidecar_is_suspended_before_admission() {
-    let fleet = Fleet::spawn(service()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     fleet.sidecars[0].suspend();
     let requests: Vec<Request> = (0..8).map(|n| Request::booking(&format!("{n}"))).collect();
     let responses = join_all(
@@ -223,7 +231,7 @@
     let next = Request::booking("next").send(fleet.caller_address(1)).await;
     expect_that!(next.end, eq(End::Whole), "{next:?}");
     for (request, response) in requests.iter().zip(&responses) {
-        expect_truth(&fleet, 0, request, &response.id).await;
+        expect_correct_outcome(&fleet, 0, request, &response.id).await;
     }
     expect_not_run(&fleet, &requests, &responses);
 }
@@ -233,7 +241,7 @@
 async fn request_that_arrives_after_its_withdrawal_does_not_run() {
     let fleet = Fleet::spawn(Setup {
         with_sidecar_relays: true,
-        ..service()
+        ..one_service()
     })
     .await;
     let [control, data] = &fleet.sidecar_relays[0];
@@ -248,16 +256,16 @@
         .wait_event(Event::Withdrawn, |_| true)
         .await;
     expect_that!(withdrawn["outcome"].as_str(), some(eq("not-run")));
-    wait::until("the withdrawal to be known", async || {
-        let told = fleet.outcome(0, &response.id).await;
-        (told == "not-run").then_some(()).ok_or(told)
+    wait::until("the withdrawal to be reported", async || {
+        let outcome = fleet.outcome(0, &response.id).await;
+        (outcome == "not-run").then_some(()).ok_or(outcome)
     })
     .await;
     data.pass_late();
-    let turned_away = fleet.sidecars[0]
+    let rejected = fleet.sidecars[0]
         .wait_event(Event::Rejected, |_| true)
         .await;
-    expect_that!(turned_away["verdict"].as_str(), some(eq("tombstone")));
+    expect_that!(rejected["verdict"].as_str(), some(eq("tombstone")));
     expect_that!(fleet.start_count(&request.op), eq(0));
 }
 
@@ -266,50 +274,50 @@
 async fn outcome_is_correct_after_the_data_link_is_cut_during_the_call() {
     let fleet = Fleet::spawn(Setup {
         with_sidecar_relays: true,
-        latency: LONG / 3,
-        ..service()
+        latency: SLOW_CALL / 3,
+        ..one_service()
     })
     .await;
     let request = Request::booking("slot");
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     let [_, data] = &fleet.sidecar_relays[0];
     data.cut();
     data.mend();
-    let response = first.await.unwrap();
+    let response = pending.await.unwrap();
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     for router in 0..2 {
-        expect_truth(&fleet, router, &request, &response.id).await;
+        expect_correct_outcome(&fleet, router, &request, &response.id).await;
     }
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn repeated_key_runs_once_after_a_router_crash_while_the_sidecar_is_suspended() {
-    let fleet = Fleet::spawn(service()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     fleet.sidecars[0].suspend();
     let request = Request::booking("slot").with_key();
-    let first = request.spawn(fleet.caller_address(0));
+    let pending = request.spawn(fleet.caller_address(0));
     fleet.routers[0].wait_event(Event::Routed, |_| true).await;
     fleet.routers[0].kill().await;
-    expect_that!(first.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
     let repeat = request.send(fleet.caller_address(1)).await;
     expect_that!(repeat.outcome.as_str(), eq("unknown"), "{repeat:?}");
     fleet.sidecars[0].resume();
-    let end = wait::until("an end", async || {
+    let completed = wait::until("a complete response", async || {
         let response = request.send(fleet.caller_address(1)).await;
         (response.end == End::Whole)
             .then_some(())
             .ok_or(format!("{response:?}"))
     });
-    end.await;
+    completed.await;
     expect_that!(fleet.start_count(&request.op), eq(1));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restarted_router_reports_outcomes_of_earlier_requests_as_unknown() {
-    let fleet = Fleet::spawn(service()).await;
+    let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot");
     let response = request.send(fleet.caller_address(0)).await;
     expect_that!(response.end, eq(End::Whole));
@@ -318,15 +326,15 @@
     fleet.wait_connected(0).await;
     let refused = Request::chat("slot", 4).send(fleet.caller_address(0)).await;
     expect_that!(refused.refusal(), eq((503, "no_server", "not-run")));
-    // Its first request, as the one that ran was the first of the earlier life.
+    // Both are the first request of their router instance and have the same number.
     let [ran, refused] =
         [response, refused].map(|response| Attempt::parse_request_id(&response.id).unwrap());
     expect_that!(refused.request, eq(ran.request));
     let client = connect_router(fleet.router_relays[0].address, Arc::default()).await;
-    let asked = client
+    let reported = client
         .unwrap()
         .outcome(tarpc::context::current(), ran)
         .await;
-    expect_that!(asked.unwrap(), eq(Outcome::Unknown));
+    expect_that!(reported.unwrap(), eq(Outcome::Unknown));
     expect_that!(fleet.outcome(1, &ran.request_id()).await, eq("unknown"));
 }
