--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -93,8 +93,8 @@
     )
     .await;
     for (request, responses) in requests.iter().zip(responses) {
-        let whole = retry_until(&fleet, 1, request, End::Whole).await;
-        expect_that!(whole.body, ok(contains_substring("\"ran\":1")));
+        let complete = retry_until(&fleet, 1, request, End::Whole).await;
+        expect_that!(complete.body, ok(contains_substring("\"ran\":1")));
         expect_that!(fleet.start_count(&request.op), eq(1), "{responses:?}");
     }
 }
@@ -108,7 +108,7 @@
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
     expect_that!(pending.await.unwrap().end, eq(End::Unknown));
-    fleet.sidecars[0].start();
+    fleet.sidecars[0].restart();
     expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
     let next = Request::booking("next").with_key();
     retry_until(&fleet, 1, &next, End::Whole).await;
@@ -125,7 +125,7 @@
     fleet.wait_started(&request.op, 1).await;
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
     expect_that!(pending.await.unwrap().end, eq(End::Whole));
-    fleet.sidecars[0].start();
+    fleet.sidecars[0].restart();
     retry_until(&fleet, 1, &request, End::Ran).await;
     expect_not_run_again(&fleet, &request, &[End::Ran]).await;
 }
@@ -140,7 +140,7 @@
     fleet.routers[0].kill().await;
     expect_that!(pending.await.unwrap().end, eq(End::Unknown));
     retry_until(&fleet, 1, &request, End::Whole).await;
-    fleet.routers[0].start();
+    fleet.routers[0].restart();
     fleet.wait_connected(0).await;
     expect_not_run_again(&fleet, &request, &[End::Whole]).await;
 }
@@ -156,8 +156,8 @@
     fleet.routers[0].kill().await;
     fleet.sidecars[0].kill().await;
     expect_that!(pending.await.unwrap().end, eq(End::Unknown));
-    fleet.sidecars[0].start();
-    fleet.routers[0].start();
+    fleet.sidecars[0].restart();
+    fleet.routers[0].restart();
     fleet.wait_connected(0).await;
     expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
     let indeterminate = fleet.sidecars[0]
@@ -179,7 +179,7 @@
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
     expect_that!(pending.await.unwrap().end, eq(End::Unknown));
-    fleet.sidecars[0].start();
+    fleet.sidecars[0].restart();
     fleet.sidecars[0].wait_event(Event::KvDown, |_| true).await;
     for request in [&before, &request] {
         expect_not_run_again(&fleet, request, &[End::Unknown]).await;
@@ -201,7 +201,7 @@
     // The responses to the last write of one instance and the first write of the next.
     fleet.kv.switch(&lose_answers(2));
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
-    fleet.sidecars[0].start();
+    fleet.sidecars[0].restart();
     retry_until(&fleet, 1, &request, End::Ran).await;
     expect_that!(fleet.kv.stats().lost_answers, eq(2));
     expect_not_run_again(&fleet, &request, &[End::Ran]).await;
@@ -317,7 +317,7 @@
     retry_until(&fleet, 0, &request, End::Whole).await;
     // The restarted router cannot be added to the home record during the outage.
     fleet.routers[1].kill().await;
-    fleet.routers[1].start();
+    fleet.routers[1].restart();
     fleet.wait_connected(1).await;
     expect_not_run_again(&fleet, &request, &[End::Whole]).await;
     let next = Request::booking("next").with_key();
--- a/crates/daemon/tests/proof/common/node.rs
+++ b/crates/daemon/tests/proof/common/node.rs
@@ -54,7 +54,7 @@
     }
 
     /// Restarts a process that has exited. State in memory is lost.
-    pub(crate) fn start(&self) {
+    pub(crate) fn restart(&self) {
         self.log_start
             .store(self.process.log().len(), Ordering::Relaxed);
         self.process.start().unwrap();
--- a/crates/daemon/tests/proof/leaving.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -11,8 +11,8 @@
 
 use crate::common::{Fleet, Request, Setup, Stream, wait};
 
-/// Length of the responses that are streaming when the server starts to leave.
-const TOKENS: u32 = 150;
+/// Length, in tokens, of the responses that are streaming when the server starts to leave.
+const RESPONSE_TOKENS: u32 = 150;
 
 /// Number of concurrent requests in a batch; exceeds the slots of one server.
 const BATCH_SIZE: usize = 24;
@@ -68,7 +68,7 @@
 async fn start_streams(fleet: &Fleet) -> Vec<Stream> {
     let mut streams = Vec::new();
     for n in 0..4 {
-        let request = Request::chat(&format!("running-{n}"), TOKENS);
+        let request = Request::chat(&format!("running-{n}"), RESPONSE_TOKENS);
         let mut stream = Stream::open(&request, fleet.caller_address(n % 2)).await;
         stream.read_tokens(1).await;
         streams.push(stream);
@@ -166,7 +166,7 @@
     wait_known_leaving(&fleet).await;
     set_kv_outage(&fleet, true);
     fleet.routers[1].kill().await;
-    fleet.routers[1].start();
+    fleet.routers[1].restart();
     fleet.wait_connected_to(1, &fleet.sidecars[1]).await;
     wait_known_leaving(&fleet).await;
     expect_no_new_requests(&fleet).await;
--- a/crates/daemon/tests/proof/outcomes.rs
+++ b/crates/daemon/tests/proof/outcomes.rs
@@ -13,7 +13,7 @@
 
 use crate::common::{Fleet, Request, Response, Setup, Stream, wait};
 
-/// Length of a response that does not end within a test.
+/// Length, in tokens, of a response that does not end within a test.
 const ENDLESS_TOKENS: u32 = 100_000;
 
 /// Duration of a call that outlasts the deadline of its request.
@@ -322,7 +322,7 @@
     let response = request.send(fleet.caller_address(0)).await;
     expect_that!(response.end, eq(End::Whole));
     fleet.routers[0].kill().await;
-    fleet.routers[0].start();
+    fleet.routers[0].restart();
     fleet.wait_connected(0).await;
     let refused = Request::chat("slot", 4).send(fleet.caller_address(0)).await;
     expect_that!(refused.refusal(), eq((503, "no_server", "not-run")));
--- a/crates/daemon/tests/proof/responses.rs
+++ b/crates/daemon/tests/proof/responses.rs
@@ -11,10 +11,10 @@
 
 use crate::common::{Fleet, Request, Setup, Stream, wait};
 
-/// Length of a response that is streaming when a fault occurs.
-const TOKENS: u32 = 200;
+/// Length, in tokens, of a response that is streaming when a fault occurs.
+const RESPONSE_TOKENS: u32 = 200;
 
-/// Length of a response that exceeds all buffers between engine and caller.
+/// Length, in tokens, of a response that exceeds all buffers between engine and caller.
 const LARGE_TOKENS: u32 = 40_000;
 
 /// Data of the last event of a complete stream.
@@ -40,7 +40,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_sidecar_crashes() {
     let fleet = Fleet::spawn(with_engines(1)).await;
-    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.caller_address(0)).await;
+    let mut stream = Stream::open(
+        &Request::chat("a", RESPONSE_TOKENS),
+        fleet.caller_address(0),
+    )
+    .await;
     stream.read_tokens(3).await;
     fleet.sidecars[0].kill().await;
     let body = stream.read_to_end().await;
@@ -55,7 +59,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_router_crashes() {
     let fleet = Fleet::spawn(with_engines(1)).await;
-    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.caller_address(0)).await;
+    let mut stream = Stream::open(
+        &Request::chat("a", RESPONSE_TOKENS),
+        fleet.caller_address(0),
+    )
+    .await;
     stream.read_tokens(3).await;
     fleet.routers[0].kill().await;
     let body = stream.read_to_end().await;
@@ -70,7 +78,7 @@
 async fn streams_resume_after_the_engine_connection_is_cut() {
     let fleet = Fleet::spawn(with_engines(1)).await;
     let requests: Vec<Request> = (0..2)
-        .map(|n| Request::chat(&format!("{n}"), TOKENS))
+        .map(|n| Request::chat(&format!("{n}"), RESPONSE_TOKENS))
         .collect();
     let pending: Vec<_> = requests
         .iter()
@@ -92,7 +100,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn response_is_truncated_when_the_engine_stays_unreachable() {
     let fleet = Fleet::spawn(with_engines(1)).await;
-    let mut stream = Stream::open(&Request::chat("a", TOKENS), fleet.caller_address(0)).await;
+    let mut stream = Stream::open(
+        &Request::chat("a", RESPONSE_TOKENS),
+        fleet.caller_address(0),
+    )
+    .await;
     stream.read_tokens(3).await;
     fleet.backends[0].relay.cut();
     let body = stream.read_to_end().await;
@@ -165,7 +177,7 @@
         .wait_event(Event::LinkDown, |line| line["server"] == "assistant-0")
         .await;
     fleet.sidecars[0].resume();
-    fleet.sidecars[1].start();
+    fleet.sidecars[1].restart();
     let mut complete = 0;
     for (request, response) in requests.iter().zip(join_all(pending).await) {
         let response = response.unwrap();
--- a/crates/daemon/tests/proof/shutdown.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -12,10 +12,10 @@
 
 use crate::common::{Fleet, Node, Request, Response, Setup, Stream, wait};
 
-/// Length of a response that is streaming when the shutdown begins.
-const TOKENS: u32 = 100;
+/// Length, in tokens, of a response that is streaming when the shutdown begins.
+const RESPONSE_TOKENS: u32 = 100;
 
-/// Length of a response that does not end within a test.
+/// Length, in tokens, of a response that does not end within a test.
 const ENDLESS_TOKENS: u32 = 100_000;
 
 /// Duration of a call that is running when the shutdown begins.
@@ -40,7 +40,7 @@
 
 /// Starts requests of all kinds through a router and waits until they run.
 async fn start_requests(fleet: &Fleet, router: usize) -> Vec<tokio::task::JoinHandle<Response>> {
-    let chats = (0..6).map(|n| Request::chat(&format!("{n}"), TOKENS));
+    let chats = (0..6).map(|n| Request::chat(&format!("{n}"), RESPONSE_TOKENS));
     let bookings = [Request::booking("a"), Request::booking("b").with_key()];
     let requests: Vec<Request> = chats.chain(bookings).collect();
     let pending = requests
@@ -163,7 +163,7 @@
     let response = pending.await.unwrap();
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     // The next instance knows that the call was aborted and does not run it again.
-    fleet.sidecars[1].start();
+    fleet.sidecars[1].restart();
     fleet.wait_connected_to(1, &fleet.sidecars[1]).await;
     let repeat = booking.send(fleet.caller_address(1)).await;
     expect_that!(repeat.refusal(), eq((502, "outcome_unknown", "unknown")));
@@ -187,13 +187,13 @@
     let rolling = async {
         for sidecar in &fleet.sidecars {
             expect_that!(sidecar.stop().await, some(eq(0)), "{}", sidecar.name);
-            sidecar.start();
+            sidecar.restart();
             wait_all_reconnected(&fleet).await;
         }
         for (index, router) in fleet.routers.iter().enumerate() {
             let (code, ()) = tokio::join!(router.stop(), load_balancer.exclude(&fleet, index));
             expect_that!(code, some(eq(0)), "{}", router.name);
-            router.start();
+            router.restart();
             fleet.wait_connected(index).await;
             wait_all_reconnected(&fleet).await;
             load_balancer.excluded.store(NO_ROUTER, Ordering::Relaxed);
