--- a/crates/daemon/tests/proof/common/fleet.rs
+++ b/crates/daemon/tests/proof/common/fleet.rs
@@ -203,8 +203,8 @@
         self.run_command(0, "pool add assistant --kind model").await;
         let mut pool = words("pool add booking --kind service --route");
         pool.push("POST /bookings once 10".to_owned());
-        let reply = self.send_command(0, &pool, 1).await;
-        assert!(reply.ok, "{reply:?}");
+        let response = self.send_command(0, &pool, 1).await;
+        assert!(response.ok, "{response:?}");
         for customer in CUSTOMERS {
             let key = bearer_key(customer);
             self.run_command(0, &format!("customer add {customer} --key {key}"))
@@ -222,11 +222,11 @@
 
     /// Runs an operator command through a router, which must accept it.
     pub(crate) async fn run_command(&self, router: usize, text: &str) -> Value {
-        let reply = self
+        let response = self
             .send_command(router, &words(text), rand::random())
             .await;
-        assert!(reply.ok, "{text}: {reply:?}");
-        serde_json::to_value(reply.answer).unwrap()
+        assert!(response.ok, "{text}: {response:?}");
+        serde_json::to_value(response.answer).unwrap()
     }
 
     /// Sends an operator command with an ID until its result is known.
