--- a/crates/client/tests/session/faults.rs
+++ b/crates/client/tests/session/faults.rs
@@ -1,7 +1,7 @@
 //! Lost answers, races and outages of the key-value service.
 
 use googletest::prelude::*;
-use mulberryyoke_standin::kv::{Order, Switch};
+use mulberryyoke_standin::kv::{Action, Faults};
 
 use crate::fleet::{AMAL, Fleet, NOOR, client};
 
@@ -11,9 +11,9 @@
     fleet
         .done("customer add scouts --key the-key-of-scouts")
         .await;
-    fleet.kv.switch(&Switch {
+    fleet.kv.set_faults(&Faults {
         lose_answers: Some(3),
-        ..Switch::default()
+        ..Faults::default()
     });
     let said = fleet
         .done("customer set scouts --share 5 --wait --json")
@@ -43,17 +43,17 @@
         let added = fleet.done(&format!("{name} --json")).await;
         let revision = added.json()["answer"]["written"]["revision"].to_string();
         // Both read before either writes, as the delay outlasts the start.
-        fleet.kv.switch(&Switch {
+        fleet.kv.set_faults(&Faults {
             delay_ms: Some(30),
-            ..Switch::default()
+            ..Faults::default()
         });
         let set =
             |share: u32| format!("customer set scouts-{round} --share {share} --at {revision}");
         let (noor, amal) = (set(round), set(round + 100));
         let (noor, amal) = tokio::join!(fleet.run_as(NOOR, 0, &noor), fleet.run_as(AMAL, 1, &amal));
-        fleet.kv.switch(&Switch {
+        fleet.kv.set_faults(&Faults {
             delay_ms: Some(0),
-            ..Switch::default()
+            ..Faults::default()
         });
         let mut codes = [noor.code, amal.code];
         codes.sort_unstable();
@@ -75,18 +75,18 @@
     fleet
         .done("customer add scouts --key the-key-of-scouts --wait")
         .await;
-    fleet.kv.switch(&Switch {
+    fleet.kv.set_faults(&Faults {
         outage: Some(true),
-        ..Switch::default()
+        ..Faults::default()
     });
     let said = fleet.run("customer set scouts --share 5").await;
     assert_that!(said.code, eq(Some(3)));
     assert_that!(said.err, contains_substring("unavailable"));
     let said = fleet.done("customer list").await;
     assert_that!(said.out, contains_substring("scouts"));
-    fleet.kv.switch(&Switch {
+    fleet.kv.set_faults(&Faults {
         outage: Some(false),
-        ..Switch::default()
+        ..Faults::default()
     });
     fleet.done("customer set scouts --share 5 --wait").await;
     fleet.stop().await;
@@ -95,9 +95,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn older_contents_take_no_changes() {
     let fleet = Fleet::open().await;
-    fleet.kv.switch(&Switch {
-        once: vec![Order::Snapshot],
-        ..Switch::default()
+    fleet.kv.set_faults(&Faults {
+        once: vec![Action::Snapshot],
+        ..Faults::default()
     });
     fleet
         .done("customer add scouts --key the-key-of-scouts --wait")
@@ -105,9 +105,9 @@
     fleet
         .done("customer add guides --key the-key-of-guides --wait")
         .await;
-    fleet.kv.switch(&Switch {
-        once: vec![Order::Restore],
-        ..Switch::default()
+    fleet.kv.set_faults(&Faults {
+        once: vec![Action::Restore],
+        ..Faults::default()
     });
     let said = fleet.run("customer set scouts --share 5").await;
     assert_that!(said.code, eq(Some(3)));
--- a/crates/client/tests/session/fleet.rs
+++ b/crates/client/tests/session/fleet.rs
@@ -61,7 +61,7 @@
         let logger = Logger::root(Discard, o!());
         let any = ANY.parse().expect("an address");
         let kv = kv::Store::bind(any).await.expect("a free port");
-        let vms = vms::Registry::bind(any, Vec::new()).await;
+        let vms = vms::List::bind(any, Vec::new()).await;
         let vms = vms.expect("a free port");
         let endpoints = [kv.address().to_string()];
         let mut routers = Vec::new();
@@ -87,9 +87,9 @@
             control: router.control(),
             state: vm::State::Live,
         });
-        vms.switch(vms::Switch {
+        vms.update(vms::Update {
             add: add.collect(),
-            ..vms::Switch::default()
+            ..vms::Update::default()
         });
         let settings = json!({
             "name": "m-1", "zone": "a", "pool": "chat", "kind": "model", "slots": 4,
--- a/crates/daemon/tests/proof/leave.rs
+++ b/crates/daemon/tests/proof/leave.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_platform::vm::State;
 use mulberryyoke_standin::fleet::call::End;
 use mulberryyoke_standin::fleet::operator::words;
-use mulberryyoke_standin::kv::Switch;
+use mulberryyoke_standin::kv::Faults;
 use mulberryyoke_standin::vms;
 use serde_json::Value;
 
@@ -27,18 +27,18 @@
 }
 
 fn outage(fleet: &Fleet, outage: bool) {
-    fleet.kv.switch(&Switch {
+    fleet.kv.set_faults(&Faults {
         outage: Some(outage),
-        ..Switch::default()
+        ..Faults::default()
     });
 }
 
 /// The VM list says that the first server is leaving.
 fn list_leaving(fleet: &Fleet) {
     let leaving = [("assistant-0".to_owned(), State::Leaving)];
-    fleet.vms.switch(vms::Switch {
+    fleet.vms.update(vms::Update {
         states: leaving.into(),
-        ..vms::Switch::default()
+        ..vms::Update::default()
     });
 }
 
--- a/crates/daemon/tests/proof/once.rs
+++ b/crates/daemon/tests/proof/once.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use mulberryyoke_event::Event;
 use mulberryyoke_standin::fleet::call::End;
-use mulberryyoke_standin::kv::Switch;
+use mulberryyoke_standin::kv::Faults;
 
 use crate::shared::{Ask, Fleet, Reply, Setup, wait};
 
@@ -34,17 +34,17 @@
     }
 }
 
-fn outage(outage: bool) -> Switch {
-    Switch {
+fn outage(outage: bool) -> Faults {
+    Faults {
         outage: Some(outage),
-        ..Switch::default()
+        ..Faults::default()
     }
 }
 
-fn lose_answers(count: u64) -> Switch {
-    Switch {
+fn lose_answers(count: u64) -> Faults {
+    Faults {
         lose_answers: Some(count),
-        ..Switch::default()
+        ..Faults::default()
     }
 }
 
@@ -167,7 +167,7 @@
     let fleet = Fleet::spawn(one()).await;
     let before = Ask::booking("before").keyed();
     settle(&fleet, 0, &before, End::Whole).await;
-    fleet.kv.switch(&outage(true));
+    fleet.kv.set_faults(&outage(true));
     let ask = Ask::booking("slot").keyed();
     let first = ask.spawn(fleet.router(0));
     fleet.started(&ask.op, 1).await;
@@ -178,7 +178,7 @@
     for ask in [&before, &ask] {
         expect_no_more_runs(&fleet, ask, &[End::Unknown]).await;
     }
-    fleet.kv.switch(&outage(false));
+    fleet.kv.set_faults(&outage(false));
     let next = Ask::booking("next").keyed();
     settle(&fleet, 1, &next, End::Whole).await;
     for ask in [&before, &ask] {
@@ -193,7 +193,7 @@
     let ask = Ask::booking("slot").keyed();
     settle(&fleet, 0, &ask, End::Whole).await;
     // The answers to the last write of one life and the first of the next.
-    fleet.kv.switch(&lose_answers(2));
+    fleet.kv.set_faults(&lose_answers(2));
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
     fleet.sidecars[0].start();
     settle(&fleet, 1, &ask, End::Ran).await;
@@ -301,7 +301,7 @@
     let fleet = Fleet::spawn(one()).await;
     settle(&fleet, 0, &Ask::booking("a").keyed(), End::Whole).await;
     settle(&fleet, 1, &Ask::booking("b").keyed(), End::Whole).await;
-    fleet.kv.switch(&outage(true));
+    fleet.kv.set_faults(&outage(true));
     let ask = Ask::booking("slot").keyed();
     send_all(&fleet, &ask).await;
     settle(&fleet, 0, &ask, End::Whole).await;
@@ -314,6 +314,6 @@
     let refused = next.send(fleet.router(1)).await;
     expect_that!(refused.refusal(), eq((503, "keys_full", "unknown")));
     expect_that!(fleet.starts(&next.op), eq(0));
-    fleet.kv.switch(&outage(false));
+    fleet.kv.set_faults(&outage(false));
     settle(&fleet, 1, &next, End::Whole).await;
 }
--- a/crates/daemon/tests/proof/shared/backend.rs
+++ b/crates/daemon/tests/proof/shared/backend.rs
@@ -28,8 +28,8 @@
 impl Backend {
     pub(crate) async fn engine(setup: &Setup) -> Self {
         let settings = engine::Settings {
-            batch: setup.slots as usize,
-            token: setup.token,
+            batch_size: setup.slots as usize,
+            token_time: setup.token,
             ..engine::Settings::default()
         };
         let engine = Engine::bind(any(), settings).await.unwrap();
--- a/crates/daemon/tests/proof/shared/fleet.rs
+++ b/crates/daemon/tests/proof/shared/fleet.rs
@@ -84,7 +84,7 @@
             .collect();
         let mut fleet = Self {
             kv: kv::Store::bind(any).await.unwrap(),
-            vms: vms::Registry::bind(any, Vec::new()).await.unwrap(),
+            vms: vms::List::bind(any, Vec::new()).await.unwrap(),
             routers: Vec::new(),
             peers,
             sidecars: Vec::new(),
@@ -189,9 +189,9 @@
             control,
             state: State::Live,
         };
-        self.vms.switch(vms::Switch {
+        self.vms.update(vms::Update {
             add: vec![vm],
-            ..vms::Switch::default()
+            ..vms::Update::default()
         });
     }
 
--- a/crates/daemon/tests/proof/stop.rs
+++ b/crates/daemon/tests/proof/stop.rs
@@ -93,7 +93,7 @@
 async fn of_a_router_and_a_sidecar_together_while_the_kv_service_is_down() {
     let fleet = Fleet::spawn(mixed()).await;
     let sent = begin(&fleet, 0).await;
-    fleet.kv.switch(&mulberryyoke_standin::kv::Switch {
+    fleet.kv.set_faults(&mulberryyoke_standin::kv::Faults {
         outage: Some(true),
         ..Default::default()
     });
--- a/crates/standin/examples/engine.rs
+++ b/crates/standin/examples/engine.rs
@@ -38,9 +38,9 @@
     };
     let settings = Settings {
         models,
-        batch: flags.batch,
-        token: Duration::from_millis(flags.token_ms),
-        keep: Duration::from_millis(flags.keep_ms),
+        batch_size: flags.batch,
+        token_time: Duration::from_millis(flags.token_ms),
+        resume_timeout: Duration::from_millis(flags.keep_ms),
         fencing: !flags.no_fencing,
         ..defaults
     };
--- a/crates/standin/examples/vms.rs
+++ b/crates/standin/examples/vms.rs
@@ -7,7 +7,7 @@
 
 use gumdrop::Options;
 use mulberryyoke_platform::vm::Vm;
-use mulberryyoke_standin::vms::{Registry, Switch};
+use mulberryyoke_standin::vms::{List, Update};
 
 /// Command line.
 #[derive(Debug, Options)]
@@ -26,10 +26,10 @@
 async fn main() -> io::Result<()> {
     let line = Line::parse_args_default_or_exit();
     let address = line.listen.unwrap_or(([127, 0, 0, 1], 0).into());
-    let handle = Registry::bind(address, read(line.vms)?).await?;
-    handle.switch(Switch {
+    let handle = List::bind(address, read(line.vms)?).await?;
+    handle.update(Update {
         lag_ms: Some(line.lag_ms),
-        ..Switch::default()
+        ..Update::default()
     });
     println!("listening {}", handle.address());
     tokio::signal::ctrl_c().await
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -43,8 +43,8 @@
             orders: Orders::new(settings.models.clone(), settings.fencing),
             load: Mutex::default(),
             journal: Journal::default(),
-            batch: Semaphore::new(settings.batch),
-            cache: Mutex::new(Cache::new(settings.cache)),
+            batch: Semaphore::new(settings.batch_size),
+            cache: Mutex::new(Cache::new(settings.cache_blocks)),
             streams: Mutex::default(),
             next: AtomicU64::new(1),
             settings,
@@ -72,10 +72,10 @@
     async fn run(self: Arc<Self>, id: u64, stream: Arc<Stream>) {
         let generation = self.generate(&stream);
         let ended = stream.cancel.run_until_cancelled(generation).await;
-        let stage = ended.map_or(Stage::Cancelled, |()| Stage::Whole);
+        let stage = ended.map_or(Stage::Cancelled, |()| Stage::Complete);
         self.journal.end(stream.run, stage);
         // A whole answer stays readable for those who resume.
-        sleep(self.settings.keep).await;
+        sleep(self.settings.resume_timeout).await;
         self.streams.lock().remove(&id);
     }
 
@@ -83,9 +83,9 @@
         let _slot = self.slot().await;
         self.journal.start(stream.run);
         let missing = self.cache.lock().read(&stream.prompt.text);
-        let mut due = Instant::now() + self.settings.block * missing;
+        let mut due = Instant::now() + self.settings.prefill_time * missing;
         for produced in 1..=stream.prompt.tokens {
-            due += self.settings.token;
+            due += self.settings.token_time;
             sleep_until(due).await;
             self.journal.add(stream.run, 1);
             stream.produced.send_replace(produced);
@@ -98,11 +98,11 @@
     }
 
     fn measure(&self) {
-        let tallies = self.journal.tallies();
+        let tallies = self.journal.customer_stats();
         *self.load.lock() = Load {
             running: tallies.values().map(|tally| tally.running).sum(),
             waiting: tallies.values().map(|tally| tally.waiting).sum(),
-            batch: self.settings.batch,
+            batch: self.settings.batch_size,
         };
     }
 }
@@ -111,7 +111,7 @@
 pub(crate) async fn publish(core: Weak<Core>) {
     while let Some(core) = core.upgrade() {
         core.measure();
-        let lag = core.settings.lag;
+        let lag = core.settings.load_interval;
         drop(core);
         sleep(lag).await;
     }
--- a/crates/standin/src/engine/order.rs
+++ b/crates/standin/src/engine/order.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::http::{self, Reply};
+use crate::http::{self, Response};
 
 /// What to change.
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -59,10 +59,10 @@
     }
 
     /// Obeys an order unless its fencing number is older than one obeyed.
-    pub(crate) fn obey(&self, order: Order) -> Reply {
+    pub(crate) fn obey(&self, order: Order) -> Response {
         let mut state = self.state.lock();
         if self.checked && order.fence < state.fence {
-            return http::refuse(StatusCode::CONFLICT, "fencing number is old");
+            return http::error(StatusCode::CONFLICT, "fencing number is old");
         }
         state.fence = state.fence.max(order.fence);
         state.obeyed.push(order.fence);
@@ -73,6 +73,6 @@
             Act::Role => state.role = order.name,
         }
         let told = json!({"models": state.models, "role": state.role, "obeyed": state.obeyed});
-        http::reply(StatusCode::OK, &told)
+        http::json(StatusCode::OK, &told)
     }
 }
--- a/crates/standin/src/fleet/audit.rs
+++ b/crates/standin/src/fleet/audit.rs
@@ -67,7 +67,7 @@
         let Some(last) = record.calls.last() else {
             return;
         };
-        let whole = runs(last).iter().any(|run| run.stage == Stage::Whole);
+        let whole = runs(last).iter().any(|run| run.stage == Stage::Complete);
         match record.end() {
             End::Whole if whole => self.answered += 1,
             End::Whole => self.find(|audit| &mut audit.lost, "answered without a run", record),
--- a/crates/standin/src/fleet/meter.rs
+++ b/crates/standin/src/fleet/meter.rs
@@ -42,7 +42,7 @@
     let engines: Vec<_> = fleet
         .engines
         .iter()
-        .map(|e| e.journal().tallies())
+        .map(|e| e.journal().customer_stats())
         .collect();
     let usable = engines.iter().zip(&fleet.down);
     let usable = usable.filter(|(_, down)| !down.load(Ordering::Relaxed));
--- a/crates/standin/src/fleet/scene.rs
+++ b/crates/standin/src/fleet/scene.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::journal::now;
-use crate::kv::{Order, Switch};
+use crate::kv::{Action, Faults};
 
 use super::Error;
 use super::fault::Fault;
@@ -120,11 +120,11 @@
     }
 
     async fn lapse(&self) -> Result<(), Error> {
-        let lapse = Switch {
-            once: vec![Order::LapseLeases],
-            ..Switch::default()
+        let lapse = Faults {
+            once: vec![Action::ExpireLeases],
+            ..Faults::default()
         };
-        self.fleet.kv.switch(&lapse);
+        self.fleet.kv.set_faults(&lapse);
         self.freeze(1 % self.fleet.engines.len()).await
     }
 
@@ -154,21 +154,21 @@
     }
 
     fn switch_kv(&self, outage: bool) {
-        let switch = Switch {
+        let switch = Faults {
             outage: Some(outage),
-            ..Switch::default()
+            ..Faults::default()
         };
-        self.fleet.kv.switch(&switch);
+        self.fleet.kv.set_faults(&switch);
     }
 
     /// Every command whose answer was lost must be settled by sending it again.
     async fn lose_answers(&self) -> Result<(), Error> {
         for number in 0..LOST_ANSWERS {
-            let switch = Switch {
+            let switch = Faults {
                 lose_answers: Some(1),
-                ..Switch::default()
+                ..Faults::default()
             };
-            self.fleet.kv.switch(&switch);
+            self.fleet.kv.set_faults(&switch);
             // Not the customer that operators may race for.
             let name = &self.fleet.plan.customers[1].name;
             let queue = 1000 + number;
--- a/crates/standin/src/fleet/setup.rs
+++ b/crates/standin/src/fleet/setup.rs
@@ -86,7 +86,7 @@
         let mut lists = Vec::new();
         for half in 0..2 {
             let list = node::list(&routers, &servers, &relays, half);
-            lists.push(vms::Registry::bind(any, list).await.map_err(stand_in)?);
+            lists.push(vms::List::bind(any, list).await.map_err(stand_in)?);
         }
         let [first, second] = lists.try_into().expect("there are two lists");
         let vms: [vms::Handle; 2] = [first, second];
@@ -191,8 +191,8 @@
 async fn backends(plan: &Plan, any: SocketAddr) -> io::Result<(Vec<Engine>, Vec<Service>)> {
     let settings = engine::Settings {
         models: vec![plan.model.to_owned()],
-        batch: plan.flags.slots,
-        token: Duration::from_millis(plan.flags.token_ms),
+        batch_size: plan.flags.slots,
+        token_time: Duration::from_millis(plan.flags.token_ms),
         ..engine::Settings::default()
     };
     let mut engines = Vec::new();
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
+use hyper::{Request, StatusCode};
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use hyper_util::server::conn::auto;
 use parking_lot::Mutex;
@@ -22,7 +22,7 @@
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
 /// An answer.
-pub type Reply = Response<Body>;
+pub type Response = hyper::Response<Body>;
 
 /// A listening server; dropping it closes the port and every connection.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 
 /// Marks an answer that is not to be given: the connection is cut instead.
 #[derive(Clone, Copy, Debug)]
-struct Cut;
+struct Abort;
 
 impl Server {
     /// Binds a port and answers each request, read whole, by `handler`.
@@ -48,7 +48,7 @@
     pub async fn bind<H, F>(address: SocketAddr, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Bytes>) -> F + Clone + Send + Sync + 'static,
-        F: Future<Output = Reply> + Send + 'static,
+        F: Future<Output = Response> + Send + 'static,
     {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -64,7 +64,7 @@
     }
 
     /// Cuts every connection there is.
-    pub fn cut(&self) {
+    pub fn disconnect(&self) {
         let mut connections = self.connections.lock();
         connections.cancel();
         *connections = self.stop.token().child_token();
@@ -80,7 +80,7 @@
 async fn accept<H, F>(listener: TcpListener, handler: H, connections: Connections)
 where
     H: Fn(Request<Bytes>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Reply> + Send + 'static,
+    F: Future<Output = Response> + Send + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -95,7 +95,7 @@
 async fn serve<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Bytes>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Reply> + Send + 'static,
+    F: Future<Output = Response> + Send + 'static,
 {
     stream.set_nodelay(true).ok();
     let service = service_fn(move |request| answer(request, handler.clone()));
@@ -105,15 +105,15 @@
     connection.await.ok();
 }
 
-async fn answer<H, F>(request: Request<Incoming>, handler: H) -> io::Result<Reply>
+async fn answer<H, F>(request: Request<Incoming>, handler: H) -> io::Result<Response>
 where
     H: Fn(Request<Bytes>) -> F,
-    F: Future<Output = Reply>,
+    F: Future<Output = Response>,
 {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
     let reply = handler(Request::from_parts(head, body)).await;
-    if reply.extensions().get::<Cut>().is_some() {
+    if reply.extensions().get::<Abort>().is_some() {
         return Err(io::ErrorKind::ConnectionAborted.into());
     }
     Ok(reply)
@@ -121,14 +121,14 @@
 
 /// Has the connection cut instead of an answer.
 #[must_use]
-pub fn cut() -> Reply {
-    let mut reply = Response::new(full(Bytes::new()));
-    reply.extensions_mut().insert(Cut);
+pub fn abort() -> Response {
+    let mut reply = Response::new(full_body(Bytes::new()));
+    reply.extensions_mut().insert(Abort);
     reply
 }
 
 /// A body held in memory.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -139,9 +139,9 @@
 /// # Panics
 ///
 /// When `value` has no JSON form.
-pub fn reply(status: StatusCode, value: &impl Serialize) -> Reply {
+pub fn json(status: StatusCode, value: &impl Serialize) -> Response {
     let text = serde_json::to_vec(value).expect("stand-ins answer what has a JSON form");
-    let mut reply = Response::new(full(text));
+    let mut reply = Response::new(full_body(text));
     *reply.status_mut() = status;
     let json = hyper::header::HeaderValue::from_static("application/json");
     reply
@@ -152,10 +152,10 @@
 
 /// A JSON error in the API's usual form.
 #[must_use]
-pub fn refuse(status: StatusCode, message: &str) -> Reply {
+pub fn error(status: StatusCode, message: &str) -> Response {
     let error =
         json!({"message": message, "type": "invalid_request_error", "param": null, "code": null});
-    reply(status, &json!({ "error": error }))
+    json(status, &json!({ "error": error }))
 }
 
 /// A request's body as JSON.
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// The refusal to send when it is not JSON.
-pub fn parse(request: &Request<Bytes>) -> Result<Value, Box<Reply>> {
+pub fn parse_json(request: &Request<Bytes>) -> Result<Value, Box<Response>> {
     serde_json::from_slice(request.body())
-        .map_err(|error| Box::new(refuse(StatusCode::BAD_REQUEST, &error.to_string())))
+        .map_err(|cause| Box::new(error(StatusCode::BAD_REQUEST, &cause.to_string())))
 }
--- a/crates/standin/src/journal.rs
+++ b/crates/standin/src/journal.rs
@@ -16,7 +16,8 @@
     /// Started, not ended.
     Running,
     /// Ended whole.
-    Whole,
+    #[serde(rename = "whole")]
+    Complete,
     /// Cancelled before its end.
     Cancelled,
 }
@@ -40,7 +41,7 @@
 
 /// Counts of one customer at one stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct CustomerStats {
     /// Runs admitted and not started.
     pub waiting: u32,
     /// Runs started and not ended.
@@ -49,8 +50,8 @@
     pub tokens: u64,
 }
 
-/// Tallies by customer, the part of an identity before `/`.
-pub type Tallies = BTreeMap<String, Tally>;
+/// Counts by customer, the part of an identity before `/`.
+pub type StatsByCustomer = BTreeMap<String, CustomerStats>;
 
 /// Runs in order of arrival.
 #[derive(Debug, Default)]
@@ -61,12 +62,12 @@
 #[derive(Debug, Default)]
 struct Inner {
     runs: Vec<Run>,
-    tallies: Tallies,
+    tallies: StatsByCustomer,
 }
 
 impl Inner {
     /// A run and its customer's tally.
-    fn run(&mut self, index: usize) -> (&mut Run, &mut Tally) {
+    fn run(&mut self, index: usize) -> (&mut Run, &mut CustomerStats) {
         let run = &mut self.runs[index];
         let customer = run.op.split('/').next().unwrap_or_default();
         let tally = self.tallies.get_mut(customer);
@@ -128,7 +129,7 @@
     }
 
     /// Every customer's tally.
-    pub fn tallies(&self) -> Tallies {
+    pub fn customer_stats(&self) -> StatsByCustomer {
         self.inner.lock().tallies.clone()
     }
 }
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -19,4 +19,4 @@
 pub use self::handle::Handle;
 pub use self::stats::Stats;
 pub use self::store::Store;
-pub use self::switch::{Failure, Order, Switch};
+pub use self::switch::{Action, Faults, ScriptedResponse};
--- a/crates/standin/src/kv/fault.rs
+++ b/crates/standin/src/kv/fault.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 use serde_json::json;
 
-use crate::http::{self, Reply};
+use crate::http::{self, Response};
 
 /// An error answer of the gateway: HTTP status, code of gRPC and text.
 #[derive(Clone, Copy, Debug)]
@@ -39,9 +39,9 @@
     );
 
     /// The whole answer.
-    pub(crate) fn answer(self) -> Reply {
+    pub(crate) fn answer(self) -> Response {
         let Self(status, code, message) = self;
         let body = json!({ "error": message, "message": message, "code": code });
-        http::reply(status, &body)
+        http::json(status, &body)
     }
 }
--- a/crates/standin/src/kv/handle.rs
+++ b/crates/standin/src/kv/handle.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::http::Server;
-use crate::kv::{Stats, Store, Switch};
+use crate::kv::{Faults, Stats, Store};
 
 /// A running key-value service. Dropping it ends the service.
 #[derive(Debug)]
@@ -25,8 +25,8 @@
     }
 
     /// Switches faults on or off.
-    pub fn switch(&self, switch: &Switch) {
-        self.store.switch(switch);
+    pub fn set_faults(&self, switch: &Faults) {
+        self.store.set_faults(switch);
     }
 
     /// Counts since the start.
@@ -36,17 +36,17 @@
     }
 
     /// Waits until a number of watches are waiting.
-    pub async fn watching(&self, count: u64) {
-        self.store.watching(count).await;
+    pub async fn wait_for_watches(&self, count: u64) {
+        self.store.wait_for_watches(count).await;
     }
 
     /// Waits until a number of calls of a method have arrived.
-    pub async fn called(&self, method: &str, count: u64) {
-        self.store.called(method, count).await;
+    pub async fn wait_for_calls(&self, method: &str, count: u64) {
+        self.store.wait_for_calls(method, count).await;
     }
 
     /// Closes the port, so that connections are refused. Returns the contents, which
-    /// `Store::bind_again` serves again.
+    /// `Store::rebind` serves again.
     #[must_use]
     pub fn stop(self) -> Arc<Store> {
         self.store
--- a/crates/standin/src/kv/service.rs
+++ b/crates/standin/src/kv/service.rs
@@ -4,47 +4,47 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use hyper::{Request, Response, StatusCode};
+use hyper::{Request, StatusCode};
 use serde_json::json;
 
-use crate::http::{self, Reply};
+use crate::http::{self, Response};
 use crate::kv::request::Watch;
-use crate::kv::{Store, Switch, answer, store, watcher};
+use crate::kv::{Faults, Store, answer, store, watcher};
 
 impl Store {
     /// Answers a request.
-    pub(crate) async fn answer(self: Arc<Self>, request: Request<Bytes>) -> Reply {
+    pub(crate) async fn answer(self: Arc<Self>, request: Request<Bytes>) -> Response {
         let path = request.uri().path().to_owned();
         let body = request.into_body();
         match path.as_str() {
-            "/stats" => http::reply(StatusCode::OK, &self.stats()),
+            "/stats" => http::json(StatusCode::OK, &self.stats()),
             "/switch" => self.set_switch(&body),
             _ => self.call(path, body).await,
         }
     }
 
-    fn set_switch(&self, body: &[u8]) -> Reply {
-        match serde_json::from_slice::<Switch>(body) {
+    fn set_switch(&self, body: &[u8]) -> Response {
+        match serde_json::from_slice::<Faults>(body) {
             Ok(switch) => {
-                self.switch(&switch);
-                http::reply(StatusCode::OK, &json!({ "ok": true }))
+                self.set_faults(&switch);
+                http::json(StatusCode::OK, &json!({ "ok": true }))
             }
-            Err(error) => http::refuse(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => http::error(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
     /// Carries a call out in a task of its own, so that it takes effect even if the
     /// caller goes away meanwhile.
-    async fn call(self: Arc<Self>, path: String, body: Bytes) -> Reply {
+    async fn call(self: Arc<Self>, path: String, body: Bytes) -> Response {
         if self.faults.borrow().outage {
-            return http::cut();
+            return http::abort();
         }
         self.count(name(&path));
         let task = tokio::spawn(self.carry_out(path, body));
-        task.await.unwrap_or_else(|_| http::cut())
+        task.await.unwrap_or_else(|_| http::abort())
     }
 
-    async fn carry_out(self: Arc<Self>, path: String, body: Bytes) -> Reply {
+    async fn carry_out(self: Arc<Self>, path: String, body: Bytes) -> Response {
         store::pause(&self).await;
         if let Some(failed) = self.failed() {
             return failed;
@@ -68,12 +68,12 @@
             Err(fault) => return fault.answer(),
         };
         if after > before && self.loses_answer() {
-            return http::cut();
+            return http::abort();
         }
-        http::reply(StatusCode::OK, &value)
+        http::json(StatusCode::OK, &value)
     }
 
-    fn failed(&self) -> Option<Reply> {
+    fn failed(&self) -> Option<Response> {
         let mut fail = None;
         self.faults.send_if_modified(|faults| {
             fail = (faults.fail.times > 0).then(|| faults.fail.clone());
@@ -82,7 +82,7 @@
         });
         let fail = fail?;
         let status = StatusCode::from_u16(fail.status).unwrap_or(StatusCode::OK);
-        let mut reply = Response::new(http::full(fail.body));
+        let mut reply = Response::new(http::full_body(fail.body));
         *reply.status_mut() = status;
         Some(reply)
     }
--- a/crates/standin/src/kv/store.rs
+++ b/crates/standin/src/kv/store.rs
@@ -11,7 +11,7 @@
 
 use crate::http::Server;
 use crate::kv::data::Data;
-use crate::kv::{Failure, Handle, Order, Stats, Switch};
+use crate::kv::{Action, Faults, Handle, ScriptedResponse, Stats};
 
 /// Time between looks for lapsed leases, in milliseconds.
 const TICK_MS: u64 = 50;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct Store {
     pub(crate) data: Mutex<Data>,
-    pub(crate) faults: watch::Sender<Faults>,
+    pub(crate) faults: watch::Sender<FaultState>,
     /// The newest revision, to wake watches.
     pub(crate) revision: watch::Sender<u64>,
     /// Watches that wait now.
@@ -35,11 +35,11 @@
 
 /// Faults that are switched on.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Faults {
+pub(crate) struct FaultState {
     pub outage: bool,
     pub delay_ms: u64,
     pub lose_answers: u64,
-    pub fail: Failure,
+    pub fail: ScriptedResponse,
     pub progress_ms: u64,
 }
 
@@ -59,9 +59,9 @@
         let data = Data::default();
         let store = Self {
             snapshot: Mutex::new(data.clone()),
-            faults: watch::Sender::new(Faults {
+            faults: watch::Sender::new(FaultState {
                 progress_ms: PROGRESS_MS,
-                ..Faults::default()
+                ..FaultState::default()
             }),
             revision: watch::Sender::new(data.revision),
             waiting: watch::Sender::new(0),
@@ -69,7 +69,7 @@
             counts: watch::Sender::default(),
             server: Mutex::default(),
         };
-        Arc::new(store).bind_again(address).await
+        Arc::new(store).rebind(address).await
     }
 
     /// Serves contents that were served before.
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// When the address cannot be bound.
-    pub async fn bind_again(self: Arc<Self>, address: SocketAddr) -> io::Result<Handle> {
+    pub async fn rebind(self: Arc<Self>, address: SocketAddr) -> io::Result<Handle> {
         let store = Arc::clone(&self);
         let answer = move |request| Arc::clone(&store).answer(request);
         let server = Arc::new(Server::bind(address, answer).await?);
@@ -87,7 +87,7 @@
     }
 
     /// Switches faults on or off.
-    pub(crate) fn switch(&self, switch: &Switch) {
+    pub(crate) fn set_faults(&self, switch: &Faults) {
         self.set(switch);
         for order in &switch.once {
             self.carry_out_order(*order);
@@ -97,17 +97,17 @@
         }
     }
 
-    fn carry_out_order(&self, order: Order) {
+    fn carry_out_order(&self, order: Action) {
         match order {
-            Order::Snapshot => *self.snapshot.lock() = self.data.lock().clone(),
-            Order::Restore => self.restore(),
-            Order::LapseLeases => self.lapse_all(),
-            Order::Compact => self.data.lock().compact(),
-            Order::Cut => self.cut(),
+            Action::Snapshot => *self.snapshot.lock() = self.data.lock().clone(),
+            Action::Restore => self.restore(),
+            Action::ExpireLeases => self.lapse_all(),
+            Action::Compact => self.data.lock().compact(),
+            Action::Disconnect => self.cut(),
         }
     }
 
-    fn set(&self, switch: &Switch) {
+    fn set(&self, switch: &Faults) {
         self.faults.send_modify(|faults| {
             faults.outage = switch.outage.unwrap_or(faults.outage);
             faults.delay_ms = switch.delay_ms.unwrap_or(faults.delay_ms);
@@ -138,7 +138,7 @@
 
     fn cut(&self) {
         if let Some(server) = self.server.lock().upgrade() {
-            server.cut();
+            server.disconnect();
         }
     }
 
@@ -165,13 +165,13 @@
         }
     }
 
-    pub(crate) async fn watching(&self, count: u64) {
+    pub(crate) async fn wait_for_watches(&self, count: u64) {
         let mut waiting = self.waiting.subscribe();
         // The sender lives as long as the store, so this cannot fail.
         let _ = waiting.wait_for(|waiting| *waiting == count).await;
     }
 
-    pub(crate) async fn called(&self, method: &str, count: u64) {
+    pub(crate) async fn wait_for_calls(&self, method: &str, count: u64) {
         let mut counts = self.counts.subscribe();
         let is_reached = |counts: &Counts| counts.calls.get(method) >= Some(&count);
         // The sender lives as long as the store, so this cannot fail.
--- a/crates/standin/src/kv/watcher.rs
+++ b/crates/standin/src/kv/watcher.rs
@@ -7,13 +7,12 @@
 use bytes::Bytes;
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
-use hyper::Response;
 use hyper::body::Frame;
 use serde_json::{Value, json};
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio::sync::watch;
 
-use crate::http::{Body, Reply};
+use crate::http::{Body, Response};
 use crate::kv::Store;
 use crate::kv::answer::header;
 use crate::kv::data::{Span, span};
@@ -48,7 +47,7 @@
 }
 
 /// Opens a watch and answers with its messages, one JSON object a line.
-pub(crate) fn open(store: Arc<Store>, create: &Create) -> Reply {
+pub(crate) fn open(store: Arc<Store>, create: &Create) -> Response {
     let (messages, receiver) = channel(BACKLOG);
     let now = store.data.lock().revision;
     let next = match create.start_revision {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, StatusCode};
 use serde_json::json;
 
-use crate::http::{self, Reply, Server};
+use crate::http::{self, Response, Server};
 use crate::journal::{Journal, Stage};
 
 /// A running plain service.
@@ -51,24 +51,24 @@
     journal: Arc<Journal>,
     latency: Duration,
     cost: u32,
-) -> Reply {
+) -> Response {
     match request.uri().path() {
-        "/runs" => return http::reply(StatusCode::OK, &journal.runs()),
-        "/stats" => return http::reply(StatusCode::OK, &journal.tallies()),
+        "/runs" => return http::json(StatusCode::OK, &journal.runs()),
+        "/stats" => return http::json(StatusCode::OK, &journal.customer_stats()),
         _ => {}
     }
-    let body = match http::parse(&request) {
+    let body = match http::parse_json(&request) {
         Ok(body) => body,
         Err(refusal) => return *refusal,
     };
     let Some(op) = body["op"].as_str() else {
-        return http::refuse(StatusCode::BAD_REQUEST, "field op is missing");
+        return http::error(StatusCode::BAD_REQUEST, "field op is missing");
     };
     // Runs on a task of its own: a call has its effect though its caller is gone.
     let run = tokio::spawn(run(journal, op.to_owned(), latency, cost));
     let ran = run.await.unwrap_or_default();
     let path = request.uri().path();
-    http::reply(StatusCode::OK, &json!({"op": op, "path": path, "ran": ran}))
+    http::json(StatusCode::OK, &json!({"op": op, "path": path, "ran": ran}))
 }
 
 /// Runs a call; returns how often its identity has run, this time included.
@@ -77,6 +77,6 @@
     journal.start(index);
     tokio::time::sleep(latency).await;
     journal.add(index, cost);
-    journal.end(index, Stage::Whole);
+    journal.end(index, Stage::Complete);
     journal.runs().iter().filter(|run| run.op == op).count()
 }
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -4,5 +4,5 @@
 mod service;
 mod switch;
 
-pub use self::handle::{Handle, Registry};
-pub use self::switch::{Stats, Switch};
+pub use self::handle::{Handle, List};
+pub use self::switch::{Stats, Update};
--- a/crates/standin/src/vms/handle.rs
+++ b/crates/standin/src/vms/handle.rs
@@ -10,11 +10,11 @@
 use parking_lot::Mutex;
 
 use crate::http::Server;
-use crate::vms::{Stats, Switch};
+use crate::vms::{Stats, Update};
 
 /// The VMs as they are and as the list shows them.
 #[derive(Debug, Default)]
-pub struct Registry {
+pub struct List {
     pub(crate) state: Mutex<Shown>,
     server: Mutex<Weak<Server>>,
 }
@@ -40,11 +40,11 @@
 /// A running VM list. Dropping it ends the service.
 #[derive(Debug)]
 pub struct Handle {
-    registry: Arc<Registry>,
+    registry: Arc<List>,
     server: Arc<Server>,
 }
 
-impl Registry {
+impl List {
     /// Starts a list with some VMs.
     ///
     /// # Errors
@@ -52,9 +52,9 @@
     /// When the address cannot be bound.
     pub async fn bind(address: SocketAddr, vms: Vec<Vm>) -> io::Result<Handle> {
         let registry = Arc::new(Self::default());
-        registry.switch(Switch {
+        registry.update(Update {
             add: vms,
-            ..Switch::default()
+            ..Update::default()
         });
         let shared = Arc::clone(&registry);
         let answer = move |request| Arc::clone(&shared).answer(request);
@@ -63,14 +63,14 @@
         Ok(Handle { registry, server })
     }
 
-    pub(crate) fn switch(&self, switch: Switch) {
+    pub(crate) fn update(&self, switch: Update) {
         let is_outage = switch.outage == Some(true);
-        self.state.lock().switch(switch, Instant::now());
+        self.state.lock().update(switch, Instant::now());
         if !is_outage {
             return;
         }
         if let Some(server) = self.server.lock().upgrade() {
-            server.cut();
+            server.disconnect();
         }
     }
 
@@ -84,7 +84,7 @@
 }
 
 impl Shown {
-    fn switch(&mut self, switch: Switch, now: Instant) {
+    fn update(&mut self, switch: Update, now: Instant) {
         self.outage = switch.outage.unwrap_or(self.outage);
         self.delay_ms = switch.delay_ms.unwrap_or(self.delay_ms);
         self.lag_ms = switch.lag_ms.unwrap_or(self.lag_ms);
@@ -135,8 +135,8 @@
     }
 
     /// Changes the list, or switches faults on or off.
-    pub fn switch(&self, switch: Switch) {
-        self.registry.switch(switch);
+    pub fn update(&self, switch: Update) {
+        self.registry.update(switch);
     }
 
     /// Counts since the start.
--- a/crates/standin/src/vms/switch.rs
+++ b/crates/standin/src/vms/switch.rs
@@ -8,7 +8,7 @@
 /// Changes to the list and faults; a field that is left out changes nothing.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Switch {
+pub struct Update {
     /// Every connection is cut, and every later one at its first call.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub outage: Option<bool>,
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -48,7 +48,7 @@
 
 fn quick() -> Settings {
     Settings {
-        token: Duration::from_millis(1),
+        token_time: Duration::from_millis(1),
         ..Settings::default()
     }
 }
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn runs_no_more_than_the_batch_at_once_in_order_of_arrival() {
     let engine = bind(Settings {
-        batch: 1,
+        batch_size: 1,
         ..quick()
     })
     .await;
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn cancels_on_order_and_breaks_the_stream_off() {
     let engine = bind(Settings {
-        token: Duration::from_hours(1),
+        token_time: Duration::from_hours(1),
         ..quick()
     })
     .await;
@@ -133,9 +133,9 @@
 #[tokio::test]
 async fn cancels_when_the_last_reader_goes() {
     let settings = Settings {
-        batch: 1,
-        token: Duration::from_hours(1),
-        keep: Duration::ZERO,
+        batch_size: 1,
+        token_time: Duration::from_hours(1),
+        resume_timeout: Duration::ZERO,
         ..quick()
     };
     let engine = bind(settings).await;
--- a/crates/standin/tests/fleet/configuration.rs
+++ b/crates/standin/tests/fleet/configuration.rs
@@ -5,7 +5,7 @@
 use mulberryyoke_model::{Change, Entry};
 use mulberryyoke_platform::kv::{Etcd, Options};
 use mulberryyoke_platform::vm::{Role, State};
-use mulberryyoke_standin::kv::{Order, Store, Switch};
+use mulberryyoke_standin::kv::{Action, Faults, Store};
 use mulberryyoke_standin::vms;
 
 use crate::sidecar;
@@ -91,12 +91,12 @@
 async fn older_contents_are_not_followed_until_they_are_passed() {
     let world = World::open().await;
     world.accept("one").await;
-    world.order(Order::Snapshot);
+    world.order(Action::Snapshot);
     world.accept("two").await;
     let accepted = world.accept("three").await;
     let first = world.router("r1", "a").await;
     first.reach(accepted).await;
-    world.order(Order::Restore);
+    world.order(Action::Restore);
     limit(first.log.wait(Event::KvBehind, 1)).await;
     // What is written meanwhile has a lower revision.
     let behind = world.accept("four").await;
@@ -125,9 +125,9 @@
 async fn a_watch_that_was_cut_misses_nothing() {
     let world = World::open().await;
     let router = world.router("r1", "a").await;
-    limit(world.kv.watching(1)).await;
+    limit(world.kv.wait_for_watches(1)).await;
     for name in ["one", "two", "three"] {
-        world.order(Order::Cut);
+        world.order(Action::Disconnect);
         let revision = world.accept(name).await;
         router.reach(revision).await;
     }
@@ -142,21 +142,21 @@
     let revision = world.accept("two").await;
     let router = world.router("r1", "a").await;
     router.reach(revision).await;
-    limit(world.kv.watching(1)).await;
+    limit(world.kv.wait_for_watches(1)).await;
     let address = world.kv.address();
     let elsewhere = Store::bind(LOOPBACK).await.unwrap();
     let store = std::mem::replace(&mut world.kv, elsewhere).stop();
     // The router cannot see what happens meanwhile.
-    let aside = Store::bind_again(store, LOOPBACK).await.unwrap();
+    let aside = Store::rebind(store, LOOPBACK).await.unwrap();
     let client = Etcd::new(vec![aside.address()], Options::default());
     put(&client, "one", None).await;
     // What the service still remembers goes on from here.
     let revision = put(&client, "three", Some(value("three"))).await;
-    aside.switch(&Switch {
-        once: vec![Order::Compact],
-        ..Switch::default()
+    aside.set_faults(&Faults {
+        once: vec![Action::Compact],
+        ..Faults::default()
     });
-    let _back = Store::bind_again(aside.stop(), address).await.unwrap();
+    let _back = Store::rebind(aside.stop(), address).await.unwrap();
     router.reach(revision).await;
     assert_that!(router.pools(), elements_are![eq("three"), eq("two")]);
     router.fleet.stop().await;
@@ -199,9 +199,9 @@
     world.outage(true);
     let router = world.router("r1", "a").await;
     router.until(|fleet| !fleet.is_leaving("r1")).await;
-    world.vms.switch(vms::Switch {
+    world.vms.update(vms::Update {
         states: [("r1".to_owned(), State::Leaving)].into(),
-        ..vms::Switch::default()
+        ..vms::Update::default()
     });
     router.until(|fleet| fleet.is_leaving("r1")).await;
     router.fleet.stop().await;
--- a/crates/standin/tests/fleet/world.rs
+++ b/crates/standin/tests/fleet/world.rs
@@ -7,7 +7,7 @@
 use mulberryyoke_model::{Entry, Kind, Object, Pool, Revision};
 use mulberryyoke_platform::kv::{Etcd, Expect, Kv, Options, Swap};
 use mulberryyoke_platform::vm::{Role, State, Vm};
-use mulberryyoke_standin::kv::{Handle, Order, Store, Switch};
+use mulberryyoke_standin::kv::{Action, Faults, Handle, Store};
 use mulberryyoke_standin::vms;
 use mulberryyoked::fleet::Fleet;
 use serde_json::json;
@@ -41,7 +41,7 @@
 impl World {
     pub async fn open() -> Self {
         let kv = Store::bind(LOOPBACK).await.unwrap();
-        let vms = vms::Registry::bind(LOOPBACK, Vec::new()).await.unwrap();
+        let vms = vms::List::bind(LOOPBACK, Vec::new()).await.unwrap();
         let client = Etcd::new(vec![kv.address()], Options::default());
         Self { kv, vms, client }
     }
@@ -70,23 +70,23 @@
             control,
             state: State::Live,
         };
-        self.vms.switch(vms::Switch {
+        self.vms.update(vms::Update {
             add: vec![vm],
-            ..vms::Switch::default()
+            ..vms::Update::default()
         });
     }
 
     pub fn outage(&self, outage: bool) {
-        self.kv.switch(&Switch {
+        self.kv.set_faults(&Faults {
             outage: Some(outage),
-            ..Switch::default()
+            ..Faults::default()
         });
     }
 
-    pub fn order(&self, order: Order) {
-        self.kv.switch(&Switch {
+    pub fn order(&self, order: Action) {
+        self.kv.set_faults(&Faults {
             once: vec![order],
-            ..Switch::default()
+            ..Faults::default()
         });
     }
 
--- a/crates/standin/tests/kv.rs
+++ b/crates/standin/tests/kv.rs
@@ -9,7 +9,7 @@
 use mulberryyoke_platform::kv::{
     Error, Etcd, Event, Expect, Kv, LeaseId, MAX_VALUE_BYTES, Options, Pair, Swap, Watch,
 };
-use mulberryyoke_standin::kv::{Failure, Handle, Order, Store, Switch};
+use mulberryyoke_standin::kv::{Action, Faults, Handle, ScriptedResponse, Store};
 
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
@@ -24,17 +24,17 @@
     Etcd::new(vec![handle.address()], Options::default())
 }
 
-fn once(handle: &Handle, order: Order) {
-    handle.switch(&Switch {
+fn once(handle: &Handle, order: Action) {
+    handle.set_faults(&Faults {
         once: vec![order],
-        ..Switch::default()
+        ..Faults::default()
     });
 }
 
 fn outage(handle: &Handle, outage: bool) {
-    handle.switch(&Switch {
+    handle.set_faults(&Faults {
         outage: Some(outage),
-        ..Switch::default()
+        ..Faults::default()
     });
 }
 
@@ -147,9 +147,9 @@
 #[tokio::test]
 async fn a_lost_answer_is_unknown_and_the_write_is_there() {
     let (handle, client) = open().await;
-    handle.switch(&Switch {
+    handle.set_faults(&Faults {
         lose_answers: Some(1),
-        ..Switch::default()
+        ..Faults::default()
     });
     let lost = client
         .swap("k", Expect::Absent, Some("v".into()), None)
@@ -185,7 +185,7 @@
         refused,
         err(pat!(Error::Unsent(pat!(HttpError::Connect(_)))))
     );
-    let handle = store.bind_again(address).await.expect("port");
+    let handle = store.rebind(address).await.expect("port");
     expect_that!(client.get("k").await, ok(some(eq(&pair("k", "1", 2)))));
     drop(handle);
 }
@@ -212,18 +212,18 @@
         ..Options::default()
     };
     let hasty = Etcd::new(vec![handle.address()], options);
-    handle.switch(&Switch {
+    handle.set_faults(&Faults {
         delay_ms: Some(3_600_000),
-        ..Switch::default()
+        ..Faults::default()
     });
     let late = hasty
         .swap("k", Expect::Absent, Some("v".into()), None)
         .await;
     expect_that!(late, err(pat!(Error::Unknown(pat!(HttpError::TimedOut)))));
     expect_that!(hasty.range("").await, err(pat!(Error::Unknown(_))));
-    handle.switch(&Switch {
+    handle.set_faults(&Faults {
         delay_ms: Some(0),
-        ..Switch::default()
+        ..Faults::default()
     });
     expect_that!(next(&mut watch).await, eq(&event("k", Some("v"), 2)));
 }
@@ -250,7 +250,7 @@
     expect_that!(handle.stats().calls["watch"], eq(1));
     expect_that!(handle.stats().watching, eq(1));
     drop(watch);
-    handle.watching(0).await;
+    handle.wait_for_watches(0).await;
 }
 
 #[gtest]
@@ -280,7 +280,7 @@
     for value in ["1", "2", "3"] {
         put(&client, "k", value).await;
     }
-    once(&handle, Order::Compact);
+    once(&handle, Action::Compact);
     let mut watch = client.watch("", 2).await.expect("watch");
     expect_that!(
         watch.next().await,
@@ -297,10 +297,10 @@
 async fn older_contents_show_in_every_revision() {
     let (handle, client) = open().await;
     put(&client, "k", "1").await;
-    once(&handle, Order::Snapshot);
+    once(&handle, Action::Snapshot);
     put(&client, "k", "2").await;
     let mut watch = client.watch("", 0).await.expect("watch");
-    once(&handle, Order::Restore);
+    once(&handle, Action::Restore);
     expect_that!(watch.next().await, some(err(pat!(Error::Unknown(_)))));
     let listing = client.range("").await.expect("listing");
     expect_that!(listing.revision, eq(2));
@@ -325,7 +325,7 @@
     let kept = client.lease_keep_alive(lease.id).await.expect("kept");
     expect_that!(kept.deadline, ge(lease.deadline));
     let mut watch = client.watch("", 0).await.expect("watch");
-    once(&handle, Order::LapseLeases);
+    once(&handle, Action::ExpireLeases);
     expect_that!(next(&mut watch).await, eq(&event("k", None, 3)));
     expect_that!(
         client.lease_keep_alive(lease.id).await,
@@ -394,14 +394,14 @@
     ];
     for (status, body) in cases {
         for is_write in [false, true] {
-            let fail = Failure {
+            let fail = ScriptedResponse {
                 times: 1,
                 status,
                 body: body.to_owned(),
             };
-            handle.switch(&Switch {
+            handle.set_faults(&Faults {
                 fail: Some(fail),
-                ..Switch::default()
+                ..Faults::default()
             });
             let failed = if is_write {
                 client.swap("k", Expect::Any, None, None).await.err()
@@ -438,14 +438,14 @@
         (vec![CREATED, progress, write, write, &write[..50]], true, 2),
     ];
     for (lines, opens, events) in cases {
-        let fail = Failure {
+        let fail = ScriptedResponse {
             times: 1,
             status: 200,
             body: lines.join("\n"),
         };
-        handle.switch(&Switch {
+        handle.set_faults(&Faults {
             fail: Some(fail),
-            ..Switch::default()
+            ..Faults::default()
         });
         let watch = client.watch("k", 0).await;
         expect_that!(watch.is_ok(), eq(opens), "{lines:?}");
@@ -475,7 +475,7 @@
     expect_that!(watch.next().await, some(err(late)));
     expect_that!(watch.next().await, none());
     drop(watch);
-    handle.watching(0).await;
+    handle.wait_for_watches(0).await;
 }
 
 #[gtest]
--- a/crates/standin/tests/vms.rs
+++ b/crates/standin/tests/vms.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::vm::{Error, Http, Role, State, Vm, Vms};
-use mulberryyoke_standin::vms::{Handle, Registry, Switch};
+use mulberryyoke_standin::vms::{Handle, List, Update};
 
 fn vm(name: &str, role: Role) -> Vm {
     Vm {
@@ -22,7 +22,7 @@
 async fn open() -> (Handle, Http) {
     let vms = vec![vm("router-1", Role::Router), vm("model-1", Role::Sidecar)];
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let handle = Registry::bind(address, vms).await.expect("port");
+    let handle = List::bind(address, vms).await.expect("port");
     let client = Http::new(handle.address());
     (handle, client)
 }
@@ -32,11 +32,11 @@
     list.into_iter().map(|vm| (vm.name, vm.state)).collect()
 }
 
-fn leaving(lag_ms: u64) -> Switch {
-    Switch {
+fn leaving(lag_ms: u64) -> Update {
+    Update {
         lag_ms: Some(lag_ms),
         states: BTreeMap::from([("model-1".to_owned(), State::Leaving)]),
-        ..Switch::default()
+        ..Update::default()
     }
 }
 
@@ -53,10 +53,10 @@
     let (handle, client) = open().await;
     let expected = vec![vm("model-1", Role::Sidecar), vm("router-1", Role::Router)];
     expect_that!(client.list().await, ok(eq(&expected)));
-    handle.switch(Switch {
+    handle.update(Update {
         add: vec![vm("router-2", Role::Router), vm("database", Role::Other)],
         remove: vec!["model-1".to_owned(), "never-there".to_owned()],
-        ..Switch::default()
+        ..Update::default()
     });
     let names: Vec<String> = states(&client)
         .await
@@ -71,9 +71,9 @@
 #[tokio::test]
 async fn changes_show_after_the_lag() {
     let (handle, client) = open().await;
-    handle.switch(leaving(3_600_000));
+    handle.update(leaving(3_600_000));
     expect_that!(states(&client).await, eq(&shown(State::Live)));
-    handle.switch(leaving(0));
+    handle.update(leaving(0));
     expect_that!(states(&client).await, eq(&shown(State::Leaving)));
 }
 
@@ -81,7 +81,7 @@
 #[tokio::test]
 async fn a_short_lag_passes() {
     let (handle, client) = open().await;
-    handle.switch(leaving(20));
+    handle.update(leaving(20));
     while states(&client).await != shown(State::Leaving) {}
 }
 
@@ -89,15 +89,15 @@
 #[tokio::test]
 async fn an_outage_is_an_error_until_it_ends() {
     let (handle, client) = open().await;
-    let outage = |outage| Switch {
+    let outage = |outage| Update {
         outage: Some(outage),
-        ..Switch::default()
+        ..Update::default()
     };
-    handle.switch(outage(true));
+    handle.update(outage(true));
     expect_that!(
         client.list().await,
         err(pat!(Error::Read(pat!(HttpError::Disconnected(_)))))
     );
-    handle.switch(outage(false));
+    handle.update(outage(false));
     expect_that!(states(&client).await, eq(&shown(State::Live)));
 }
