--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -62,7 +62,7 @@
     /// Admits a request; it waits for its turn on a task of its own.
     pub(crate) fn admit(self: &Arc<Self>, prompt: Prompt) -> (u64, Arc<Stream>) {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
-        let run = self.journal.arrive(&prompt.op);
+        let run = self.journal.record_arrival(&prompt.op);
         let stream = Arc::new(Stream::new(prompt, run));
         self.streams.lock().insert(id, Arc::clone(&stream));
         tokio::spawn(Arc::clone(self).run(id, Arc::clone(&stream)));
@@ -73,7 +73,7 @@
         let generation = self.generate(&stream);
         let ended = stream.cancel.run_until_cancelled(generation).await;
         let stage = ended.map_or(Stage::Cancelled, |()| Stage::Complete);
-        self.journal.end(stream.run, stage);
+        self.journal.record_end(stream.run, stage);
         // A whole answer stays readable for those who resume.
         sleep(self.settings.resume_timeout).await;
         self.streams.lock().remove(&id);
@@ -81,13 +81,13 @@
 
     async fn generate(&self, stream: &Stream) {
         let _slot = self.slot().await;
-        self.journal.start(stream.run);
+        self.journal.record_start(stream.run);
         let missing = self.cache.lock().read(&stream.prompt.text);
         let mut due = Instant::now() + self.settings.prefill_time * missing;
         for produced in 1..=stream.prompt.tokens {
             due += self.settings.token_time;
             sleep_until(due).await;
-            self.journal.add(stream.run, 1);
+            self.journal.record_tokens(stream.run, 1);
             stream.produced.send_replace(produced);
         }
     }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server shared by the stand-ins.
+//! HTTP server of the stand-ins.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,6 +8,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::{TokioExecutor, TokioIo};
@@ -18,13 +19,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// An answer.
+/// A response with its body.
 pub type Response = hyper::Response<Body>;
 
-/// A listening server; dropping it closes the port and every connection.
+/// A running server. Dropping it closes the port and all connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -32,19 +33,19 @@
     stop: DropGuard,
 }
 
-/// Ends every connection there is when cancelled.
+/// Token whose cancellation closes the current connections.
 type Connections = Arc<Mutex<CancellationToken>>;
 
-/// Marks an answer that is not to be given: the connection is cut instead.
+/// Extension that marks a response made by [`abort`].
 #[derive(Clone, Copy, Debug)]
 struct Abort;
 
 impl Server {
-    /// Binds a port and answers each request, read whole, by `handler`.
+    /// Binds an address and serves requests with `handler`, which gets the whole request body.
     ///
     /// # Errors
     ///
-    /// What the operating system says when the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind<H, F>(address: SocketAddr, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Bytes>) -> F + Clone + Send + Sync + 'static,
@@ -63,7 +64,7 @@
         })
     }
 
-    /// Cuts every connection there is.
+    /// Closes all connections but keeps the port open.
     pub fn disconnect(&self) {
         let mut connections = self.connections.lock();
         connections.cancel();
@@ -87,8 +88,8 @@
             continue;
         };
         let serving = serve(stream, handler.clone());
-        let cut = connections.lock().clone();
-        tokio::spawn(cut.run_until_cancelled_owned(serving));
+        let disconnected = connections.lock().clone();
+        tokio::spawn(disconnected.run_until_cancelled_owned(serving));
     }
 }
 
@@ -98,59 +99,57 @@
     F: Future<Output = Response> + Send + 'static,
 {
     stream.set_nodelay(true).ok();
-    let service = service_fn(move |request| answer(request, handler.clone()));
+    let service = service_fn(move |request| respond(request, handler.clone()));
     let builder = auto::Builder::new(TokioExecutor::new());
     let connection = builder.serve_connection(TokioIo::new(stream), service);
-    // A broken connection is the client's to notice.
+    // The client detects a broken connection itself.
     connection.await.ok();
 }
 
-async fn answer<H, F>(request: Request<Incoming>, handler: H) -> io::Result<Response>
+async fn respond<H, F>(request: Request<Incoming>, handler: H) -> io::Result<Response>
 where
     H: Fn(Request<Bytes>) -> F,
     F: Future<Output = Response>,
 {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let reply = handler(Request::from_parts(head, body)).await;
-    if reply.extensions().get::<Abort>().is_some() {
+    let response = handler(Request::from_parts(head, body)).await;
+    if response.extensions().get::<Abort>().is_some() {
         return Err(io::ErrorKind::ConnectionAborted.into());
     }
-    Ok(reply)
+    Ok(response)
 }
 
-/// Has the connection cut instead of an answer.
+/// Makes the server close the connection without a response.
 #[must_use]
 pub fn abort() -> Response {
-    let mut reply = Response::new(full_body(Bytes::new()));
-    reply.extensions_mut().insert(Abort);
-    reply
+    let mut response = Response::new(full_body(Bytes::new()));
+    response.extensions_mut().insert(Abort);
+    response
 }
 
-/// A body held in memory.
+/// A body whose bytes are all available.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A JSON answer.
+/// A JSON response.
 ///
 /// # Panics
 ///
-/// When `value` has no JSON form.
+/// If `value` cannot be serialized as JSON.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response {
-    let text = serde_json::to_vec(value).expect("stand-ins answer what has a JSON form");
-    let mut reply = Response::new(full_body(text));
-    *reply.status_mut() = status;
-    let json = hyper::header::HeaderValue::from_static("application/json");
-    reply
-        .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, json);
-    reply
+    let text = serde_json::to_vec(value).expect("responses serialize as JSON");
+    let mut response = Response::new(full_body(text));
+    *response.status_mut() = status;
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
 
-/// A JSON error in the API's usual form.
+/// An error response in the format of the `OpenAI` API.
 #[must_use]
 pub fn error(status: StatusCode, message: &str) -> Response {
     let error =
@@ -158,11 +157,11 @@
     json(status, &json!({ "error": error }))
 }
 
-/// A request's body as JSON.
+/// Parses the body of a request as JSON.
 ///
 /// # Errors
 ///
-/// The refusal to send when it is not JSON.
+/// The error response if the body is not valid JSON.
 pub fn parse_json(request: &Request<Bytes>) -> Result<Value, Box<Response>> {
     serde_json::from_slice(request.body())
         .map_err(|cause| Box::new(error(StatusCode::BAD_REQUEST, &cause.to_string())))
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for outside systems and a launcher of real processes, for tests only.
+//! Stand-ins for external systems, and a launcher of fleets of real processes.
+//! For tests only.
 
 pub mod engine;
 pub mod fleet;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service whose calls may not be repeated: it counts how often each ran.
+//! A plain service whose calls are not idempotent. It counts the runs of each call.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,33 +20,33 @@
 }
 
 impl Service {
-    /// Binds a service whose calls take `latency` and count as `cost` tokens.
+    /// Starts a service whose calls take `latency` and cost `cost` tokens.
     ///
     /// # Errors
     ///
-    /// What the operating system says when the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr, latency: Duration, cost: u32) -> io::Result<Self> {
         let journal = Arc::new(Journal::default());
         let shared = Arc::clone(&journal);
-        let handler = move |request| answer(request, Arc::clone(&shared), latency, cost);
+        let handler = move |request| respond(request, Arc::clone(&shared), latency, cost);
         let server = Server::bind(address, handler).await?;
         Ok(Self { server, journal })
     }
 
-    /// The bound address.
+    /// Address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// What it ran.
+    /// Record of the calls that the service ran.
     #[must_use]
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
 }
 
-async fn answer(
+async fn respond(
     request: Request<Bytes>,
     journal: Arc<Journal>,
     latency: Duration,
@@ -59,24 +59,27 @@
     }
     let body = match http::parse_json(&request) {
         Ok(body) => body,
-        Err(refusal) => return *refusal,
+        Err(response) => return *response,
     };
     let Some(op) = body["op"].as_str() else {
         return http::error(StatusCode::BAD_REQUEST, "field op is missing");
     };
-    // Runs on a task of its own: a call has its effect though its caller is gone.
+    // Spawned so that the call completes even if the caller disconnects.
     let run = tokio::spawn(run(journal, op.to_owned(), latency, cost));
-    let ran = run.await.unwrap_or_default();
+    let run_count = run.await.unwrap_or_default();
     let path = request.uri().path();
-    http::json(StatusCode::OK, &json!({"op": op, "path": path, "ran": ran}))
+    http::json(
+        StatusCode::OK,
+        &json!({"op": op, "path": path, "ran": run_count}),
+    )
 }
 
-/// Runs a call; returns how often its identity has run, this time included.
+/// Runs a call and returns how often it has run, including this time.
 async fn run(journal: Arc<Journal>, op: String, latency: Duration, cost: u32) -> usize {
-    let index = journal.arrive(&op);
-    journal.start(index);
+    let index = journal.record_arrival(&op);
+    journal.record_start(index);
     tokio::time::sleep(latency).await;
-    journal.add(index, cost);
-    journal.end(index, Stage::Complete);
+    journal.record_tokens(index, cost);
+    journal.record_end(index, Stage::Complete);
     journal.runs().iter().filter(|run| run.op == op).count()
 }
