--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,9 +1,9 @@
-//! A model engine: continuous batching without priorities.
+//! An inference engine with continuous batching and first-come, first-served scheduling.
 
 mod api;
 mod cache;
+mod command;
 mod core;
-mod order;
 mod prompt;
 mod settings;
 mod stream;
@@ -19,7 +19,7 @@
 
 pub use settings::Settings;
 
-/// A running model engine.
+/// A running inference engine.
 #[derive(Debug)]
 pub struct Engine {
     server: Server,
@@ -27,27 +27,27 @@
 }
 
 impl Engine {
-    /// Binds an engine.
+    /// Starts an engine.
     ///
     /// # Errors
     ///
-    /// What the operating system says when the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr, settings: Settings) -> io::Result<Self> {
         let core = Arc::new(Core::new(settings));
-        tokio::spawn(core::publish(Arc::downgrade(&core)));
+        tokio::spawn(core::publish_load(Arc::downgrade(&core)));
         let shared = Arc::clone(&core);
-        let handler = move |request| api::answer(Arc::clone(&shared), request);
+        let handler = move |request| api::respond(Arc::clone(&shared), request);
         let server = Server::bind(address, handler).await?;
         Ok(Self { server, core })
     }
 
-    /// The bound address.
+    /// Address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// What it ran.
+    /// Record of the requests that the engine ran.
     #[must_use]
     pub fn journal(&self) -> &Journal {
         self.core.journal()
--- a/crates/standin/src/engine/api.rs
+++ b/crates/standin/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! An engine's HTTP interface.
+//! HTTP API of an engine.
 
 use std::sync::Arc;
 
@@ -9,26 +9,26 @@
 
 use crate::http::{self, Response};
 
+use super::command::Command;
 use super::core::Core;
-use super::order::Order;
-use super::prompt::{Form, Prompt};
+use super::prompt::{Api, Prompt};
 use super::stream;
 
-/// Response header that names a stream for resume and cancel.
+/// Response header with the ID of a stream, by which it can be resumed or cancelled.
 const STREAM_ID: &str = "x-stream-id";
 /// Path prefix of streams.
-const STREAMS: &str = "/v1/streams/";
+const STREAM_PREFIX: &str = "/v1/streams/";
 
-/// Answers one request.
-pub(crate) async fn answer(core: Arc<Core>, request: Request<Bytes>) -> Response {
+/// Handles a request.
+pub(crate) async fn respond(core: Arc<Core>, request: Request<Bytes>) -> Response {
     let path = request.uri().path();
-    if let Some(id) = path.strip_prefix(STREAMS) {
-        return resume(&core, &request, id);
+    if let Some(id) = path.strip_prefix(STREAM_PREFIX) {
+        return resume_or_cancel(&core, &request, id);
     }
     match (request.method(), path) {
-        (&Method::POST, "/v1/chat/completions") => complete(&core, &request, Form::Chat).await,
-        (&Method::POST, "/v1/completions") => complete(&core, &request, Form::Text).await,
-        (&Method::POST, "/v1/orders") => order(&core, &request),
+        (&Method::POST, "/v1/chat/completions") => complete(&core, &request, Api::Chat).await,
+        (&Method::POST, "/v1/completions") => complete(&core, &request, Api::Completions).await,
+        (&Method::POST, "/v1/orders") => command(&core, &request),
         (&Method::GET, "/v1/models") => http::json(StatusCode::OK, &models(&core)),
         (&Method::GET, "/load") => http::json(StatusCode::OK, &*core.load.lock()),
         (&Method::GET, "/runs") => http::json(StatusCode::OK, &core.journal().runs()),
@@ -37,33 +37,35 @@
     }
 }
 
-async fn complete(core: &Arc<Core>, request: &Request<Bytes>, form: Form) -> Response {
+async fn complete(core: &Arc<Core>, request: &Request<Bytes>, api: Api) -> Response {
     let body = match http::parse_json(request) {
         Ok(body) => body,
-        Err(refusal) => return *refusal,
+        Err(response) => return *response,
     };
-    let prompt = match Prompt::parse(form, &body) {
+    let prompt = match Prompt::parse(api, &body) {
         Ok(prompt) => prompt,
         Err(reason) => return http::error(StatusCode::BAD_REQUEST, reason),
     };
-    if !core.orders.models().contains(&prompt.model) {
+    if !core.config.models().contains(&prompt.model) {
         return http::error(StatusCode::NOT_FOUND, "no such model");
     }
-    let streamed = prompt.stream;
+    let is_streamed = prompt.is_streamed;
     let (id, stream) = core.admit(prompt);
-    let mut reply = if streamed {
+    let mut response = if is_streamed {
         sse(stream::events(&stream, 0, core.settings.resume_timeout))
     } else {
-        match stream::whole(&stream).await {
-            Some(answer) => http::json(StatusCode::OK, &answer),
+        match stream::completion(&stream).await {
+            Some(completion) => http::json(StatusCode::OK, &completion),
             None => http::error(StatusCode::CONFLICT, "cancelled"),
         }
     };
-    reply.headers_mut().insert(STREAM_ID, HeaderValue::from(id));
-    reply
+    response
+        .headers_mut()
+        .insert(STREAM_ID, HeaderValue::from(id));
+    response
 }
 
-fn resume(core: &Core, request: &Request<Bytes>, id: &str) -> Response {
+fn resume_or_cancel(core: &Core, request: &Request<Bytes>, id: &str) -> Response {
     let stream = id.parse().ok().and_then(|id| core.stream(id));
     let Some(stream) = stream else {
         return http::error(StatusCode::NOT_FOUND, "no such stream");
@@ -81,21 +83,21 @@
 }
 
 fn sse(body: http::Body) -> Response {
-    let mut reply = Response::new(body);
-    let kind = HeaderValue::from_static("text/event-stream");
-    reply.headers_mut().insert(CONTENT_TYPE, kind);
-    reply
+    let mut response = Response::new(body);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
 
-fn order(core: &Core, request: &Request<Bytes>) -> Response {
-    match serde_json::from_slice::<Order>(request.body()) {
-        Ok(order) => core.orders.obey(order),
+fn command(core: &Core, request: &Request<Bytes>) -> Response {
+    match serde_json::from_slice::<Command>(request.body()) {
+        Ok(command) => core.config.apply(command),
         Err(error) => http::error(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
 fn models(core: &Core) -> Value {
-    let models = core.orders.models();
+    let models = core.config.models();
     let data: Vec<Value> = models
         .iter()
         .map(|model| json!({"id": model, "object": "model", "created": 0, "owned_by": "standin"}))
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,17 +1,19 @@
-//! Prompt-prefix cache of limited memory.
+//! Prompt prefix cache with least-recently-used eviction.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hasher};
 
 /// Size of a prompt block, in bytes.
-const BLOCK: usize = 64;
+const BLOCK_BYTES: usize = 64;
 
-/// Cached prompt blocks, the least recently used dropped first.
+/// Cached prompt blocks.
 #[derive(Debug)]
 pub(crate) struct Cache {
     capacity: usize,
+    /// Number of block accesses.
     clock: u64,
-    used: HashMap<u64, u64>,
+    /// Time of the last access by hash of the prefix that ends with the block.
+    last_access: HashMap<u64, u64>,
 }
 
 impl Cache {
@@ -19,30 +21,30 @@
         Self {
             capacity,
             clock: 0,
-            used: HashMap::new(),
+            last_access: HashMap::new(),
         }
     }
 
-    /// Reads a prompt into the cache; returns how many of its blocks were missing.
-    pub(crate) fn read(&mut self, prompt: &str) -> u32 {
+    /// Adds a prompt to the cache and returns the number of blocks that were missing.
+    pub(crate) fn insert(&mut self, prompt: &str) -> u32 {
         let mut prefix = DefaultHasher::new();
-        let mut missing = 0;
-        for block in prompt.as_bytes().chunks(BLOCK) {
+        let mut misses = 0;
+        for block in prompt.as_bytes().chunks(BLOCK_BYTES) {
             prefix.write(block);
-            missing += u32::from(self.touch(prefix.finish()));
+            misses += u32::from(self.insert_block(prefix.finish()));
         }
-        missing
+        misses
     }
 
-    /// Marks a block as just used; returns whether it was missing.
-    fn touch(&mut self, block: u64) -> bool {
+    /// Adds a block or updates its access time. Returns whether it was missing.
+    fn insert_block(&mut self, block: u64) -> bool {
         self.clock += 1;
-        let missing = self.used.insert(block, self.clock).is_none();
-        if self.used.len() > self.capacity {
-            let oldest = self.used.iter().min_by_key(|(_, used)| **used);
+        let is_missing = self.last_access.insert(block, self.clock).is_none();
+        if self.last_access.len() > self.capacity {
+            let oldest = self.last_access.iter().min_by_key(|(_, time)| **time);
             let oldest = oldest.map(|(block, _)| *block);
-            oldest.and_then(|block| self.used.remove(&block));
+            oldest.and_then(|block| self.last_access.remove(&block));
         }
-        missing
+        is_missing
     }
 }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -1,25 +1,26 @@
-//! Settings of an engine.
+//! Engine settings.
 
 use std::time::Duration;
 
-/// How an engine behaves.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Names of the models it serves.
+    /// Models that it serves.
     pub models: Vec<String>,
-    /// Requests run at once; more wait in order of arrival.
+    /// Maximum number of concurrent requests. Further requests wait in order of arrival.
     pub batch_size: usize,
-    /// Time of one token.
+    /// Time to generate a token.
     pub token_time: Duration,
-    /// Time to read one prompt block that is not cached.
+    /// Time to prefill a prompt block that is not cached.
     pub prefill_time: Duration,
-    /// Prompt blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in prompt blocks.
     pub cache_blocks: usize,
-    /// Age of the load report.
+    /// Interval between updates of the load report.
     pub load_interval: Duration,
-    /// How long a stream without readers goes on before it is cancelled.
+    /// Time after which a stream without readers is cancelled, and for which a complete response
+    /// stays readable.
     pub resume_timeout: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether commands with a stale fencing token are rejected.
     pub fencing: bool,
 }
 
