--- a/crates/standin/examples/engine.rs
+++ b/crates/standin/examples/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine stand-in as a process.
+//! Runs the stand-in of an inference engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/standin/examples/kv.rs
+++ b/crates/standin/examples/kv.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory behind the JSON gateway of etcd v3.
+//! Runs the stand-in of the key-value service.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 /// Command line.
 #[derive(Debug, Options)]
-struct Line {
+struct Flags {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "where to listen")]
@@ -16,8 +16,8 @@
 
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
-    let line = Line::parse_args_default_or_exit();
-    let address = line.listen.unwrap_or(([127, 0, 0, 1], 0).into());
+    let flags = Flags::parse_args_default_or_exit();
+    let address = flags.listen.unwrap_or(([127, 0, 0, 1], 0).into());
     let handle = Store::bind(address).await?;
     println!("listening {}", handle.address());
     tokio::signal::ctrl_c().await
--- a/crates/standin/examples/service.rs
+++ b/crates/standin/examples/service.rs
@@ -1,4 +1,4 @@
-//! A plain service stand-in as a process.
+//! Runs the stand-in of a plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/standin/examples/vms.rs
+++ b/crates/standin/examples/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list.
+//! Runs the stand-in of the platform's VM list.
 
 use std::fs;
 use std::io;
@@ -11,7 +11,7 @@
 
 /// Command line.
 #[derive(Debug, Options)]
-struct Line {
+struct Flags {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "where to listen")]
@@ -24,18 +24,18 @@
 
 #[tokio::main]
 async fn main() -> io::Result<()> {
-    let line = Line::parse_args_default_or_exit();
-    let address = line.listen.unwrap_or(([127, 0, 0, 1], 0).into());
-    let handle = List::bind(address, read(line.vms)?).await?;
+    let flags = Flags::parse_args_default_or_exit();
+    let address = flags.listen.unwrap_or(([127, 0, 0, 1], 0).into());
+    let handle = List::bind(address, read_vms(flags.vms)?).await?;
     handle.update(Update {
-        lag_ms: Some(line.lag_ms),
+        lag_ms: Some(flags.lag_ms),
         ..Update::default()
     });
     println!("listening {}", handle.address());
     tokio::signal::ctrl_c().await
 }
 
-fn read(path: Option<PathBuf>) -> io::Result<Vec<Vm>> {
+fn read_vms(path: Option<PathBuf>) -> io::Result<Vec<Vm>> {
     let Some(path) = path else {
         return Ok(Vec::new());
     };
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: batch limit, streams, resume, cancel, cache, orders.
+//! Stand-in of the inference engine.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -14,7 +14,9 @@
 use mulberryyoke_standin::journal::Stage;
 use serde_json::{Value, json};
 
-async fn bind(settings: Settings) -> Engine {
+const CHAT_PATH: &str = "/v1/chat/completions";
+
+async fn spawn(settings: Settings) -> Engine {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     Engine::bind(address, settings).await.expect("port 0")
 }
@@ -27,26 +29,30 @@
     client
         .request(request.expect("request"))
         .await
-        .expect("answer")
-}
-
-async fn text(reply: Response<Incoming>) -> String {
-    let body = reply.into_body().collect().await.expect("whole body");
-    String::from_utf8(body.to_bytes().to_vec()).expect("UTF-8")
+        .expect("response")
 }
 
-fn ask(op: &str, tokens: u32, stream: bool) -> Value {
-    json!({
+async fn send_chat(
+    engine: &Engine,
+    op: &str,
+    tokens: u32,
+    is_streamed: bool,
+) -> Response<Incoming> {
+    let body = json!({
         "model": "assistant",
         "messages": [{"role": "user", "content": "hello"}],
-        "stream": stream,
+        "stream": is_streamed,
         "standin": {"op": op, "tokens": tokens},
-    })
+    });
+    send(engine, Method::POST, CHAT_PATH, &body).await
 }
 
-const CHAT: &str = "/v1/chat/completions";
+async fn body_text(response: Response<Incoming>) -> String {
+    let body = response.into_body().collect().await.expect("complete body");
+    String::from_utf8(body.to_bytes().to_vec()).expect("UTF-8")
+}
 
-fn quick() -> Settings {
+fn fast_settings() -> Settings {
     Settings {
         token_time: Duration::from_millis(1),
         ..Settings::default()
@@ -54,10 +60,10 @@
 }
 
 #[tokio::test]
-async fn streams_every_token_once_in_order() {
-    let engine = bind(quick()).await;
-    let reply = send(&engine, Method::POST, CHAT, &ask("a/1", 5, true)).await;
-    let body = text(reply).await;
+async fn streams_every_token_once_and_in_order() {
+    let engine = spawn(fast_settings()).await;
+    let response = send_chat(&engine, "a/1", 5, true).await;
+    let body = body_text(response).await;
     let events: Vec<&str> = body.split_terminator("\n\n").collect();
     assert_that!(events, len(eq(6)));
     for (index, event) in events[..5].iter().enumerate() {
@@ -67,26 +73,26 @@
 }
 
 #[tokio::test]
-async fn answers_whole() {
-    let engine = bind(quick()).await;
-    let reply = send(&engine, Method::POST, CHAT, &ask("a/1", 3, false)).await;
-    let answer: Value = serde_json::from_str(&text(reply).await).expect("JSON");
-    let content = &answer["choices"][0]["message"]["content"];
+async fn returns_a_complete_response_without_streaming() {
+    let engine = spawn(fast_settings()).await;
+    let response = send_chat(&engine, "a/1", 3, false).await;
+    let completion: Value = serde_json::from_str(&body_text(response).await).expect("JSON");
+    let content = &completion["choices"][0]["message"]["content"];
     assert_that!(content, eq(&json!("a/1:0 a/1:1 a/1:2 ")));
-    assert_that!(answer["usage"]["completion_tokens"], eq(&json!(3)));
+    assert_that!(completion["usage"]["completion_tokens"], eq(&json!(3)));
 }
 
 #[tokio::test]
-async fn runs_no_more_than_the_batch_at_once_in_order_of_arrival() {
-    let engine = bind(Settings {
+async fn limits_concurrent_requests_and_runs_them_in_order_of_arrival() {
+    let engine = spawn(Settings {
         batch_size: 1,
-        ..quick()
+        ..fast_settings()
     })
     .await;
-    let first = send(&engine, Method::POST, CHAT, &ask("a/1", 20, true)).await;
-    let second = send(&engine, Method::POST, CHAT, &ask("a/2", 1, true)).await;
-    let third = send(&engine, Method::POST, CHAT, &ask("a/3", 1, true)).await;
-    let (_, _, _) = tokio::join!(text(first), text(second), text(third));
+    let first = send_chat(&engine, "a/1", 20, true).await;
+    let second = send_chat(&engine, "a/2", 1, true).await;
+    let third = send_chat(&engine, "a/3", 1, true).await;
+    let (_, _, _) = tokio::join!(body_text(first), body_text(second), body_text(third));
     let runs = engine.journal().runs();
     assert_that!(runs, len(eq(3)));
     for pair in runs.windows(2) {
@@ -95,54 +101,54 @@
 }
 
 #[tokio::test]
-async fn resumes_from_a_token() {
-    let engine = bind(quick()).await;
-    let mut reply = send(&engine, Method::POST, CHAT, &ask("a/1", 4, true)).await;
-    let id = reply.headers()["x-stream-id"]
+async fn resumes_a_stream_from_a_token_index() {
+    let engine = spawn(fast_settings()).await;
+    let mut response = send_chat(&engine, "a/1", 4, true).await;
+    let id = response.headers()["x-stream-id"]
         .to_str()
         .expect("text")
         .to_owned();
-    reply.body_mut().frame().await;
-    drop(reply);
+    response.body_mut().frame().await;
+    drop(response);
     let path = format!("/v1/streams/{id}?from=2");
-    let rest = text(send(&engine, Method::GET, &path, &Value::Null).await).await;
-    assert_that!(rest, starts_with("data: "));
-    assert_that!(rest, contains_substring("a/1:2 "));
-    assert_that!(rest, not(contains_substring("a/1:1 ")));
-    assert_that!(rest, ends_with("data: [DONE]\n\n"));
+    let remaining = body_text(send(&engine, Method::GET, &path, &Value::Null).await).await;
+    assert_that!(remaining, starts_with("data: "));
+    assert_that!(remaining, contains_substring("a/1:2 "));
+    assert_that!(remaining, not(contains_substring("a/1:1 ")));
+    assert_that!(remaining, ends_with("data: [DONE]\n\n"));
 }
 
 #[tokio::test]
-async fn cancels_on_order_and_breaks_the_stream_off() {
-    let engine = bind(Settings {
+async fn aborts_the_response_of_a_cancelled_stream() {
+    let engine = spawn(Settings {
         token_time: Duration::from_hours(1),
-        ..quick()
+        ..fast_settings()
     })
     .await;
-    let reply = send(&engine, Method::POST, CHAT, &ask("a/1", 4, true)).await;
-    let id = reply.headers()["x-stream-id"]
+    let response = send_chat(&engine, "a/1", 4, true).await;
+    let id = response.headers()["x-stream-id"]
         .to_str()
         .expect("text")
         .to_owned();
     let path = format!("/v1/streams/{id}");
-    let told = send(&engine, Method::DELETE, &path, &Value::Null).await;
-    assert_that!(told.status(), eq(StatusCode::OK));
-    assert_that!(reply.into_body().collect().await.is_err(), eq(true));
+    let cancelled = send(&engine, Method::DELETE, &path, &Value::Null).await;
+    assert_that!(cancelled.status(), eq(StatusCode::OK));
+    assert_that!(response.into_body().collect().await.is_err(), eq(true));
 }
 
 #[tokio::test]
-async fn cancels_when_the_last_reader_goes() {
+async fn cancels_a_stream_when_its_last_reader_disconnects() {
     let settings = Settings {
         batch_size: 1,
         token_time: Duration::from_hours(1),
         resume_timeout: Duration::ZERO,
-        ..quick()
+        ..fast_settings()
     };
-    let engine = bind(settings).await;
-    let reply = send(&engine, Method::POST, CHAT, &ask("a/1", 4, true)).await;
-    drop(reply);
-    // The slot comes free only by the cancellation.
-    let next = send(&engine, Method::POST, CHAT, &ask("a/2", 1, true)).await;
+    let engine = spawn(settings).await;
+    let response = send_chat(&engine, "a/1", 4, true).await;
+    drop(response);
+    // The only slot becomes free by the cancellation.
+    let next = send_chat(&engine, "a/2", 1, true).await;
     while engine.journal().runs()[1].stage == Stage::Waiting {
         tokio::task::yield_now().await;
     }
@@ -151,20 +157,24 @@
 }
 
 #[tokio::test]
-async fn refuses_old_fencing_numbers_only_when_told_to() {
+async fn rejects_stale_fencing_tokens_only_if_enabled() {
     for (fencing, expected) in [(true, StatusCode::CONFLICT), (false, StatusCode::OK)] {
-        let engine = bind(Settings { fencing, ..quick() }).await;
-        let order = |fence| json!({"order": "load", "name": "other", "fence": fence});
-        let new = send(&engine, Method::POST, "/v1/orders", &order(2)).await;
-        assert_that!(new.status(), eq(StatusCode::OK));
-        let old = send(&engine, Method::POST, "/v1/orders", &order(1)).await;
-        assert_that!(old.status(), eq(expected));
+        let engine = spawn(Settings {
+            fencing,
+            ..fast_settings()
+        })
+        .await;
+        let command = |fence| json!({"order": "load", "name": "other", "fence": fence});
+        let newer = send(&engine, Method::POST, "/v1/orders", &command(2)).await;
+        assert_that!(newer.status(), eq(StatusCode::OK));
+        let stale = send(&engine, Method::POST, "/v1/orders", &command(1)).await;
+        assert_that!(stale.status(), eq(expected));
     }
 }
 
 #[tokio::test]
-async fn refuses_bad_requests() {
-    let engine = bind(quick()).await;
+async fn rejects_invalid_requests() {
+    let engine = spawn(fast_settings()).await;
     for (body, status) in [
         (
             json!({"model": "other", "messages": []}),
@@ -173,7 +183,7 @@
         (json!({"messages": []}), StatusCode::BAD_REQUEST),
         (json!("text"), StatusCode::BAD_REQUEST),
     ] {
-        let reply = send(&engine, Method::POST, CHAT, &body).await;
-        assert_that!(reply.status(), eq(status));
+        let response = send(&engine, Method::POST, CHAT_PATH, &body).await;
+        assert_that!(response.status(), eq(status));
     }
 }
