--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,22 +1,21 @@
-//! A key-value service in memory behind the JSON gateway of etcd v3, with switches
-//! for faults.
+//! In-memory key-value service with the JSON gateway of etcd v3 and fault injection.
 
-mod answer;
+mod api;
 mod compare;
 mod data;
-mod fault;
+mod encoding;
+mod error;
+mod execute;
+mod faults;
 mod handle;
 mod lease;
-mod number;
 mod request;
-mod service;
 mod stats;
 mod store;
-mod switch;
 mod value;
 mod watcher;
 
+pub use self::faults::{Action, Faults, ScriptedResponse};
 pub use self::handle::Handle;
 pub use self::stats::Stats;
 pub use self::store::Store;
-pub use self::switch::{Action, Faults, ScriptedResponse};
--- a/crates/standin/src/kv/compare.rs
+++ b/crates/standin/src/kv/compare.rs
@@ -1,23 +1,23 @@
-//! Conditions of a transaction. Only those of equality are carried out.
+//! Conditions of a transaction. Only equality is supported.
 
 use serde::Deserialize;
 
-use crate::kv::number;
+use crate::kv::encoding;
 use crate::kv::value::Value;
 
 /// A condition on one key.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Compare {
-    #[serde(deserialize_with = "number::bytes")]
+    #[serde(deserialize_with = "encoding::bytes")]
     pub key: Vec<u8>,
     target: Target,
     result: Relation,
-    #[serde(alias = "createRevision", deserialize_with = "number::number")]
+    #[serde(alias = "createRevision", deserialize_with = "encoding::number")]
     create_revision: u64,
-    #[serde(alias = "modRevision", deserialize_with = "number::number")]
+    #[serde(alias = "modRevision", deserialize_with = "encoding::number")]
     mod_revision: u64,
-    #[serde(deserialize_with = "number::number")]
+    #[serde(deserialize_with = "encoding::number")]
     version: u64,
 }
 
@@ -38,13 +38,13 @@
 }
 
 impl Compare {
-    /// Whether the condition holds for what is there now.
-    pub(crate) fn holds(&self, held: Option<&Value>) -> bool {
+    /// Whether the condition holds for the current value of the key.
+    pub(crate) fn holds(&self, current: Option<&Value>) -> bool {
         let Relation::Equal = self.result;
         match self.target {
-            Target::Version => held.map_or(0, |held| held.version) == self.version,
-            Target::Create => held.map_or(0, |held| held.created) == self.create_revision,
-            Target::Mod => held.map_or(0, |held| held.modified) == self.mod_revision,
+            Target::Version => current.map_or(0, |value| value.version) == self.version,
+            Target::Create => current.map_or(0, |value| value.created) == self.create_revision,
+            Target::Mod => current.map_or(0, |value| value.modified) == self.mod_revision,
         }
     }
 }
--- a/crates/standin/src/kv/switch.rs
+++ b/crates/standin/src/kv/faults.rs
@@ -1,57 +1,57 @@
-//! Switches for faults.
+//! Fault injection.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults to switch on or off; a field that is left out changes nothing.
+/// Update of the injected faults. Omitted fields keep their value.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Every connection is cut, and every later one at its first call.
+    /// Whether the service is unavailable: closes all connections, and new ones on their first
+    /// call.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub outage: Option<bool>,
-    /// Time before a call takes effect, in milliseconds. It takes effect even if the
-    /// caller has gone by then.
+    /// Delay before a call takes effect, in milliseconds. The call takes effect even if the client
+    /// disconnects meanwhile.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub delay_ms: Option<u64>,
-    /// How many of the next writes take effect and have their connection cut before
-    /// the answer.
+    /// Number of following writes that take effect but whose connection is closed without a
+    /// response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lose_answers: Option<u64>,
-    /// Answers that take the place of the next ones.
+    /// Fixed response to the following calls.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fail: Option<ScriptedResponse>,
-    /// Time between signs of life on a watch that asked for them, in milliseconds.
+    /// Interval of progress notifications on watches that request them, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub progress_ms: Option<u64>,
-    /// Orders to carry out once, in turn.
+    /// Actions to execute once, in order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub once: Vec<Action>,
 }
 
-/// An order to carry out once.
+/// Action that is executed once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Keep the present contents for `Restore`.
+    /// Saves a snapshot of the contents.
     Snapshot,
-    /// Come back with the contents of the last snapshot (empty without one); every
-    /// connection is cut.
+    /// Restores the last snapshot, or the initial contents without one, and closes all connections.
     Restore,
-    /// Let all leases lapse.
+    /// Expires all leases.
     #[serde(rename = "lapse_leases")]
     ExpireLeases,
-    /// Forget all history.
+    /// Compacts the history up to the current revision.
     Compact,
-    /// Cut every connection there is.
+    /// Closes all connections.
     #[serde(rename = "cut")]
     Disconnect,
 }
 
-/// Answers that take the place of the next ones; their calls have no effect.
+/// Fixed response to the following calls, which have no effect.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScriptedResponse {
-    /// How many.
+    /// Number of calls.
     pub times: u64,
     /// HTTP status code.
     pub status: u16,
--- a/crates/standin/src/kv/handle.rs
+++ b/crates/standin/src/kv/handle.rs
@@ -1,4 +1,4 @@
-//! A running key-value service.
+//! Handle of a running key-value service.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use crate::http::Server;
 use crate::kv::{Faults, Stats, Store};
 
-/// A running key-value service. Dropping it ends the service.
+/// A running key-value service. Dropping it stops the service.
 #[derive(Debug)]
 pub struct Handle {
     store: Arc<Store>,
@@ -18,35 +18,35 @@
         Self { store, server }
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches faults on or off.
-    pub fn set_faults(&self, switch: &Faults) {
-        self.store.set_faults(switch);
+    /// Updates the injected faults.
+    pub fn set_faults(&self, faults: &Faults) {
+        self.store.set_faults(faults);
     }
 
-    /// Counts since the start.
+    /// Statistics since the start.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.store.stats()
     }
 
-    /// Waits until a number of watches are waiting.
+    /// Waits until exactly `count` watches are open.
     pub async fn wait_for_watches(&self, count: u64) {
         self.store.wait_for_watches(count).await;
     }
 
-    /// Waits until a number of calls of a method have arrived.
+    /// Waits until at least `count` calls of a method have arrived.
     pub async fn wait_for_calls(&self, method: &str, count: u64) {
         self.store.wait_for_calls(method, count).await;
     }
 
-    /// Closes the port, so that connections are refused. Returns the contents, which
-    /// `Store::rebind` serves again.
+    /// Closes the port, so that connections are refused, and returns the store, which
+    /// [`Store::rebind`] can serve again.
     #[must_use]
     pub fn stop(self) -> Arc<Store> {
         self.store
--- a/crates/standin/src/kv/request.rs
+++ b/crates/standin/src/kv/request.rs
@@ -1,26 +1,26 @@
-//! Requests to the gateway. Field names are taken in both of its forms; an option
-//! that the stand-in does not carry out is an error.
+//! Requests to the gateway. Field names may be in snake case or camel case. Unsupported options
+//! are errors.
 
 use serde::Deserialize;
 
 use crate::kv::compare::Compare;
-use crate::kv::number;
+use crate::kv::encoding;
 
-/// Reads keys.
+/// Reads or deletes a range of keys.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Range {
-    #[serde(deserialize_with = "number::bytes")]
+    #[serde(deserialize_with = "encoding::bytes")]
     pub key: Vec<u8>,
     #[serde(
         rename = "range_end",
         alias = "rangeEnd",
-        deserialize_with = "number::bytes"
+        deserialize_with = "encoding::bytes"
     )]
     pub end: Vec<u8>,
-    #[serde(deserialize_with = "number::number")]
+    #[serde(deserialize_with = "encoding::number")]
     pub limit: u64,
-    #[serde(deserialize_with = "number::number")]
+    #[serde(deserialize_with = "encoding::number")]
     pub revision: u64,
 }
 
@@ -28,11 +28,11 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Put {
-    #[serde(deserialize_with = "number::bytes")]
+    #[serde(deserialize_with = "encoding::bytes")]
     pub key: Vec<u8>,
-    #[serde(deserialize_with = "number::bytes")]
+    #[serde(deserialize_with = "encoding::bytes")]
     pub value: Vec<u8>,
-    #[serde(deserialize_with = "number::number")]
+    #[serde(deserialize_with = "encoding::number")]
     pub lease: u64,
 }
 
@@ -61,33 +61,33 @@
 #[serde(deny_unknown_fields)]
 pub(crate) struct Watch {
     #[serde(alias = "createRequest")]
-    pub create_request: Create,
+    pub create_request: CreateWatch,
 }
 
-/// What is watched.
+/// Parameters of a watch.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub(crate) struct Create {
-    #[serde(deserialize_with = "number::bytes")]
+pub(crate) struct CreateWatch {
+    #[serde(deserialize_with = "encoding::bytes")]
     pub key: Vec<u8>,
     #[serde(
         rename = "range_end",
         alias = "rangeEnd",
-        deserialize_with = "number::bytes"
+        deserialize_with = "encoding::bytes"
     )]
     pub end: Vec<u8>,
-    #[serde(alias = "startRevision", deserialize_with = "number::number")]
+    #[serde(alias = "startRevision", deserialize_with = "encoding::number")]
     pub start_revision: u64,
     #[serde(alias = "progressNotify")]
     pub progress_notify: bool,
 }
 
-/// Opens, renews or ends a lease.
+/// Grants, renews or revokes a lease.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Lease {
-    #[serde(rename = "ID", deserialize_with = "number::number")]
+    #[serde(rename = "ID", deserialize_with = "encoding::number")]
     pub id: u64,
-    #[serde(rename = "TTL", deserialize_with = "number::number")]
+    #[serde(rename = "TTL", deserialize_with = "encoding::number")]
     pub ttl_s: u64,
 }
--- a/crates/standin/src/kv/stats.rs
+++ b/crates/standin/src/kv/stats.rs
@@ -1,22 +1,22 @@
-//! Counts of calls.
+//! Statistics of calls.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Counts since the start. A watch counts as one call however long it waits.
+/// Statistics since the start. A watch counts as one call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Calls by method.
     pub calls: BTreeMap<String, u64>,
-    /// All calls together.
+    /// Total calls.
     pub total: u64,
-    /// Watches that wait now.
+    /// Open watches.
     pub watching: u64,
-    /// Answers lost after the write took effect.
+    /// Writes that took effect but whose response was dropped.
     pub lost_answers: u64,
-    /// The service's revision.
+    /// Current revision.
     pub revision: u64,
-    /// Keys held.
+    /// Number of keys.
     pub keys: usize,
 }
--- a/crates/standin/src/kv/store.rs
+++ b/crates/standin/src/kv/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service's state and switches.
+//! State of the key-value service.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,27 +13,27 @@
 use crate::kv::data::Data;
 use crate::kv::{Action, Faults, Handle, ScriptedResponse, Stats};
 
-/// Time between looks for lapsed leases, in milliseconds.
-const TICK_MS: u64 = 50;
+/// Interval between checks for expired leases, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 50;
 
-/// Time between signs of life on a watch, in milliseconds, as the real service has it.
-const PROGRESS_MS: u64 = 600_000;
+/// Default interval of progress notifications on watches, in milliseconds, as in etcd.
+const PROGRESS_INTERVAL_MS: u64 = 600_000;
 
-/// A key-value service in memory.
+/// In-memory key-value service.
 #[derive(Debug)]
 pub struct Store {
     pub(crate) data: Mutex<Data>,
     pub(crate) faults: watch::Sender<FaultState>,
-    /// The newest revision, to wake watches.
+    /// Current revision, which wakes watches.
     pub(crate) revision: watch::Sender<u64>,
-    /// Watches that wait now.
-    pub(crate) waiting: watch::Sender<u64>,
+    /// Number of open watches.
+    pub(crate) watches: watch::Sender<u64>,
     snapshot: Mutex<Data>,
     counts: watch::Sender<Counts>,
     server: Mutex<Weak<Server>>,
 }
 
-/// Faults that are switched on.
+/// Current faults.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FaultState {
     pub outage: bool,
@@ -54,17 +54,17 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> io::Result<Handle> {
         let data = Data::default();
         let store = Self {
             snapshot: Mutex::new(data.clone()),
             faults: watch::Sender::new(FaultState {
-                progress_ms: PROGRESS_MS,
+                progress_ms: PROGRESS_INTERVAL_MS,
                 ..FaultState::default()
             }),
             revision: watch::Sender::new(data.revision),
-            waiting: watch::Sender::new(0),
+            watches: watch::Sender::new(0),
             data: Mutex::new(data),
             counts: watch::Sender::default(),
             server: Mutex::default(),
@@ -72,62 +72,62 @@
         Arc::new(store).rebind(address).await
     }
 
-    /// Serves contents that were served before.
+    /// Serves a stopped store again.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn rebind(self: Arc<Self>, address: SocketAddr) -> io::Result<Handle> {
         let store = Arc::clone(&self);
-        let answer = move |request| Arc::clone(&store).answer(request);
-        let server = Arc::new(Server::bind(address, answer).await?);
+        let handler = move |request| Arc::clone(&store).respond(request);
+        let server = Arc::new(Server::bind(address, handler).await?);
         *self.server.lock() = Arc::downgrade(&server);
-        tokio::spawn(tick(Arc::downgrade(&self)));
+        tokio::spawn(expire_leases(Arc::downgrade(&self)));
         Ok(Handle::new(self, server))
     }
 
-    /// Switches faults on or off.
-    pub(crate) fn set_faults(&self, switch: &Faults) {
-        self.set(switch);
-        for order in &switch.once {
-            self.carry_out_order(*order);
+    /// Updates the injected faults.
+    pub(crate) fn set_faults(&self, faults: &Faults) {
+        self.update_state(faults);
+        for action in &faults.once {
+            self.execute_action(*action);
         }
-        if switch.outage == Some(true) {
-            self.cut();
+        if faults.outage == Some(true) {
+            self.disconnect();
         }
     }
 
-    fn carry_out_order(&self, order: Action) {
-        match order {
+    fn execute_action(&self, action: Action) {
+        match action {
             Action::Snapshot => *self.snapshot.lock() = self.data.lock().clone(),
             Action::Restore => self.restore(),
-            Action::ExpireLeases => self.lapse_all(),
+            Action::ExpireLeases => self.expire_all_leases(),
             Action::Compact => self.data.lock().compact(),
-            Action::Disconnect => self.cut(),
+            Action::Disconnect => self.disconnect(),
         }
     }
 
-    fn set(&self, switch: &Faults) {
-        self.faults.send_modify(|faults| {
-            faults.outage = switch.outage.unwrap_or(faults.outage);
-            faults.delay_ms = switch.delay_ms.unwrap_or(faults.delay_ms);
-            faults.lose_answers = switch.lose_answers.unwrap_or(faults.lose_answers);
-            faults.progress_ms = switch.progress_ms.unwrap_or(faults.progress_ms).max(1);
-            if let Some(fail) = &switch.fail {
-                faults.fail = fail.clone();
+    fn update_state(&self, faults: &Faults) {
+        self.faults.send_modify(|state| {
+            state.outage = faults.outage.unwrap_or(state.outage);
+            state.delay_ms = faults.delay_ms.unwrap_or(state.delay_ms);
+            state.lose_answers = faults.lose_answers.unwrap_or(state.lose_answers);
+            state.progress_ms = faults.progress_ms.unwrap_or(state.progress_ms).max(1);
+            if let Some(fail) = &faults.fail {
+                state.fail = fail.clone();
             }
         });
     }
 
     fn restore(&self) {
-        let mut older = self.snapshot.lock().clone();
-        older.renew(Instant::now());
+        let mut snapshot = self.snapshot.lock().clone();
+        snapshot.renew_leases(Instant::now());
         let mut data = self.data.lock();
-        *data = older;
-        self.cut();
+        *data = snapshot;
+        self.disconnect();
     }
 
-    fn lapse_all(&self) {
+    fn expire_all_leases(&self) {
         let mut data = self.data.lock();
         let ids: Vec<u64> = data.leases.keys().copied().collect();
         for id in ids {
@@ -136,19 +136,19 @@
         self.revision.send_replace(data.revision);
     }
 
-    fn cut(&self) {
+    fn disconnect(&self) {
         if let Some(server) = self.server.lock().upgrade() {
             server.disconnect();
         }
     }
 
-    pub(crate) fn count(&self, method: &str) {
+    pub(crate) fn count_call(&self, method: &str) {
         self.counts.send_modify(|counts| {
             *counts.calls.entry(method.to_owned()).or_default() += 1;
         });
     }
 
-    pub(crate) fn count_lost(&self) {
+    pub(crate) fn count_dropped_response(&self) {
         self.counts.send_modify(|counts| counts.lost_answers += 1);
     }
 
@@ -158,7 +158,7 @@
         Stats {
             total: counts.calls.values().sum(),
             calls: counts.calls,
-            watching: *self.waiting.borrow(),
+            watching: *self.watches.borrow(),
             lost_answers: counts.lost_answers,
             revision: data.revision,
             keys: data.len(),
@@ -166,9 +166,9 @@
     }
 
     pub(crate) async fn wait_for_watches(&self, count: u64) {
-        let mut waiting = self.waiting.subscribe();
+        let mut watches = self.watches.subscribe();
         // The sender lives as long as the store, so this cannot fail.
-        let _ = waiting.wait_for(|waiting| *waiting == count).await;
+        let _ = watches.wait_for(|watches| *watches == count).await;
     }
 
     pub(crate) async fn wait_for_calls(&self, method: &str, count: u64) {
@@ -179,25 +179,25 @@
     }
 }
 
-/// Waits for a delayed call's turn, or until there is no delay any more.
-pub(crate) async fn pause(store: &Store) {
+/// Delays a call until the configured delay has passed or is reset to zero.
+pub(crate) async fn delay_call(store: &Store) {
     let mut faults = store.faults.subscribe();
     let delay_ms = faults.borrow_and_update().delay_ms;
     let delay = Duration::from_millis(delay_ms);
-    let ended = faults.wait_for(|faults| faults.delay_ms == 0);
-    // Both ends of the wait mean the same: the call goes on.
-    let _ = tokio::time::timeout(delay, ended).await;
+    let reset = faults.wait_for(|faults| faults.delay_ms == 0);
+    // The call proceeds in either case.
+    let _ = tokio::time::timeout(delay, reset).await;
 }
 
-/// Lets leases lapse for as long as the store is there.
-async fn tick(store: Weak<Store>) {
+/// Expires leases until the store is dropped.
+async fn expire_leases(store: Weak<Store>) {
     loop {
-        tokio::time::sleep(Duration::from_millis(TICK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(EXPIRY_INTERVAL_MS)).await;
         let Some(store) = store.upgrade() else {
             return;
         };
         let mut data = store.data.lock();
-        if data.lapse(Instant::now()) {
+        if data.expire_leases(Instant::now()) {
             store.revision.send_replace(data.revision);
         }
     }
--- a/crates/standin/src/kv/watcher.rs
+++ b/crates/standin/src/kv/watcher.rs
@@ -1,4 +1,4 @@
-//! Watches.
+//! Watch streams.
 
 use std::io;
 use std::sync::Arc;
@@ -14,54 +14,55 @@
 
 use crate::http::{Body, Response};
 use crate::kv::Store;
-use crate::kv::answer::header;
-use crate::kv::data::{Span, span};
-use crate::kv::request::Create;
+use crate::kv::data::{KeyRange, key_range};
+use crate::kv::execute::header;
+use crate::kv::request::CreateWatch;
+use crate::kv::value::Write;
 
-/// Messages that wait for a slow watcher.
-const BACKLOG: usize = 16;
+/// Maximum messages buffered for a client.
+const BUFFERED_MESSAGES: usize = 16;
 
-/// One watch.
+/// An open watch.
 struct Watcher {
     store: Arc<Store>,
     messages: Sender<Bytes>,
-    span: Span,
-    next: u64,
-    with_progress: bool,
+    range: KeyRange,
+    next_revision: u64,
+    notifies_progress: bool,
 }
 
-/// Counts a waiting watch until dropped.
-struct Waiting(Arc<Store>);
+/// Guard that counts an open watch until it is dropped.
+struct OpenWatch(Arc<Store>);
 
-impl Waiting {
-    fn begin(store: Arc<Store>) -> Self {
-        store.waiting.send_modify(|waiting| *waiting += 1);
+impl OpenWatch {
+    fn new(store: Arc<Store>) -> Self {
+        store.watches.send_modify(|watches| *watches += 1);
         Self(store)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for OpenWatch {
     fn drop(&mut self) {
-        self.0.waiting.send_modify(|waiting| *waiting -= 1);
+        self.0.watches.send_modify(|watches| *watches -= 1);
     }
 }
 
-/// Opens a watch and answers with its messages, one JSON object a line.
-pub(crate) fn open(store: Arc<Store>, create: &Create) -> Response {
-    let (messages, receiver) = channel(BACKLOG);
-    let now = store.data.lock().revision;
-    let next = match create.start_revision {
-        0 => now + 1,
+/// Opens a watch. The response body is a stream of messages, one JSON object per line.
+pub(crate) fn open(store: Arc<Store>, request: &CreateWatch) -> Response {
+    let (messages, receiver) = channel(BUFFERED_MESSAGES);
+    let current = store.data.lock().revision;
+    let next_revision = match request.start_revision {
+        0 => current + 1,
         revision => revision,
     };
     let watcher = Watcher {
-        span: span(&create.key, &create.end),
-        next,
+        range: key_range(&request.key, &request.end),
+        next_revision,
         messages,
-        with_progress: create.progress_notify,
+        notifies_progress: request.progress_notify,
         store,
     };
-    tokio::spawn(watcher.run(now));
+    tokio::spawn(watcher.run(current));
     Response::new(body(receiver))
 }
 
@@ -74,26 +75,26 @@
 }
 
 impl Watcher {
-    async fn run(mut self, now: u64) {
-        let _waiting = Waiting::begin(Arc::clone(&self.store));
+    async fn run(mut self, current: u64) {
+        let _open = OpenWatch::new(Arc::clone(&self.store));
         let mut revision = self.store.revision.subscribe();
-        let mut go_on = self
-            .send(json!({ "header": header(now), "created": true }))
+        let mut is_open = self
+            .send(json!({ "header": header(current), "created": true }))
             .await;
-        while go_on {
-            go_on = self.news().await && self.wait(&mut revision).await;
+        while is_open {
+            is_open = self.send_writes().await && self.wait(&mut revision).await;
         }
     }
 
-    /// Sends what is new. Returns whether the watch goes on.
-    async fn news(&mut self) -> bool {
-        let (now, compacted, writes) = {
+    /// Sends the writes since the last message. Returns whether the watch stays open.
+    async fn send_writes(&mut self) -> bool {
+        let (current, compacted, writes) = {
             let data = self.store.data.lock();
-            let writes = data.since(&self.span, self.next);
+            let writes = data.writes_since(&self.range, self.next_revision);
             (data.revision, data.compacted, writes)
         };
-        if self.next < compacted {
-            // The real service leaves the revision out here.
+        if self.next_revision < compacted {
+            // etcd omits the revision in this message.
             self.send(json!({
                 "header": {},
                 "canceled": true,
@@ -102,24 +103,24 @@
             .await;
             return false;
         }
-        self.next = self.next.max(now + 1);
+        self.next_revision = self.next_revision.max(current + 1);
         if writes.is_empty() {
             return true;
         }
-        let events: Vec<Value> = writes.iter().map(crate::kv::value::Write::json).collect();
-        self.send(json!({ "header": header(now), "events": events }))
+        let events: Vec<Value> = writes.iter().map(Write::json).collect();
+        self.send(json!({ "header": header(current), "events": events }))
             .await
     }
 
-    /// Waits for a write. Returns whether the watch goes on.
+    /// Waits for a write or a progress notification. Returns whether the watch stays open.
     async fn wait(&mut self, revision: &mut watch::Receiver<u64>) -> bool {
-        let progress = Duration::from_millis(self.store.faults.borrow().progress_ms);
+        let interval = Duration::from_millis(self.store.faults.borrow().progress_ms);
         tokio::select! {
             changed = revision.changed() => changed.is_ok(),
             () = self.messages.closed() => false,
-            () = tokio::time::sleep(progress), if self.with_progress => {
-                let now = self.store.data.lock().revision;
-                self.send(json!({ "header": header(now) })).await
+            () = tokio::time::sleep(interval), if self.notifies_progress => {
+                let current = self.store.data.lock().revision;
+                self.send(json!({ "header": header(current) })).await
             }
         }
     }
