--- a/crates/standin/tests/kv.rs
+++ b/crates/standin/tests/kv.rs
@@ -1,6 +1,6 @@
-//! The client of the key-value service against the stand-in.
+//! Client of the key-value service against the stand-in.
 
-use std::net::SocketAddr;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
 use futures::StreamExt;
@@ -11,10 +11,12 @@
 };
 use mulberryyoke_standin::kv::{Action, Faults, Handle, ScriptedResponse, Store};
 
-const LOOPBACK: SocketAddr =
-    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-async fn open() -> (Handle, Etcd) {
+/// Message that confirms the creation of a watch.
+const CREATED: &str = r#"{"result":{"header":{"revision":"7"},"created":true}}"#;
+
+async fn spawn() -> (Handle, Etcd) {
     let handle = Store::bind(LOOPBACK).await.expect("port");
     let client = client(&handle);
     (handle, client)
@@ -24,14 +26,14 @@
     Etcd::new(vec![handle.address()], Options::default())
 }
 
-fn once(handle: &Handle, order: Action) {
+fn execute(handle: &Handle, action: Action) {
     handle.set_faults(&Faults {
-        once: vec![order],
+        once: vec![action],
         ..Faults::default()
     });
 }
 
-fn outage(handle: &Handle, outage: bool) {
+fn set_outage(handle: &Handle, outage: bool) {
     handle.set_faults(&Faults {
         outage: Some(outage),
         ..Faults::default()
@@ -44,7 +46,7 @@
         .await;
     match swap.expect("put") {
         Swap::Done(revision) => revision,
-        Swap::Conflict(_) => panic!("conflict without a condition"),
+        Swap::Conflict(_) => panic!("conflict without a precondition"),
     }
 }
 
@@ -65,39 +67,39 @@
     }
 }
 
-async fn next(watch: &mut Watch) -> Event {
+async fn next_event(watch: &mut Watch) -> Event {
     watch.next().await.expect("event").expect("no error")
 }
 
 #[gtest]
 #[tokio::test]
-async fn swaps_only_what_is_as_expected() {
-    let (_handle, client) = open().await;
+async fn a_swap_takes_effect_only_if_its_precondition_holds() {
+    let (_handle, client) = spawn().await;
     let done = Swap::Done;
-    let held = |value, revision| Swap::Conflict(Some(pair("a", value, revision)));
+    let conflict = |value, revision| Swap::Conflict(Some(pair("a", value, revision)));
     let cases = [
         (Expect::Revision(7), Some("0"), Swap::Conflict(None)),
         (Expect::Absent, Some("1"), done(2)),
-        (Expect::Absent, Some("2"), held("1", 2)),
-        (Expect::Revision(1), Some("2"), held("1", 2)),
+        (Expect::Absent, Some("2"), conflict("1", 2)),
+        (Expect::Revision(1), Some("2"), conflict("1", 2)),
         (Expect::Revision(2), Some("2"), done(3)),
         (Expect::Any, Some("3"), done(4)),
-        (Expect::Revision(3), None, held("3", 4)),
+        (Expect::Revision(3), None, conflict("3", 4)),
         (Expect::Revision(4), None, done(5)),
         (Expect::Absent, Some(""), done(6)),
-        (Expect::Absent, Some("4"), held("", 6)),
+        (Expect::Absent, Some("4"), conflict("", 6)),
     ];
-    for (expected, value, result) in cases {
+    for (precondition, value, expected) in cases {
         let value = value.map(Into::into);
-        let swap = client.swap("a", expected, value, None).await;
-        expect_that!(swap, ok(eq(&result)), "{expected:?}");
+        let swap = client.swap("a", precondition, value, None).await;
+        expect_that!(swap, ok(eq(&expected)), "{precondition:?}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn lists_a_prefix_as_of_one_revision() {
-    let (_handle, client) = open().await;
+async fn a_range_contains_the_keys_with_a_prefix_at_one_revision() {
+    let (_handle, client) = spawn().await;
     for (key, value) in [("a/1", "x"), ("a/2", "y"), ("b/1", "z"), ("a", "w")] {
         put(&client, key, value).await;
     }
@@ -117,36 +119,41 @@
 
 #[gtest]
 #[tokio::test]
-async fn one_of_many_racing_writers_wins() {
-    let (handle, client) = open().await;
-    let racers = (0..32).map(|racer: u32| {
+async fn exactly_one_of_many_concurrent_writers_creates_a_key() {
+    let (handle, client) = spawn().await;
+    let writers = (0..32).map(|writer: u32| {
         let client = client.clone();
         tokio::spawn(async move {
-            let value = racer.to_string().into_bytes();
+            let value = writer.to_string().into_bytes();
             client.swap("k", Expect::Absent, Some(value), None).await
         })
     });
-    let mut won = 0;
-    let mut told = Vec::new();
-    for racer in racers.collect::<Vec<_>>() {
-        match racer.await.expect("task").expect("swap") {
+    let mut created = 0;
+    let mut conflicting = Vec::new();
+    for writer in writers.collect::<Vec<_>>() {
+        match writer.await.expect("task").expect("swap") {
             Swap::Done(revision) => {
-                won += 1;
+                created += 1;
                 expect_that!(revision, eq(2));
             }
-            Swap::Conflict(pair) => told.push(pair.expect("winner").value),
+            Swap::Conflict(pair) => conflicting.push(pair.expect("current value").value),
         }
     }
-    let held = client.get("k").await.expect("read").expect("there").value;
-    expect_that!(won, eq(1));
-    expect_that!(told, each(eq(&held)));
+    let current = client
+        .get("k")
+        .await
+        .expect("read")
+        .expect("an entry")
+        .value;
+    expect_that!(created, eq(1));
+    expect_that!(conflicting, each(eq(&current)));
     expect_that!(handle.stats().revision, eq(2));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_lost_answer_is_unknown_and_the_write_is_there() {
-    let (handle, client) = open().await;
+async fn a_write_whose_response_is_lost_has_an_unknown_outcome_and_takes_effect() {
+    let (handle, client) = spawn().await;
     handle.set_faults(&Faults {
         lose_answers: Some(1),
         ..Faults::default()
@@ -168,13 +175,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_outage_is_unknown_until_connections_are_refused() {
-    let (handle, client) = open().await;
+async fn the_outcome_is_unknown_in_an_outage_but_known_if_the_connection_is_refused() {
+    let (handle, client) = spawn().await;
     put(&client, "k", "1").await;
-    outage(&handle, true);
-    let cut = client.swap("k", Expect::Any, Some("2".into()), None).await;
-    expect_that!(cut, err(pat!(Error::Unknown(_))));
-    outage(&handle, false);
+    set_outage(&handle, true);
+    let disconnected = client.swap("k", Expect::Any, Some("2".into()), None).await;
+    expect_that!(disconnected, err(pat!(Error::Unknown(_))));
+    set_outage(&handle, false);
     expect_that!(client.get("k").await, ok(some(eq(&pair("k", "1", 2)))));
     let address = handle.address();
     let store = handle.stop();
@@ -192,9 +199,9 @@
 
 #[gtest]
 #[tokio::test]
-async fn asks_the_next_endpoint_when_one_is_down() {
-    let (handle, _) = open().await;
-    let (down, _) = open().await;
+async fn the_next_endpoint_is_called_if_one_is_down() {
+    let (handle, _) = spawn().await;
+    let (down, _) = spawn().await;
     let endpoints = vec![down.address(), handle.address()];
     drop(down);
     let client = Etcd::new(endpoints, Options::default());
@@ -204,49 +211,58 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_slow_answer_is_unknown_and_takes_effect_later() {
-    let (handle, client) = open().await;
+async fn a_write_that_times_out_has_an_unknown_outcome_and_takes_effect_later() {
+    let (handle, client) = spawn().await;
     let mut watch = client.watch("", 0).await.expect("watch");
     let options = Options {
         call_timeout_ms: 1_000,
         ..Options::default()
     };
-    let hasty = Etcd::new(vec![handle.address()], options);
+    let timeout_client = Etcd::new(vec![handle.address()], options);
     handle.set_faults(&Faults {
         delay_ms: Some(3_600_000),
         ..Faults::default()
     });
-    let late = hasty
+    let timed_out = timeout_client
         .swap("k", Expect::Absent, Some("v".into()), None)
         .await;
-    expect_that!(late, err(pat!(Error::Unknown(pat!(HttpError::TimedOut)))));
-    expect_that!(hasty.range("").await, err(pat!(Error::Unknown(_))));
+    expect_that!(
+        timed_out,
+        err(pat!(Error::Unknown(pat!(HttpError::TimedOut))))
+    );
+    expect_that!(timeout_client.range("").await, err(pat!(Error::Unknown(_))));
     handle.set_faults(&Faults {
         delay_ms: Some(0),
         ..Faults::default()
     });
-    expect_that!(next(&mut watch).await, eq(&event("k", Some("v"), 2)));
+    expect_that!(next_event(&mut watch).await, eq(&event("k", Some("v"), 2)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn watches_from_an_old_revision_on() {
-    let (handle, client) = open().await;
+async fn a_watch_starts_at_a_past_revision() {
+    let (handle, client) = spawn().await;
     put(&client, "a/1", "x").await;
     put(&client, "b/1", "y").await;
     put(&client, "a/1", "z").await;
     let mut watch = client.watch("a/", 2).await.expect("watch");
     expect_that!(watch.revision(), eq(4));
-    expect_that!(next(&mut watch).await, eq(&event("a/1", Some("x"), 2)));
-    expect_that!(next(&mut watch).await, eq(&event("a/1", Some("z"), 4)));
+    expect_that!(
+        next_event(&mut watch).await,
+        eq(&event("a/1", Some("x"), 2))
+    );
+    expect_that!(
+        next_event(&mut watch).await,
+        eq(&event("a/1", Some("z"), 4))
+    );
     client
         .swap("a/1", Expect::Any, None, None)
         .await
         .expect("delete");
-    expect_that!(next(&mut watch).await, eq(&event("a/1", None, 5)));
+    expect_that!(next_event(&mut watch).await, eq(&event("a/1", None, 5)));
     put(&client, "b/1", "").await;
     put(&client, "a/2", "").await;
-    expect_that!(next(&mut watch).await, eq(&event("a/2", Some(""), 7)));
+    expect_that!(next_event(&mut watch).await, eq(&event("a/2", Some(""), 7)));
     expect_that!(handle.stats().calls["watch"], eq(1));
     expect_that!(handle.stats().watching, eq(1));
     drop(watch);
@@ -255,32 +271,32 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_cut_watch_ends_and_another_misses_nothing() {
-    let (handle, client) = open().await;
+async fn a_new_watch_continues_after_a_disconnect_without_gaps() {
+    let (handle, client) = spawn().await;
     let mut watch = client.watch("", 0).await.expect("watch");
     put(&client, "k", "1").await;
-    expect_that!(next(&mut watch).await, eq(&event("k", Some("1"), 2)));
-    outage(&handle, true);
+    expect_that!(next_event(&mut watch).await, eq(&event("k", Some("1"), 2)));
+    set_outage(&handle, true);
     expect_that!(watch.next().await, some(err(pat!(Error::Unknown(_)))));
     expect_that!(watch.next().await, none());
     expect_that!(
         client.watch("", 3).await.err(),
         some(pat!(Error::Unknown(_)))
     );
-    outage(&handle, false);
+    set_outage(&handle, false);
     put(&client, "k", "2").await;
     let mut watch = client.watch("", 3).await.expect("watch");
-    expect_that!(next(&mut watch).await, eq(&event("k", Some("2"), 3)));
+    expect_that!(next_event(&mut watch).await, eq(&event("k", Some("2"), 3)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_compacted_revision_is_told() {
-    let (handle, client) = open().await;
+async fn a_watch_from_a_compacted_revision_fails() {
+    let (handle, client) = spawn().await;
     for value in ["1", "2", "3"] {
         put(&client, "k", value).await;
     }
-    once(&handle, Action::Compact);
+    execute(&handle, Action::Compact);
     let mut watch = client.watch("", 2).await.expect("watch");
     expect_that!(
         watch.next().await,
@@ -289,18 +305,18 @@
     expect_that!(watch.next().await, none());
     let mut watch = client.watch("", 5).await.expect("watch");
     put(&client, "k", "4").await;
-    expect_that!(next(&mut watch).await, eq(&event("k", Some("4"), 5)));
+    expect_that!(next_event(&mut watch).await, eq(&event("k", Some("4"), 5)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn older_contents_show_in_every_revision() {
-    let (handle, client) = open().await;
+async fn responses_after_a_restore_have_the_older_revision() {
+    let (handle, client) = spawn().await;
     put(&client, "k", "1").await;
-    once(&handle, Action::Snapshot);
+    execute(&handle, Action::Snapshot);
     put(&client, "k", "2").await;
     let mut watch = client.watch("", 0).await.expect("watch");
-    once(&handle, Action::Restore);
+    execute(&handle, Action::Restore);
     expect_that!(watch.next().await, some(err(pat!(Error::Unknown(_)))));
     let listing = client.range("").await.expect("listing");
     expect_that!(listing.revision, eq(2));
@@ -311,22 +327,22 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_lapsed_lease_takes_its_keys_along() {
-    let (handle, client) = open().await;
-    let begun = Instant::now();
+async fn an_expired_lease_deletes_its_keys() {
+    let (handle, client) = spawn().await;
+    let started = Instant::now();
     let lease = client.lease_grant(60_000).await.expect("lease");
-    expect_that!(lease.deadline, gt(begun));
+    expect_that!(lease.deadline, gt(started));
     let swap = client
         .swap("k", Expect::Absent, Some("v".into()), Some(lease.id))
         .await;
     expect_that!(swap, ok(eq(&Swap::Done(2))));
-    let held = client.get("k").await.expect("read").expect("there");
-    expect_that!(held.lease, some(eq(lease.id)));
-    let kept = client.lease_keep_alive(lease.id).await.expect("kept");
-    expect_that!(kept.deadline, ge(lease.deadline));
+    let current = client.get("k").await.expect("read").expect("an entry");
+    expect_that!(current.lease, some(eq(lease.id)));
+    let renewed = client.lease_keep_alive(lease.id).await.expect("renewed");
+    expect_that!(renewed.deadline, ge(lease.deadline));
     let mut watch = client.watch("", 0).await.expect("watch");
-    once(&handle, Action::ExpireLeases);
-    expect_that!(next(&mut watch).await, eq(&event("k", None, 3)));
+    execute(&handle, Action::ExpireLeases);
+    expect_that!(next_event(&mut watch).await, eq(&event("k", None, 3)));
     expect_that!(
         client.lease_keep_alive(lease.id).await,
         err(pat!(Error::LeaseExpired))
@@ -335,37 +351,39 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_lease_lapses_by_itself_or_is_ended() {
-    let (_handle, client) = open().await;
+async fn a_lease_ends_when_it_expires_or_is_revoked() {
+    let (_handle, client) = spawn().await;
     let mut watch = client.watch("", 0).await.expect("watch");
-    for (ttl_ms, end) in [(1_000, false), (60_000, true)] {
+    for (ttl_ms, is_revoked) in [(1_000, false), (60_000, true)] {
         let lease = client.lease_grant(ttl_ms).await.expect("lease");
         let swap = client
             .swap("k", Expect::Absent, Some("v".into()), Some(lease.id))
             .await;
         expect_that!(swap, ok(pat!(Swap::Done(_))));
-        if end {
+        if is_revoked {
             expect_that!(client.lease_revoke(lease.id).await, ok(anything()));
         }
-        expect_that!(next(&mut watch).await.value, some(anything()));
-        expect_that!(next(&mut watch).await.value, none());
+        expect_that!(next_event(&mut watch).await.value, some(anything()));
+        expect_that!(next_event(&mut watch).await.value, none());
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn what_was_refused_had_no_effect() {
-    let (handle, client) = open().await;
-    let gone = Some(LeaseId(77));
-    let refused = client.swap("k", Expect::Any, Some("v".into()), gone).await;
+async fn refused_writes_have_no_effect() {
+    let (handle, client) = spawn().await;
+    let missing = Some(LeaseId(77));
+    let refused = client
+        .swap("k", Expect::Any, Some("v".into()), missing)
+        .await;
     expect_that!(refused, err(pat!(Error::Refused(_))));
     let large = vec![0; MAX_VALUE_BYTES + 1];
     let refused = client.swap("k", Expect::Any, Some(large), None).await;
-    let limit = pat!(Error::TooLarge {
+    let too_large = pat!(Error::TooLarge {
         bytes: eq(&(MAX_VALUE_BYTES + 1)),
         limit: eq(&MAX_VALUE_BYTES)
     });
-    expect_that!(refused, err(limit));
+    expect_that!(refused, err(too_large));
     expect_that!(handle.stats().calls["txn"], eq(1));
     let largest = vec![0; MAX_VALUE_BYTES];
     let done = client.swap("k", Expect::Absent, Some(largest), None).await;
@@ -374,8 +392,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn unreadable_answers_are_errors() {
-    let (handle, client) = open().await;
+async fn malformed_responses_leave_the_outcome_unknown() {
+    let (handle, client) = spawn().await;
     let cases = [
         (200, "{"),
         (200, ""),
@@ -394,32 +412,30 @@
     ];
     for (status, body) in cases {
         for is_write in [false, true] {
-            let fail = ScriptedResponse {
+            let response = ScriptedResponse {
                 times: 1,
                 status,
                 body: body.to_owned(),
             };
             handle.set_faults(&Faults {
-                fail: Some(fail),
+                fail: Some(response),
                 ..Faults::default()
             });
-            let failed = if is_write {
+            let error = if is_write {
                 client.swap("k", Expect::Any, None, None).await.err()
             } else {
                 client.range("").await.err()
             };
-            expect_that!(failed, some(pat!(Error::Unknown(_))), "{status} {body}");
+            expect_that!(error, some(pat!(Error::Unknown(_))), "{status} {body}");
         }
     }
     expect_that!(put(&client, "k", "v").await, eq(2));
 }
 
-const CREATED: &str = r#"{"result":{"header":{"revision":"7"},"created":true}}"#;
-
 #[gtest]
 #[tokio::test]
-async fn a_watch_that_cannot_be_read_ends_with_an_error() {
-    let (handle, client) = open().await;
+async fn malformed_messages_end_a_watch_with_an_error() {
+    let (handle, client) = spawn().await;
     let progress = r#"{"result":{"header":{"revision":"8"}}}"#;
     let write = r#"{"result":{"header":{"revision":"8"},"events":[{"kv":{"key":"aw==","mod_revision":"8"}}]}}"#;
     let cases = [
@@ -437,24 +453,24 @@
         ),
         (vec![CREATED, progress, write, write, &write[..50]], true, 2),
     ];
-    for (lines, opens, events) in cases {
-        let fail = ScriptedResponse {
+    for (lines, is_opened, event_count) in cases {
+        let response = ScriptedResponse {
             times: 1,
             status: 200,
             body: lines.join("\n"),
         };
         handle.set_faults(&Faults {
-            fail: Some(fail),
+            fail: Some(response),
             ..Faults::default()
         });
         let watch = client.watch("k", 0).await;
-        expect_that!(watch.is_ok(), eq(opens), "{lines:?}");
+        expect_that!(watch.is_ok(), eq(is_opened), "{lines:?}");
         let Ok(mut watch) = watch else {
             continue;
         };
         expect_that!(watch.revision(), eq(7));
-        for _ in 0..events {
-            expect_that!(next(&mut watch).await, eq(&event("k", Some(""), 8)));
+        for _ in 0..event_count {
+            expect_that!(next_event(&mut watch).await, eq(&event("k", Some(""), 8)));
         }
         expect_that!(watch.next().await, some(err(pat!(Error::Unknown(_)))));
         expect_that!(watch.next().await, none());
@@ -463,16 +479,16 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_silent_watch_ends_with_an_error() {
-    let (handle, _) = open().await;
+async fn an_idle_watch_times_out() {
+    let (handle, _) = spawn().await;
     let options = Options {
         watch_idle_timeout_ms: 50,
         ..Options::default()
     };
     let client = Etcd::new(vec![handle.address()], options);
     let mut watch = client.watch("k", 0).await.expect("watch");
-    let late = pat!(Error::Unknown(pat!(HttpError::TimedOut)));
-    expect_that!(watch.next().await, some(err(late)));
+    let timeout = pat!(Error::Unknown(pat!(HttpError::TimedOut)));
+    expect_that!(watch.next().await, some(err(timeout)));
     expect_that!(watch.next().await, none());
     drop(watch);
     handle.wait_for_watches(0).await;
@@ -480,8 +496,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn lists_in_pages_as_of_one_revision() {
-    let (handle, client) = open().await;
+async fn a_range_is_read_in_pages() {
+    let (handle, client) = spawn().await;
     let keys = ["a", "b", "c", "d", "e"];
     for key in keys {
         put(&client, key, "v").await;
@@ -492,24 +508,24 @@
     };
     let client = Etcd::new(vec![handle.address()], options);
     let listing = client.range("").await.expect("listing");
-    let held: Vec<String> = listing.entries.into_iter().map(|pair| pair.key).collect();
-    expect_that!(held, eq(&keys));
+    let listed: Vec<String> = listing.entries.into_iter().map(|pair| pair.key).collect();
+    expect_that!(listed, eq(&keys));
     expect_that!(handle.stats().calls["range"], eq(3));
 }
 
 #[gtest]
 #[tokio::test]
-async fn counts_each_call_and_a_watch_as_one() {
-    let (handle, client) = open().await;
+async fn a_watch_counts_as_one_call() {
+    let (handle, client) = spawn().await;
     put(&client, "k", "1").await;
     client.range("").await.expect("listing");
     let mut watch = client.watch("", 2).await.expect("watch");
-    next(&mut watch).await;
+    next_event(&mut watch).await;
     let stats = handle.stats();
     expect_that!(stats.total, eq(3));
     expect_that!(stats.watching, eq(1));
     expect_that!(
         stats.calls.into_iter().collect::<Vec<_>>(),
-        eq(&["range", "txn", "watch"].map(|name| (name.to_owned(), 1)))
+        eq(&["range", "txn", "watch"].map(|method| (method.to_owned(), 1)))
     );
 }
