--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -1,8 +1,8 @@
-//! The platform's VM list, whose changes show after a lag.
+//! The platform's VM list, whose changes appear after a delay, with fault injection.
 
-mod handle;
-mod service;
-mod switch;
+mod api;
+mod list;
+mod update;
 
-pub use self::handle::{Handle, List};
-pub use self::switch::{Stats, Update};
+pub use self::list::{Handle, List};
+pub use self::update::{Stats, Update};
--- a/crates/standin/src/vms/service.rs
+++ b/crates/standin/src/vms/api.rs
@@ -1,4 +1,4 @@
-//! Answers to calls.
+//! HTTP API of the VM list.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,17 +11,17 @@
 use crate::vms::List;
 
 impl List {
-    /// Answers a request.
-    pub(crate) async fn answer(self: Arc<Self>, request: Request<Bytes>) -> Response {
+    /// Handles a request.
+    pub(crate) async fn respond(self: Arc<Self>, request: Request<Bytes>) -> Response {
         match request.uri().path() {
-            "/vms" => self.list().await,
+            "/vms" => self.read().await,
             "/stats" => http::json(StatusCode::OK, &self.stats()),
-            "/switch" => self.set_switch(request.body()),
+            "/switch" => self.update_from(request.body()),
             _ => http::error(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
-    async fn list(&self) -> Response {
+    async fn read(&self) -> Response {
         let delay_ms = {
             let mut state = self.state.lock();
             if state.outage {
@@ -31,14 +31,14 @@
             state.delay_ms
         };
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-        let vms = self.state.lock().list(Instant::now());
+        let vms = self.state.lock().visible(Instant::now());
         http::json(StatusCode::OK, &json!({ "vms": vms }))
     }
 
-    fn set_switch(&self, body: &[u8]) -> Response {
+    fn update_from(&self, body: &[u8]) -> Response {
         match serde_json::from_slice(body) {
-            Ok(switch) => {
-                self.update(switch);
+            Ok(update) => {
+                self.update(update);
                 http::json(StatusCode::OK, &json!({ "ok": true }))
             }
             Err(error) => http::error(StatusCode::BAD_REQUEST, &error.to_string()),
--- a/crates/standin/tests/vms.rs
+++ b/crates/standin/tests/vms.rs
@@ -1,4 +1,4 @@
-//! The client of the VM list against the stand-in.
+//! Client of the VM list against the stand-in.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,7 +19,7 @@
     }
 }
 
-async fn open() -> (Handle, Http) {
+async fn spawn() -> (Handle, Http) {
     let vms = vec![vm("router-1", Role::Router), vm("model-1", Role::Sidecar)];
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let handle = List::bind(address, vms).await.expect("port");
@@ -32,7 +32,7 @@
     list.into_iter().map(|vm| (vm.name, vm.state)).collect()
 }
 
-fn leaving(lag_ms: u64) -> Update {
+fn set_leaving(lag_ms: u64) -> Update {
     Update {
         lag_ms: Some(lag_ms),
         states: BTreeMap::from([("model-1".to_owned(), State::Leaving)]),
@@ -40,7 +40,7 @@
     }
 }
 
-fn shown(state: State) -> Vec<(String, State)> {
+fn expected_states(state: State) -> Vec<(String, State)> {
     vec![
         ("model-1".to_owned(), state),
         ("router-1".to_owned(), State::Live),
@@ -49,13 +49,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn lists_what_there_is() {
-    let (handle, client) = open().await;
+async fn the_list_contains_added_vms_and_no_removed_ones() {
+    let (handle, client) = spawn().await;
     let expected = vec![vm("model-1", Role::Sidecar), vm("router-1", Role::Router)];
     expect_that!(client.list().await, ok(eq(&expected)));
     handle.update(Update {
         add: vec![vm("router-2", Role::Router), vm("database", Role::Other)],
-        remove: vec!["model-1".to_owned(), "never-there".to_owned()],
+        remove: vec!["model-1".to_owned(), "unknown".to_owned()],
         ..Update::default()
     });
     let names: Vec<String> = states(&client)
@@ -69,26 +69,26 @@
 
 #[gtest]
 #[tokio::test]
-async fn changes_show_after_the_lag() {
-    let (handle, client) = open().await;
-    handle.update(leaving(3_600_000));
-    expect_that!(states(&client).await, eq(&shown(State::Live)));
-    handle.update(leaving(0));
-    expect_that!(states(&client).await, eq(&shown(State::Leaving)));
+async fn changes_appear_after_the_lag() {
+    let (handle, client) = spawn().await;
+    handle.update(set_leaving(3_600_000));
+    expect_that!(states(&client).await, eq(&expected_states(State::Live)));
+    handle.update(set_leaving(0));
+    expect_that!(states(&client).await, eq(&expected_states(State::Leaving)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_short_lag_passes() {
-    let (handle, client) = open().await;
-    handle.update(leaving(20));
-    while states(&client).await != shown(State::Leaving) {}
+async fn a_pending_change_appears_without_another_update() {
+    let (handle, client) = spawn().await;
+    handle.update(set_leaving(20));
+    while states(&client).await != expected_states(State::Leaving) {}
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_outage_is_an_error_until_it_ends() {
-    let (handle, client) = open().await;
+async fn calls_fail_during_an_outage_only() {
+    let (handle, client) = spawn().await;
     let outage = |outage| Update {
         outage: Some(outage),
         ..Update::default()
@@ -99,5 +99,5 @@
         err(pat!(Error::Read(pat!(HttpError::Disconnected(_)))))
     );
     handle.update(outage(false));
-    expect_that!(states(&client).await, eq(&shown(State::Live)));
+    expect_that!(states(&client).await, eq(&expected_states(State::Live)));
 }
