--- a/crates/standin/tests/conformance.rs
+++ b/crates/standin/tests/conformance.rs
@@ -43,10 +43,13 @@
     let first = client.swap(KEY, Expect::Absent, Some("1".into()), None);
     let first = swapped(&first.await.expect("swap"));
     let conflict = client.swap(KEY, Expect::Absent, Some("2".into()), None);
-    let Swap::Conflict(Some(held)) = conflict.await.expect("swap") else {
+    let Swap::Conflict(Some(current)) = conflict.await.expect("swap") else {
         panic!("created twice");
     };
-    expect_that!((held.revision, held.value), eq(&(first, b"1".to_vec())));
+    expect_that!(
+        (current.revision, current.value),
+        eq(&(first, b"1".to_vec()))
+    );
     let second = client.swap(KEY, Expect::Revision(first), Some(Vec::new()), None);
     let second = swapped(&second.await.expect("swap"));
     expect_that!(second, gt(first));
