--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use mulberryyoke_event::Event;
 use mulberryyoke_standin::fleet::call::End;
-use mulberryyoke_standin::kv::Switch;
+use mulberryyoke_standin::kv::Faults;
 
 use crate::common::{Fleet, Request, Response, Setup, wait};
 
@@ -34,17 +34,17 @@
     }
 }
 
-fn outage(outage: bool) -> Switch {
-    Switch {
+fn outage(outage: bool) -> Faults {
+    Faults {
         outage: Some(outage),
-        ..Switch::default()
+        ..Faults::default()
     }
 }
 
-fn lose_answers(count: u64) -> Switch {
-    Switch {
+fn lose_answers(count: u64) -> Faults {
+    Faults {
         lose_answers: Some(count),
-        ..Switch::default()
+        ..Faults::default()
     }
 }
 
@@ -173,7 +173,7 @@
     let fleet = Fleet::spawn(one_service()).await;
     let before = Request::booking("before").with_key();
     retry_until(&fleet, 0, &before, End::Whole).await;
-    fleet.kv.switch(&outage(true));
+    fleet.kv.set_faults(&outage(true));
     let request = Request::booking("slot").with_key();
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
@@ -184,7 +184,7 @@
     for request in [&before, &request] {
         expect_not_run_again(&fleet, request, &[End::Unknown]).await;
     }
-    fleet.kv.switch(&outage(false));
+    fleet.kv.set_faults(&outage(false));
     let next = Request::booking("next").with_key();
     retry_until(&fleet, 1, &next, End::Whole).await;
     for request in [&before, &request] {
@@ -199,7 +199,7 @@
     let request = Request::booking("slot").with_key();
     retry_until(&fleet, 0, &request, End::Whole).await;
     // The responses to the last write of one instance and the first write of the next.
-    fleet.kv.switch(&lose_answers(2));
+    fleet.kv.set_faults(&lose_answers(2));
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
     fleet.sidecars[0].restart();
     retry_until(&fleet, 1, &request, End::Ran).await;
@@ -311,7 +311,7 @@
     let fleet = Fleet::spawn(one_service()).await;
     retry_until(&fleet, 0, &Request::booking("a").with_key(), End::Whole).await;
     retry_until(&fleet, 1, &Request::booking("b").with_key(), End::Whole).await;
-    fleet.kv.switch(&outage(true));
+    fleet.kv.set_faults(&outage(true));
     let request = Request::booking("slot").with_key();
     send_through_all_routers(&fleet, &request).await;
     retry_until(&fleet, 0, &request, End::Whole).await;
@@ -324,6 +324,6 @@
     let refused = next.send(fleet.caller_address(1)).await;
     expect_that!(refused.refusal(), eq((503, "keys_full", "unknown")));
     expect_that!(fleet.start_count(&next.op), eq(0));
-    fleet.kv.switch(&outage(false));
+    fleet.kv.set_faults(&outage(false));
     retry_until(&fleet, 1, &next, End::Whole).await;
 }
--- a/crates/daemon/tests/proof/common/backend.rs
+++ b/crates/daemon/tests/proof/common/backend.rs
@@ -28,8 +28,8 @@
 impl Backend {
     pub(crate) async fn spawn_engine(setup: &Setup) -> Self {
         let settings = engine::Settings {
-            batch: setup.slots as usize,
-            token: setup.token_time,
+            batch_size: setup.slots as usize,
+            token_time: setup.token_time,
             ..engine::Settings::default()
         };
         let engine = Engine::bind(any_port(), settings).await.unwrap();
--- a/crates/daemon/tests/proof/shutdown.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -99,7 +99,7 @@
 async fn requests_complete_when_router_and_sidecars_stop_during_a_kv_outage() {
     let fleet = Fleet::spawn(engines_and_service()).await;
     let pending = start_requests(&fleet, 0).await;
-    fleet.kv.switch(&mulberryyoke_standin::kv::Switch {
+    fleet.kv.set_faults(&mulberryyoke_standin::kv::Faults {
         outage: Some(true),
         ..Default::default()
     });
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -1,25 +1,26 @@
-//! Settings of an engine.
+//! Engine settings.
 
 use std::time::Duration;
 
-/// How an engine behaves.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Names of the models it serves.
+    /// Models that it serves.
     pub models: Vec<String>,
-    /// Requests run at once; more wait in order of arrival.
-    pub batch: usize,
-    /// Time of one token.
-    pub token: Duration,
-    /// Time to read one prompt block that is not cached.
-    pub block: Duration,
-    /// Prompt blocks that the prefix cache holds.
-    pub cache: usize,
-    /// Age of the load report.
-    pub lag: Duration,
-    /// How long a stream without readers goes on before it is cancelled.
-    pub keep: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Maximum number of concurrent requests. Further requests wait in order of arrival.
+    pub batch_size: usize,
+    /// Time to generate a token.
+    pub token_time: Duration,
+    /// Time to prefill a prompt block that is not cached.
+    pub prefill_time: Duration,
+    /// Capacity of the prefix cache, in prompt blocks.
+    pub cache_blocks: usize,
+    /// Interval between updates of the load report.
+    pub load_interval: Duration,
+    /// Time after which a stream without readers is cancelled, and for which a complete response
+    /// stays readable.
+    pub resume_timeout: Duration,
+    /// Whether commands with a stale fencing token are rejected.
     pub fencing: bool,
 }
 
@@ -27,12 +28,12 @@
     fn default() -> Self {
         Self {
             models: vec!["assistant".to_owned()],
-            batch: 8,
-            token: Duration::from_millis(10),
-            block: Duration::from_millis(1),
-            cache: 1024,
-            lag: Duration::from_millis(500),
-            keep: Duration::from_secs(1),
+            batch_size: 8,
+            token_time: Duration::from_millis(10),
+            prefill_time: Duration::from_millis(1),
+            cache_blocks: 1024,
+            load_interval: Duration::from_millis(500),
+            resume_timeout: Duration::from_secs(1),
             fencing: true,
         }
     }
