--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -16,12 +16,12 @@
 use super::core::Core;
 use super::header;
 use super::link::Link;
-use super::place::Place;
 use super::refusal::REQUEST_ID;
 use super::relay::Relay;
 use super::response::{self, ResponseFuture};
 use super::response_body::ResponseBody;
 use super::running::Running;
+use super::slot::Slot;
 use crate::clock;
 
 /// Result of an attempt.
@@ -42,13 +42,13 @@
 }
 
 /// Sends a request and waits for the response head.
-pub(crate) async fn send(core: &Arc<Core>, call: &Call, mut place: Place) -> AttemptResult {
-    let link = Arc::clone(&place.link);
+pub(crate) async fn send(core: &Arc<Core>, call: &Call, mut slot: Slot) -> AttemptResult {
+    let link = Arc::clone(&slot.link);
     let mut sender = match link.data.sender().await {
         Ok(sender) => sender,
         Err(error) => return AttemptResult::NotSent(error.to_string()),
     };
-    let grant = place.take();
+    let grant = slot.take_grant();
     let until = clock::now().saturating_add(core.settings.retention_ms);
     let request = request(call, &link, &call.ticket(grant, until));
     let running = Running::begin(core, &link, call);
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -16,9 +16,9 @@
 use super::link::Link;
 use super::links::Links;
 use super::memory::Memory;
-use super::place::Place;
 use super::pool_queues::PoolQueues;
 use super::queued_request::Wakeup;
+use super::slot::Slot;
 use super::stalls::Stalls;
 use super::stop::Stop;
 use crate::clock;
@@ -82,12 +82,12 @@
         while let Some(entry) = queue.pop(grant.customer, link.id, &open) {
             let now = clock::now();
             self.limit.lock().remove(entry.customer, true, now);
-            let wakeup = Wakeup::Granted(Place::granted(link, grant.id));
-            let Err(Wakeup::Granted(mut place)) = entry.payload.wakeup.send(wakeup) else {
+            let wakeup = Wakeup::Granted(Slot::granted(link, grant.id));
+            let Err(Wakeup::Granted(mut slot)) = entry.payload.wakeup.send(wakeup) else {
                 return true;
             };
             // The caller disconnected: the slot goes to the next request.
-            place.take();
+            slot.take_grant();
         }
         false
     }
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -14,13 +14,13 @@
 use super::core::Core;
 use super::home;
 use super::link::Link;
-use super::place::Place;
 use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{
     doubtful, keys_full, malformed, no_server, repeated, too_late, unknown, unreachable,
 };
 use super::response_body::ResponseBody;
+use super::slot::Slot;
 use crate::clock;
 
 /// Limit on attempts per request, regardless of the retry budget.
@@ -97,7 +97,7 @@
     }
 
     /// Selects a server, without queueing if one is expected to have a free slot.
-    async fn place(&mut self, at_once: bool) -> Result<Place, Refusal> {
+    async fn place(&mut self, at_once: bool) -> Result<Slot, Refusal> {
         if let Some(key) = self.call.key {
             let place = home::place(self.core, &self.call, key, at_once, self.waited).await?;
             self.waited = true;
@@ -124,7 +124,7 @@
     }
 
     /// Selects a server expected to have a free slot, unless other requests are queued.
-    fn direct(&self) -> Option<Place> {
+    fn direct(&self) -> Option<Slot> {
         let queue = self.core.queues.get(self.call.pool);
         if !queue.is_empty() {
             return None;
@@ -133,14 +133,14 @@
         candidates.retain(|candidate| Some(candidate.server) != self.avoid);
         let server = decide::choose(&candidates, self.call.prefix)?;
         let link = self.core.links.get(server)?;
-        link.standing.take_free().then(|| Place::direct(&link))
+        link.standing.take_free().then(|| Slot::unreserved(&link))
     }
 
-    fn baseline(&self) -> Option<Place> {
+    fn baseline(&self) -> Option<Slot> {
         let candidates = candidates(self.core, self.call.pool);
         let server = decide::two_random_choices(&candidates, &mut rand::rng())?;
         let link = self.core.links.get(server)?;
-        Some(Place::direct(&link))
+        Some(Slot::unreserved(&link))
     }
 
     /// Handles a sidecar's verdict; returns `Err` if the request must not be retried.
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -10,10 +10,10 @@
 use super::call::{Call, Key};
 use super::core::Core;
 use super::link::Link;
-use super::place::Place;
 use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{SOON_S, doubtful, no_server, repeated};
+use super::slot::Slot;
 use crate::clock;
 
 /// Finds a slot on the key's home server, after every former home has confirmed a
@@ -24,7 +24,7 @@
     key: Key,
     mut at_once: bool,
     mut again: bool,
-) -> Result<Place, Refusal> {
+) -> Result<Slot, Refusal> {
     loop {
         let homes = homes(core, call, key);
         if key.given {
@@ -36,7 +36,7 @@
         let link = link(core, current).ok_or_else(no_server)?;
         let baseline = core.settings.policy == Policy::Baseline;
         if baseline || at_once && take_free(core, call, &link) {
-            return Ok(Place::direct(&link));
+            return Ok(Slot::unreserved(&link));
         }
         let home_lost = home_lost(core, call, key, &link);
         match queueing::wait_for_slot(core, call, Some(current), again, home_lost).await? {
--- a/crates/daemon/src/router/queued_request.rs
+++ b/crates/daemon/src/router/queued_request.rs
@@ -4,13 +4,13 @@
 use mulberryyoke_model::Attempt;
 use tokio::sync::oneshot;
 
-use super::place::Place;
+use super::slot::Slot;
 
 /// The result of a request's wait.
 #[derive(Debug)]
 pub(crate) enum Wakeup {
     /// A slot was found.
-    Granted(Place),
+    Granted(Slot),
     /// The request was removed because the queue is full.
     Displaced,
 }
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -11,10 +11,10 @@
 
 use super::call::Call;
 use super::core::Core;
-use super::place::Place;
 use super::pool_queue::PoolQueue;
 use super::queued_request::{QueuedRequest, Wakeup};
 use super::refusal::Refusal;
+use super::slot::Slot;
 use crate::clock;
 
 /// Removes a queued request from its queue on drop.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) enum WaitResult {
     /// A server has a free slot.
-    Place(Place),
+    Place(Slot),
     /// The server to which the request is pinned is no longer its key's home.
     HomeChanged,
 }
--- a/crates/daemon/src/router/place.rs
+++ b/crates/daemon/src/router/slot.rs
@@ -1,4 +1,4 @@
-//! The server selected for a request.
+//! A slot on the server selected for a request.
 
 use std::sync::Arc;
 
@@ -7,13 +7,13 @@
 /// A slot on a server, either reserved by a grant or assumed to be free.
 /// Dropping it declines an unused grant.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct Slot {
     pub(crate) link: Arc<Link>,
     grant: Option<u64>,
 }
 
-impl Place {
-    /// Creates a place for a slot that the sidecar has reserved.
+impl Slot {
+    /// A slot that the sidecar has reserved with a grant.
     pub(crate) fn granted(link: &Arc<Link>, grant: u64) -> Self {
         Self {
             link: Arc::clone(link),
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Creates a place for a slot that is assumed to be free.
-    pub(crate) fn direct(link: &Arc<Link>) -> Self {
+    /// A slot that is assumed to be free.
+    pub(crate) fn unreserved(link: &Arc<Link>) -> Self {
         Self {
             link: Arc::clone(link),
             grant: None,
@@ -30,12 +30,12 @@
     }
 
     /// Takes the grant, which is then no longer declined on drop.
-    pub(crate) fn take(&mut self) -> Option<u64> {
+    pub(crate) fn take_grant(&mut self) -> Option<u64> {
         self.grant.take()
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         if let Some(grant) = self.grant.take() {
             self.link.decline(vec![grant]);
