--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -15,12 +15,12 @@
 use super::call::Call;
 use super::core::Core;
 use super::header;
+use super::in_flight::InFlight;
 use super::link::Link;
 use super::refusal::REQUEST_ID;
 use super::relay::Relay;
 use super::response::{self, ResponseFuture};
 use super::response_body::ResponseBody;
-use super::running::Running;
 use super::slot::Slot;
 use crate::clock;
 
@@ -51,7 +51,7 @@
     let grant = slot.take_grant();
     let until = clock::now().saturating_add(core.settings.retention_ms);
     let request = request(call, &link, &call.ticket(grant, until));
-    let running = Running::begin(core, &link, call);
+    let in_flight = InFlight::start(core, &link, call);
     log!(core.logger, Event::Routed,
         "request" => call.attempt.request_id(),
         "attempt" => call.attempt.number,
@@ -63,19 +63,19 @@
     let mut pending: ResponseFuture = Box::pin(sender.try_send_request(request));
     tokio::select! {
         biased;
-        result = &mut pending => read(core, call, running, result),
+        result = &mut pending => read(core, call, in_flight, result),
         () = link.wait_silent() => {
-            running.lose();
+            in_flight.record_unknown();
             abandoned_attempt::watch(core, &link, call, pending);
             AttemptResult::Unknown("server is silent".to_owned())
         }
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => {
-            running.lose();
+            in_flight.record_unknown();
             abandoned_attempt::watch(core, &link, call, pending);
             AttemptResult::TimedOut
         }
         () = core.stop.cut.cancelled() => {
-            running.lose();
+            in_flight.record_unknown();
             AttemptResult::Stopping
         }
     }
@@ -96,27 +96,27 @@
 fn read(
     core: &Core,
     call: &Call,
-    running: Running,
+    in_flight: InFlight,
     result: Result<Response<Incoming>, TrySendError<Request<Full<Bytes>>>>,
 ) -> AttemptResult {
     let response = match result {
         Ok(response) => response,
         Err(error) if error.message().is_some() => {
-            running.not_run();
+            in_flight.record_not_run();
             return AttemptResult::NotSent(error.error().to_string());
         }
         Err(error) => {
-            running.lose();
+            in_flight.record_unknown();
             return AttemptResult::Unknown(error.error().to_string());
         }
     };
     let Some(verdict) = response::verdict(&response) else {
-        return AttemptResult::Response(relay(core, call, running, response));
+        return AttemptResult::Response(relay(core, call, in_flight, response));
     };
     if verdict.is_not_run() {
-        running.not_run();
+        in_flight.record_not_run();
     } else {
-        running.lose();
+        in_flight.record_unknown();
     }
     AttemptResult::Rejected(verdict, retry_after(&response))
 }
@@ -129,12 +129,12 @@
 fn relay(
     core: &Core,
     call: &Call,
-    running: Running,
+    in_flight: InFlight,
     response: Response<Incoming>,
 ) -> Response<ResponseBody> {
     let (mut parts, body) = response.into_parts();
     header::back(&mut parts.headers);
-    let relay = Relay::new(core.stalls.watch(body), running);
+    let relay = Relay::new(core.stalls.watch(body), in_flight);
     let mut response = Response::new(ResponseBody::Relay(relay));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers;
--- a/crates/daemon/src/router/running.rs
+++ b/crates/daemon/src/router/in_flight.rs
@@ -1,4 +1,4 @@
-//! Tracks a request sent to a server.
+//! Tracks an attempt in flight.
 
 use std::sync::Arc;
 
@@ -16,15 +16,15 @@
     /// The whole answer was forwarded.
     Complete,
     /// The server or the connection to it failed.
-    Failed(String),
+    Truncated(String),
     /// The caller disconnected.
-    Disconnected,
+    CallerClosed,
 }
 
 /// An attempt in flight, from just before it is sent to the end of its answer.
 /// Dropping it records that the caller disconnected.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct InFlight {
     core: Arc<Core>,
     link: Arc<Link>,
     attempt: Attempt,
@@ -34,9 +34,9 @@
     ended: bool,
 }
 
-impl Running {
+impl InFlight {
     /// Records that an attempt is about to be sent.
-    pub(crate) fn begin(core: &Arc<Core>, link: &Arc<Link>, call: &Call) -> Self {
+    pub(crate) fn start(core: &Arc<Core>, link: &Arc<Link>, call: &Call) -> Self {
         let key = call.key.map(|key| key.id);
         let attempt = call.attempt;
         core.memory
@@ -58,7 +58,7 @@
     }
 
     /// Records proof that the attempt did not run.
-    pub(crate) fn not_run(mut self) {
+    pub(crate) fn record_not_run(mut self) {
         self.ended = true;
         self.core.memory.prove(self.attempt.request);
         if let Some(key) = self.key {
@@ -67,7 +67,7 @@
     }
 
     /// Records that the attempt's outcome is unknown.
-    pub(crate) fn lose(mut self) {
+    pub(crate) fn record_unknown(mut self) {
         self.ended = true;
     }
 
@@ -79,13 +79,13 @@
     fn end(&mut self, end: &End) {
         self.ended = true;
         match end {
-            End::Complete => self.answered(),
-            End::Failed(cause) => self.truncated("server", cause),
-            End::Disconnected => self.truncated("caller", "caller left"),
+            End::Complete => self.record_completed(),
+            End::Truncated(cause) => self.record_truncated("server", cause),
+            End::CallerClosed => self.record_truncated("caller", "caller left"),
         }
     }
 
-    fn answered(&self) {
+    fn record_completed(&self) {
         self.core.memory.settle(self.attempt.request, Outcome::Ran);
         metrics::counter!("answers_total").increment(1);
         log!(self.core.logger, Event::Answered,
@@ -95,7 +95,7 @@
             "elapsed_ms" => clock::now().saturating_sub(self.since));
     }
 
-    fn truncated(&self, side: &'static str, cause: &str) {
+    fn record_truncated(&self, side: &'static str, cause: &str) {
         self.core
             .memory
             .settle(self.attempt.request, Outcome::Unknown);
@@ -109,10 +109,10 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
         if !self.ended {
-            self.end(&End::Disconnected);
+            self.end(&End::CallerClosed);
         }
         let queue_is_empty = self.core.queues.get(self.link.pool).is_empty();
         self.link.standing.end(queue_is_empty);
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 
 use super::body_error::BodyError;
-use super::running::{End, Running};
+use super::in_flight::{End, InFlight};
 use super::stalls::Flow;
 use crate::clock;
 
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct Relay {
     flow: Arc<Flow>,
-    running: Option<Running>,
+    in_flight: Option<InFlight>,
     /// Remaining bytes, if the server declared a length.
     remaining: Option<u64>,
     /// Whether the last frame ended an event stream.
@@ -32,11 +32,11 @@
 }
 
 impl Relay {
-    pub(crate) fn new(flow: Arc<Flow>, running: Running) -> Self {
+    pub(crate) fn new(flow: Arc<Flow>, in_flight: InFlight) -> Self {
         let remaining = flow.with(|body| body.size_hint().exact()).flatten();
         Self {
             flow,
-            running: Some(running),
+            in_flight: Some(in_flight),
             remaining,
             done: false,
         }
@@ -49,7 +49,7 @@
         self.flow.polled();
         let polled = self.flow.with(|body| Pin::new(body).poll_frame(cx));
         let Some(polled) = polled else {
-            self.finish(&End::Disconnected);
+            self.finish(&End::CallerClosed);
             return Poll::Ready(Some(Err(BodyError::CallerStalled)));
         };
         let frame = ready!(polled);
@@ -59,7 +59,7 @@
                 self.done = piece.data_ref().is_some_and(|data| ends_stream(data));
                 self.flow.forwarded(clock::now());
             }
-            Some(Err(error)) => self.finish(&End::Failed(error.to_string())),
+            Some(Err(error)) => self.finish(&End::Truncated(error.to_string())),
             None => self.finish(&End::Complete),
         }
         Poll::Ready(frame.map(|frame| frame.map_err(BodyError::Truncated)))
@@ -81,8 +81,8 @@
     }
 
     fn finish(&mut self, end: &End) {
-        if let Some(running) = self.running.take() {
-            running.finish(end);
+        if let Some(in_flight) = self.in_flight.take() {
+            in_flight.finish(end);
         }
     }
 }
@@ -93,7 +93,7 @@
         let end = if self.done || self.is_end() || self.remaining == Some(0) {
             End::Complete
         } else {
-            End::Disconnected
+            End::CallerClosed
         };
         self.finish(&end);
     }
