--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -134,7 +134,7 @@
 ) -> Response<ResponseBody> {
     let (mut parts, body) = response.into_parts();
     header::back(&mut parts.headers);
-    let relay = Relay::new(core.stalls.watch(body), in_flight);
+    let relay = Relay::new(core.stall_monitor.register(body), in_flight);
     let mut response = Response::new(ResponseBody::Relay(relay));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers;
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -19,7 +19,7 @@
 use super::pool_queues::PoolQueues;
 use super::queued_request::Wakeup;
 use super::slot::Slot;
-use super::stalls::Stalls;
+use super::stall_monitor::StallMonitor;
 use super::stop::Stop;
 use crate::clock;
 use crate::fleet::Fleet;
@@ -40,7 +40,7 @@
     pub(crate) keys: Keys,
     pub(crate) bodies: Arc<Semaphore>,
     pub(crate) counts: Counts,
-    pub(crate) stalls: Stalls,
+    pub(crate) stall_monitor: StallMonitor,
     pub(crate) stop: Stop,
 }
 
@@ -62,7 +62,7 @@
             keys,
             bodies: Arc::new(Semaphore::new(BODY_KIB)),
             counts: Counts::default(),
-            stalls: Stalls::default(),
+            stall_monitor: StallMonitor::default(),
             stop: Stop::default(),
         }
     }
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -147,7 +147,8 @@
         }
         before = now;
         let stall_ms = core.settings.limits.stall_ms;
-        core.stalls.release(now.saturating_sub(stall_ms));
+        core.stall_monitor
+            .drop_stalled(now.saturating_sub(stall_ms));
         tokio::select! {
             () = core.stop.end.cancelled() => break,
             changed = revision.changed() => {
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -35,7 +35,7 @@
 mod role;
 mod service;
 mod slot;
-mod stalls;
+mod stall_monitor;
 mod stop;
 mod timeout_stream;
 
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -9,7 +9,7 @@
 
 use super::body_error::BodyError;
 use super::in_flight::{End, InFlight};
-use super::stalls::Flow;
+use super::stall_monitor::MonitoredBody;
 use crate::clock;
 
 /// Last event of a model's event stream. Callers may disconnect after it without
@@ -23,7 +23,7 @@
 /// ends with an error, which aborts the caller's connection or stream.
 #[derive(Debug)]
 pub(crate) struct Relay {
-    flow: Arc<Flow>,
+    body: Arc<MonitoredBody>,
     in_flight: Option<InFlight>,
     /// Remaining bytes, if the server declared a length.
     remaining: Option<u64>,
@@ -32,10 +32,12 @@
 }
 
 impl Relay {
-    pub(crate) fn new(flow: Arc<Flow>, in_flight: InFlight) -> Self {
-        let remaining = flow.with(|body| body.size_hint().exact()).flatten();
+    pub(crate) fn new(body: Arc<MonitoredBody>, in_flight: InFlight) -> Self {
+        let remaining = body
+            .with_incoming(|body| body.size_hint().exact())
+            .flatten();
         Self {
-            flow,
+            body,
             in_flight: Some(in_flight),
             remaining,
             done: false,
@@ -46,8 +48,10 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        self.flow.polled();
-        let polled = self.flow.with(|body| Pin::new(body).poll_frame(cx));
+        self.body.record_polled();
+        let polled = self
+            .body
+            .with_incoming(|body| Pin::new(body).poll_frame(cx));
         let Some(polled) = polled else {
             self.finish(&End::CallerClosed);
             return Poll::Ready(Some(Err(BodyError::CallerStalled)));
@@ -57,7 +61,7 @@
             Some(Ok(piece)) => {
                 self.count(piece);
                 self.done = piece.data_ref().is_some_and(|data| ends_stream(data));
-                self.flow.forwarded(clock::now());
+                self.body.record_forwarded(clock::now());
             }
             Some(Err(error)) => self.finish(&End::Truncated(error.to_string())),
             None => self.finish(&End::Complete),
@@ -66,11 +70,15 @@
     }
 
     pub(super) fn is_end(&self) -> bool {
-        self.flow.with(|body| body.is_end_stream()).unwrap_or(false)
+        self.body
+            .with_incoming(|body| body.is_end_stream())
+            .unwrap_or(false)
     }
 
     pub(super) fn size_hint(&self) -> SizeHint {
-        self.flow.with(|body| body.size_hint()).unwrap_or_default()
+        self.body
+            .with_incoming(|body| body.size_hint())
+            .unwrap_or_default()
     }
 
     fn count(&mut self, frame: &Frame<Bytes>) {
