--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -74,7 +74,7 @@
             abandoned_attempt::watch(core, &link, call, pending);
             AttemptResult::TimedOut
         }
-        () = core.stop.cut.cancelled() => {
+        () = core.shutdown.abandon.cancelled() => {
             in_flight.record_unknown();
             AttemptResult::Stopping
         }
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -18,9 +18,9 @@
 use super::memory::Memory;
 use super::pool_queues::PoolQueues;
 use super::queued_request::Wakeup;
+use super::shutdown::Shutdown;
 use super::slot::Slot;
 use super::stall_monitor::StallMonitor;
-use super::stop::Stop;
 use crate::clock;
 use crate::fleet::Fleet;
 
@@ -41,7 +41,7 @@
     pub(crate) bodies: Arc<Semaphore>,
     pub(crate) counts: Counts,
     pub(crate) stall_monitor: StallMonitor,
-    pub(crate) stop: Stop,
+    pub(crate) shutdown: Shutdown,
 }
 
 impl Core {
@@ -63,12 +63,12 @@
             bodies: Arc::new(Semaphore::new(BODY_KIB)),
             counts: Counts::default(),
             stall_monitor: StallMonitor::default(),
-            stop: Stop::default(),
+            shutdown: Shutdown::default(),
         }
     }
 
     /// This router's instance.
-    pub(crate) fn origin(&self) -> Incarnation {
+    pub(crate) fn incarnation(&self) -> Incarnation {
         self.fleet.member().incarnation
     }
 
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -93,7 +93,7 @@
     /// Whether the router accepts requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let stopping = self.core.stop.refuse.is_cancelled();
+        let stopping = self.core.shutdown.refuse.is_cancelled();
         !stopping && self.core.fleet.view().revision() > 0
     }
 
--- a/crates/daemon/src/router/link/config_sync.rs
+++ b/crates/daemon/src/router/link/config_sync.rs
@@ -83,7 +83,7 @@
     /// Number of routers that send before this one.
     fn rank(&self, sidecar: Incarnation) -> u32 {
         let weight = |router: Incarnation| xxh3_64_with_seed(&router.0.to_le_bytes(), sidecar.0);
-        let own = weight(self.core.origin());
+        let own = weight(self.core.incarnation());
         let members = self.core.fleet.members();
         let before = members
             .iter()
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -108,7 +108,7 @@
         let context = with_timeout(self.link.heartbeat * SILENT_HEARTBEATS);
         let call = self
             .client
-            .recall(context, self.core.origin(), complete, keys);
+            .recall(context, self.core.incarnation(), complete, keys);
         call.await.map_err(call_error)
     }
 
@@ -134,7 +134,7 @@
                 metrics::counter!("declarations_total").increment(1);
                 metrics::counter!("declared_customers_total").increment(count);
                 let context = with_timeout(POLL_LIMIT);
-                let origin = self.core.origin();
+                let origin = self.core.incarnation();
                 let call = self.client.declare(context, origin, full, updates);
                 call.await.map_err(call_error)?;
                 sleep(DECLARE_INTERVAL).await;
@@ -181,7 +181,7 @@
     async fn poll(&self) -> Result<Infallible, Error> {
         let mut cursor = Cursor::default();
         let mut poll = Poll {
-            origin: self.core.origin(),
+            origin: self.core.incarnation(),
             revision: 0,
             until: 0,
             acknowledged: 0,
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -150,7 +150,7 @@
         core.stall_monitor
             .drop_stalled(now.saturating_sub(stall_ms));
         tokio::select! {
-            () = core.stop.end.cancelled() => break,
+            () = core.shutdown.terminate.cancelled() => break,
             changed = revision.changed() => {
                 if changed.is_err() {
                     break;
--- a/crates/daemon/src/router/listener.rs
+++ b/crates/daemon/src/router/listener.rs
@@ -67,7 +67,7 @@
     /// Accepts connections until the listener is closed, then drains the open ones.
     /// Connections beyond the limit stay in the listen backlog.
     pub(crate) async fn run(self) {
-        let close = self.core.stop.close.clone();
+        let close = self.core.shutdown.close.clone();
         loop {
             let connections = Arc::clone(&self.connections);
             let permit = tokio::select! {
@@ -87,9 +87,9 @@
             }
         }
         drop(self.socket);
-        let end = self.core.stop.end.clone();
+        let terminate = self.core.shutdown.terminate.clone();
         tokio::select! {
-            () = end.cancelled() => {}
+            () = terminate.cancelled() => {}
             () = self.shutdown.shutdown() => {}
         }
     }
@@ -112,13 +112,13 @@
         let stream = TimeoutStream::new(stream, stall);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let connection = self.shutdown.watch(connection.into_owned());
-        let end = self.core.stop.end.clone();
+        let terminate = self.core.shutdown.terminate.clone();
         tokio::spawn(async move {
             tokio::select! {
                 // Connection errors are reported by the requests on it.
                 _ = connection => {}
                 () = idle_timeout(&has_request, head) => {}
-                () = end.cancelled() => {}
+                () = terminate.cancelled() => {}
             }
             drop(permit);
         });
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -34,9 +34,9 @@
 mod response_body;
 mod role;
 mod service;
+mod shutdown;
 mod slot;
 mod stall_monitor;
-mod stop;
 mod timeout_stream;
 
 pub use error::Error;
--- a/crates/daemon/src/router/operators/nodes.rs
+++ b/crates/daemon/src/router/operators/nodes.rs
@@ -18,7 +18,7 @@
         name: own.name.clone(),
         zone: own.zone.clone(),
         up: true,
-        leaving: core.stop.refuse.is_cancelled() || core.fleet.is_leaving(&own.name),
+        leaving: core.shutdown.refuse.is_cancelled() || core.fleet.is_leaving(&own.name),
         revision: Some(core.fleet.config().revision),
         pool: None,
         slots: None,
--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -27,7 +27,7 @@
 /// The outcome of a request of this router: from its own record, otherwise from the
 /// sidecar that received the last attempt.
 pub(crate) async fn own(core: &Core, attempt: Attempt) -> Outcome {
-    if attempt.origin != core.origin() {
+    if attempt.origin != core.incarnation() {
         return Outcome::Unknown;
     }
     let Some(record) = core.memory.get(attempt.request) else {
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -88,7 +88,7 @@
             Ok(Wakeup::Displaced) | Err(_) => Err(displaced(core, call)),
         },
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => Err(deadline_passed(core, call)),
-        () = core.stop.clear.cancelled() => Err(stopping()),
+        () = core.shutdown.refuse_queued.cancelled() => Err(stopping()),
         result = home_changed => result,
     }
 }
--- a/crates/daemon/src/router/role.rs
+++ b/crates/daemon/src/router/role.rs
@@ -99,18 +99,18 @@
     /// part of the drain time, and running answers finish until its end.
     pub async fn stop(self) {
         let core = self.core;
-        let stop = &core.stop;
+        let shutdown = &core.shutdown;
         let drain = Duration::from_millis(core.settings.drain_ms);
         let began = Instant::now();
         let deadline = began + drain;
         log!(core.logger, Event::Stopping, "running" => core.counts.total());
-        stop.refuse.cancel();
+        shutdown.refuse.cancel();
         let linger = LINGER.min(drain / LINGER_DIVISOR);
         sleep_until(began + linger).await;
         let steps = [
-            (&stop.close, began + drain / WAITING_DIVISOR),
-            (&stop.clear, deadline),
-            (&stop.cut, deadline + FLUSH_TIMEOUT),
+            (&shutdown.close, began + drain / WAITING_DIVISOR),
+            (&shutdown.refuse_queued, deadline),
+            (&shutdown.abandon, deadline + FLUSH_TIMEOUT),
         ];
         let mut callers = self.callers;
         let mut ended = false;
@@ -118,7 +118,7 @@
             step.cancel();
             ended = ended || timeout_at(until, &mut callers).await.is_ok();
         }
-        stop.end.cancel();
+        shutdown.terminate.cancel();
         if !ended {
             // A panic in the task does not affect the shutdown.
             let _ = callers.await;
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -30,7 +30,7 @@
 ) -> Result<Response<ResponseBody>, Infallible> {
     let is_http1 = request.version() < Version::HTTP_2;
     let mut response = answer(&core, request).await;
-    if is_http1 && core.stop.refuse.is_cancelled() {
+    if is_http1 && core.shutdown.refuse.is_cancelled() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -54,7 +54,7 @@
 
 async fn run(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
     let attempt = Attempt {
-        origin: core.origin(),
+        origin: core.incarnation(),
         request: core.memory.open(),
         number: 0,
     };
@@ -72,7 +72,7 @@
     attempt: Attempt,
     request: Request<Incoming>,
 ) -> Result<super::call::Call, Refusal> {
-    if core.stop.refuse.is_cancelled() {
+    if core.shutdown.refuse.is_cancelled() {
         return Err(queueing::stopping());
     }
     request::read(core, attempt, request).await
