--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -193,7 +193,7 @@
 
     /// Sets the refusal's outcome for all attempts of the request, and records it.
     fn refuse(&self, mut refusal: Refusal) -> Refusal {
-        let given = self.call.key.is_some_and(|key| key.given);
+        let given = self.call.key.is_some_and(|key| key.from_caller);
         if refusal.outcome == Outcome::NotRun && (self.may_have_run || given) {
             refusal.outcome = Outcome::Unknown;
         }
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -7,7 +7,7 @@
 use mulberryyoke_model::{Outcome, ServerId};
 use mulberryyoke_settings::Policy;
 
-use super::call::{Call, Key};
+use super::call::{Call, IdempotencyKey};
 use super::core::Core;
 use super::link::Link;
 use super::queueing::{self, WaitResult};
@@ -21,13 +21,13 @@
 pub(crate) async fn place(
     core: &Arc<Core>,
     call: &Call,
-    key: Key,
+    key: IdempotencyKey,
     mut at_once: bool,
     mut again: bool,
 ) -> Result<Slot, Refusal> {
     loop {
         let homes = homes(core, call, key);
-        if key.given {
+        if key.from_caller {
             for former in &homes.former {
                 withdraw(core, call, key, *former).await?;
             }
@@ -60,7 +60,7 @@
 async fn home_lost(
     core: &Arc<Core>,
     call: &Call,
-    key: Key,
+    key: IdempotencyKey,
     link: &Arc<Link>,
 ) -> Result<WaitResult, Refusal> {
     let mut revision = core.fleet.watch();
@@ -82,7 +82,7 @@
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "home_silent", message).retry_after(SOON_S)
 }
 
-fn homes(core: &Core, call: &Call, key: Key) -> Homes {
+fn homes(core: &Core, call: &Call, key: IdempotencyKey) -> Homes {
     let view = core.fleet.view();
     let servers = view.all_servers(call.pool);
     home::find(servers, key.id, clock::now(), core.settings.retention_ms)
@@ -99,7 +99,7 @@
 async fn withdraw(
     core: &Arc<Core>,
     call: &Call,
-    key: Key,
+    key: IdempotencyKey,
     former: ServerId,
 ) -> Result<(), Refusal> {
     let link = link(core, former).ok_or_else(|| doubtful(None))?;
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -14,7 +14,7 @@
 use serde_json::value::RawValue;
 
 use super::body;
-use super::call::{Call, Key};
+use super::call::{Call, IdempotencyKey};
 use super::core::Core;
 use super::header;
 use super::refusal::Refusal;
@@ -141,21 +141,21 @@
     customer: CustomerId,
     attempt: Attempt,
     idempotent: bool,
-) -> Result<Option<Key>, Refusal> {
+) -> Result<Option<IdempotencyKey>, Refusal> {
     let Some(value) = parts.headers.get(header::IDEMPOTENCY_KEY) else {
         let own = KeyId::of(customer, &attempt.request_id());
-        return Ok((!idempotent).then_some(Key {
+        return Ok((!idempotent).then_some(IdempotencyKey {
             id: own,
-            given: false,
+            from_caller: false,
         }));
     };
     let text = header_text(header::IDEMPOTENCY_KEY, value)?;
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(invalid_header(header::IDEMPOTENCY_KEY));
     }
-    Ok(Some(Key {
+    Ok(Some(IdempotencyKey {
         id: KeyId::of(customer, text),
-        given: true,
+        from_caller: true,
     }))
 }
 
