--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -17,7 +17,8 @@
 use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{
-    doubtful, keys_full, malformed, no_server, repeated, too_late, unknown, unreachable,
+    deadline_passed, key_doubtful, key_used, keys_full, malformed, no_server, outcome_unknown,
+    unreachable,
 };
 use super::response_body::ResponseBody;
 use super::slot::Slot;
@@ -85,7 +86,7 @@
                 AttemptResult::Unknown(cause) => self.lost(&cause)?,
                 AttemptResult::TimedOut => {
                     self.may_have_run = true;
-                    return Err(too_late());
+                    return Err(deadline_passed());
                 }
                 AttemptResult::Stopping => {
                     self.may_have_run = true;
@@ -159,9 +160,9 @@
             Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
             Verdict::Malformed => Err(malformed()),
             Verdict::Full => Err(keys_full(after)),
-            Verdict::Doubtful => Err(doubtful(after)),
-            Verdict::Running => Err(repeated(Outcome::Running)),
-            Verdict::Ran => Err(repeated(Outcome::Ran)),
+            Verdict::Doubtful => Err(key_doubtful(after)),
+            Verdict::Running => Err(key_used(Outcome::Running)),
+            Verdict::Ran => Err(key_used(Outcome::Ran)),
             Verdict::Broken => self.lost("the server failed"),
             Verdict::NotHome | Verdict::Tombstone | Verdict::Unreachable => {
                 self.retry(verdict.as_str())
@@ -173,7 +174,7 @@
     fn lost(&mut self, cause: &str) -> Result<(), Refusal> {
         self.may_have_run = true;
         if self.call.key.is_some() {
-            return Err(unknown(cause));
+            return Err(outcome_unknown(cause));
         }
         self.retry(cause)
     }
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -12,7 +12,7 @@
 use super::link::Link;
 use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
-use super::refusals::{SOON_S, doubtful, no_server, repeated};
+use super::refusals::{RETRY_AFTER_S, key_doubtful, key_used, no_server};
 use super::slot::Slot;
 use crate::clock;
 
@@ -79,7 +79,7 @@
 
 fn home_unresponsive() -> Refusal {
     let message = "the only server that may run this request does not answer";
-    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "home_silent", message).retry_after(SOON_S)
+    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "home_silent", message).retry_after(RETRY_AFTER_S)
 }
 
 fn homes(core: &Core, call: &Call, key: IdempotencyKey) -> Homes {
@@ -102,14 +102,14 @@
     key: IdempotencyKey,
     former: ServerId,
 ) -> Result<(), Refusal> {
-    let link = link(core, former).ok_or_else(|| doubtful(None))?;
+    let link = link(core, former).ok_or_else(|| key_doubtful(None))?;
     link.wait_control().await;
     core.keys.remember(former, key.id, clock::now());
     let withdrawal = link.withdraw(call.attempt, Some(key.id)).await;
-    let withdrawal = withdrawal.map_err(|_| doubtful(None))?;
+    let withdrawal = withdrawal.map_err(|_| key_doubtful(None))?;
     match withdrawal.outcome {
         Outcome::NotRun if !withdrawal.doubtful => Ok(()),
-        Outcome::Running | Outcome::Ran | Outcome::Cut => Err(repeated(withdrawal.outcome)),
-        Outcome::NotRun | Outcome::Waiting | Outcome::Unknown => Err(doubtful(None)),
+        Outcome::Running | Outcome::Ran | Outcome::Cut => Err(key_used(withdrawal.outcome)),
+        Outcome::NotRun | Outcome::Waiting | Outcome::Unknown => Err(key_doubtful(None)),
     }
 }
--- a/crates/daemon/src/router/refusals.rs
+++ b/crates/daemon/src/router/refusals.rs
@@ -6,7 +6,7 @@
 use super::refusal::Refusal;
 
 /// `Retry-After` for transient failures, in seconds.
-pub(super) const SOON_S: u32 = 1;
+pub(super) const RETRY_AFTER_S: u32 = 1;
 
 /// A temporary refusal, answered 503.
 pub(super) fn unavailable(code: &'static str, message: impl Into<String>) -> Refusal {
@@ -15,23 +15,23 @@
 
 /// The pool has no server that accepts new requests.
 pub(super) fn no_server() -> Refusal {
-    unavailable("no_server", "no server of this pool takes new work").retry_after(SOON_S)
+    unavailable("no_server", "no server of this pool takes new work").retry_after(RETRY_AFTER_S)
 }
 
 /// No attempt reached a server.
 pub(super) fn unreachable(cause: &str) -> Refusal {
     let message = format!("no attempt succeeded and no retry is left: {cause}");
-    unavailable("unreachable", message).retry_after(SOON_S)
+    unavailable("unreachable", message).retry_after(RETRY_AFTER_S)
 }
 
 /// A server may have run the request.
-pub(super) fn unknown(cause: &str) -> Refusal {
+pub(super) fn outcome_unknown(cause: &str) -> Refusal {
     let message = format!("the request may have run: {cause}; ask for its outcome by its id");
     Refusal::new(StatusCode::BAD_GATEWAY, "outcome_unknown", message).outcome(Outcome::Unknown)
 }
 
 /// The deadline passed after the request was sent to a server.
-pub(super) fn too_late() -> Refusal {
+pub(super) fn deadline_passed() -> Refusal {
     let message = "the deadline passed while a server held the request";
     Refusal::new(StatusCode::GATEWAY_TIMEOUT, "deadline_passed", message).outcome(Outcome::Unknown)
 }
@@ -45,19 +45,19 @@
 /// The sidecar's table of idempotency keys is full.
 pub(super) fn keys_full(after: Option<u32>) -> Refusal {
     let message = "the server cannot remember more idempotency keys";
-    unavailable("keys_full", message).retry_after(after.unwrap_or(SOON_S))
+    unavailable("keys_full", message).retry_after(after.unwrap_or(RETRY_AFTER_S))
 }
 
 /// It cannot be proved whether a request with this key ran.
-pub(super) fn doubtful(after: Option<u32>) -> Refusal {
+pub(super) fn key_doubtful(after: Option<u32>) -> Refusal {
     let message = "a request with this key may have run before a restart or a change of servers";
     unavailable("key_doubtful", message)
         .outcome(Outcome::Unknown)
-        .retry_after(after.unwrap_or(SOON_S))
+        .retry_after(after.unwrap_or(RETRY_AFTER_S))
 }
 
 /// A request with this key was started before.
-pub(super) fn repeated(outcome: Outcome) -> Refusal {
+pub(super) fn key_used(outcome: Outcome) -> Refusal {
     let message = "a request with this key was started before";
     Refusal::new(StatusCode::CONFLICT, "key_used", message).outcome(outcome)
 }
