--- a/crates/daemon/src/router/body.rs
+++ b/crates/daemon/src/router/body.rs
@@ -63,8 +63,8 @@
 
 fn reserve(core: &Core, kib: usize) -> Result<OwnedSemaphorePermit, Refusal> {
     let kib = u32::try_from(kib).unwrap_or(u32::MAX);
-    let bodies = Arc::clone(&core.bodies);
-    bodies
+    let memory = Arc::clone(&core.body_memory);
+    memory
         .try_acquire_many_owned(kib)
         .map_err(|_| memory_full())
 }
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -25,7 +25,7 @@
 use crate::fleet::Fleet;
 
 /// Memory limit for request bodies, in KiB.
-const BODY_KIB: usize = 256 << 10;
+const BODY_MEMORY_KIB: usize = 256 << 10;
 
 /// Shared state of a router.
 pub(crate) struct Core {
@@ -34,11 +34,11 @@
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) queues: PoolQueues,
     pub(crate) links: Links,
-    pub(crate) limit: Mutex<Limiter>,
-    pub(crate) budget: Mutex<Budget>,
+    pub(crate) limiter: Mutex<Limiter>,
+    pub(crate) retry_budget: Mutex<Budget>,
     pub(crate) memory: Memory,
     pub(crate) keys: Keys,
-    pub(crate) bodies: Arc<Semaphore>,
+    pub(crate) body_memory: Arc<Semaphore>,
     pub(crate) counts: Counts,
     pub(crate) stall_monitor: StallMonitor,
     pub(crate) shutdown: Shutdown,
@@ -47,8 +47,8 @@
 impl Core {
     pub(crate) fn new(settings: Arc<settings::Router>, logger: Logger, fleet: Arc<Fleet>) -> Self {
         let limits = &settings.limits;
-        let limit = Limiter::new(limits.queue_per_customer, limits.queue_total);
-        let budget = Budget::new(limits.retry_percent);
+        let limiter = Limiter::new(limits.queue_per_customer, limits.queue_total);
+        let retry_budget = Budget::new(limits.retry_percent);
         let keys = Keys::new(fleet.member().started_at, settings.retention_ms);
         Self {
             settings,
@@ -56,11 +56,11 @@
             fleet,
             queues: PoolQueues::default(),
             links: Links::default(),
-            limit: Mutex::new(limit),
-            budget: Mutex::new(budget),
+            limiter: Mutex::new(limiter),
+            retry_budget: Mutex::new(retry_budget),
             memory: Memory::default(),
             keys,
-            bodies: Arc::new(Semaphore::new(BODY_KIB)),
+            body_memory: Arc::new(Semaphore::new(BODY_MEMORY_KIB)),
             counts: Counts::default(),
             stall_monitor: StallMonitor::default(),
             shutdown: Shutdown::default(),
@@ -81,7 +81,7 @@
         let open = self.links.open(link.pool);
         while let Some(entry) = queue.pop(grant.customer, link.id, &open) {
             let now = clock::now();
-            self.limit.lock().remove(entry.customer, true, now);
+            self.limiter.lock().remove(entry.customer, true, now);
             let wakeup = Wakeup::Granted(Slot::granted(link, grant.id));
             let Err(Wakeup::Granted(mut slot)) = entry.payload.wakeup.send(wakeup) else {
                 return true;
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -32,7 +32,7 @@
     core: &Arc<Core>,
     call: Call,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    core.budget.lock().deposit();
+    core.retry_budget.lock().deposit();
     let mut dispatch = Dispatch {
         core,
         call,
@@ -181,7 +181,7 @@
 
     /// Takes a retry from the budget.
     fn retry(&self, cause: &str) -> Result<(), Refusal> {
-        if !self.core.budget.lock().try_withdraw() {
+        if !self.core.retry_budget.lock().try_withdraw() {
             return Err(unreachable(cause));
         }
         metrics::counter!("retries_total").increment(1);
--- a/crates/daemon/src/router/error.rs
+++ b/crates/daemon/src/router/error.rs
@@ -10,8 +10,8 @@
 /// Why a router could not start.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// could not bind callers' port: {address}: {source}
-    Callers {
+    /// could not bind port for callers: {address}: {source}
+    Bind {
         /// The address.
         address: SocketAddr,
         /// The underlying I/O error.
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -133,7 +133,7 @@
         for usage in totals {
             *served.entry(usage.customer).or_default() += usage.tokens;
         }
-        let limit = self.core.limit.lock();
+        let limit = self.core.limiter.lock();
         let customers = view.customers().map(|(id, customer)| {
             let served = served.get(&id).copied().unwrap_or(0);
             Customer {
--- a/crates/daemon/src/router/listener.rs
+++ b/crates/daemon/src/router/listener.rs
@@ -47,7 +47,7 @@
     pub(crate) async fn bind(core: &Arc<Core>) -> Result<Self, Error> {
         let address = core.settings.callers;
         let socket = TcpListener::bind(address).await;
-        let socket = socket.map_err(|source| Error::Callers { address, source })?;
+        let socket = socket.map_err(|source| Error::Bind { address, source })?;
         let most = core.settings.limits.connections as usize;
         Ok(Self {
             core: Arc::clone(core),
@@ -61,7 +61,7 @@
     pub(crate) fn address(&self) -> Result<SocketAddr, Error> {
         let address = self.core.settings.callers;
         let local = self.socket.local_addr();
-        local.map_err(|source| Error::Callers { address, source })
+        local.map_err(|source| Error::Bind { address, source })
     }
 
     /// Accepts connections until the listener is closed, then drains the open ones.
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -29,7 +29,7 @@
     fn drop(&mut self) {
         if self.queue.remove(self.key).is_some() {
             let now = clock::now();
-            self.core.limit.lock().remove(self.customer, false, now);
+            self.core.limiter.lock().remove(self.customer, false, now);
         }
     }
 }
@@ -95,7 +95,7 @@
 
 /// Admits the request to the queue, or refuses it.
 fn admit(core: &Core, call: &Call, readmit: bool) -> Result<(), Refusal> {
-    let mut limiter = core.limit.lock();
+    let mut limiter = core.limiter.lock();
     if readmit {
         limiter.readmit(call.customer, call.share);
         return Ok(());
@@ -119,7 +119,7 @@
         let Some(entry) = queue.pop_last(customer) else {
             continue;
         };
-        core.limit.lock().remove(customer, false, clock::now());
+        core.limiter.lock().remove(customer, false, clock::now());
         // The caller may have disconnected.
         let _ = entry.payload.wakeup.send(Wakeup::Displaced);
         return;
@@ -127,7 +127,7 @@
 }
 
 fn retry_after(core: &Core, call: &Call) -> u32 {
-    core.limit.lock().retry_after(call.customer, clock::now())
+    core.limiter.lock().retry_after(call.customer, clock::now())
 }
 
 /// The customer has reached its limit of queued requests.
