--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -49,8 +49,8 @@
         Err(error) => return AttemptResult::NotSent(error.to_string()),
     };
     let grant = slot.take_grant();
-    let until = clock::now().saturating_add(core.settings.retention_ms);
-    let request = request(call, &link, &call.ticket(grant, until));
+    let max_deadline = clock::now().saturating_add(core.settings.retention_ms);
+    let request = request(call, &link, &call.ticket(grant, max_deadline));
     let in_flight = InFlight::start(core, &link, call);
     log!(core.logger, Event::Routed,
         "request" => call.attempt.request_id(),
@@ -59,7 +59,7 @@
         "class" => call.class.as_str(),
         "server" => &link.server.name,
         "granted" => grant.is_some(),
-        "waited_ms" => clock::now().saturating_sub(call.since));
+        "waited_ms" => clock::now().saturating_sub(call.received_at));
     let mut pending: ResponseFuture = Box::pin(sender.try_send_request(request));
     tokio::select! {
         biased;
--- a/crates/daemon/src/router/call.rs
+++ b/crates/daemon/src/router/call.rs
@@ -24,14 +24,14 @@
     /// The customer's weight.
     pub(crate) share: u32,
     /// The customer's own limit of queued requests.
-    pub(crate) queue: Option<u32>,
+    pub(crate) queue_limit: Option<u32>,
     pub(crate) pool: PoolId,
     pub(crate) class: Class,
     pub(crate) deadline: Millis,
-    /// When the request arrived.
-    pub(crate) since: Millis,
+    /// When the request was received.
+    pub(crate) received_at: Millis,
     /// The caller's hint of the cost, in tokens; 0 for none.
-    pub(crate) hint: u32,
+    pub(crate) cost_hint: u32,
     /// Estimated cost, in tokens.
     pub(crate) cost: u32,
     /// Set if the request must run at most once.
@@ -44,19 +44,19 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     /// Memory reserved for the body.
-    pub(crate) _memory: OwnedSemaphorePermit,
+    pub(crate) _body_memory: OwnedSemaphorePermit,
 }
 
 impl Call {
-    /// Builds the ticket for the sidecar. The deadline is capped at `until`, because
-    /// the sidecar may have discarded a withdrawal record after that.
-    pub(crate) fn ticket(&self, grant: Option<u64>, until: Millis) -> Ticket {
+    /// Builds the ticket for the sidecar. The deadline is capped at `max_deadline`, because
+    /// the sidecar may have discarded the record of a withdrawal after that.
+    pub(crate) fn ticket(&self, grant: Option<u64>, max_deadline: Millis) -> Ticket {
         Ticket {
             attempt: self.attempt,
             customer: self.customer,
             class: self.class,
-            deadline: self.deadline.min(until),
-            hint: self.hint,
+            deadline: self.deadline.min(max_deadline),
+            hint: self.cost_hint,
             cost: self.cost,
             grant,
             key: self.key.map(|key| key.id),
@@ -64,7 +64,7 @@
     }
 
     /// Whether the deadline has passed.
-    pub(crate) fn is_late(&self, now: Millis) -> bool {
+    pub(crate) fn is_expired(&self, now: Millis) -> bool {
         self.deadline <= now
     }
 }
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -57,7 +57,7 @@
 
 impl Dispatch<'_> {
     async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
-        if self.call.is_late(clock::now()) {
+        if self.call.is_expired(clock::now()) {
             return Err(queueing::deadline_passed(self.core, &self.call));
         }
         let mut at_once = true;
--- a/crates/daemon/src/router/in_flight.rs
+++ b/crates/daemon/src/router/in_flight.rs
@@ -30,7 +30,7 @@
     attempt: Attempt,
     customer: CustomerId,
     key: Option<KeyId>,
-    since: Millis,
+    received_at: Millis,
     ended: bool,
 }
 
@@ -52,7 +52,7 @@
             attempt,
             customer: call.customer,
             key,
-            since: call.since,
+            received_at: call.received_at,
             ended: false,
         }
     }
@@ -92,7 +92,7 @@
             "request" => self.attempt.request_id(),
             "customer" => self.customer.0,
             "server" => &self.link.server.name,
-            "elapsed_ms" => clock::now().saturating_sub(self.since));
+            "elapsed_ms" => clock::now().saturating_sub(self.received_at));
     }
 
     fn record_truncated(&self, side: &'static str, cause: &str) {
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -65,7 +65,7 @@
         call.customer,
         call.class,
         call.deadline,
-        call.since,
+        call.received_at,
         request,
     );
     entry.cost = call.cost;
@@ -100,7 +100,7 @@
         limiter.readmit(call.customer, call.share);
         return Ok(());
     }
-    let decision = limiter.admit(call.customer, call.share, call.queue);
+    let decision = limiter.admit(call.customer, call.share, call.queue_limit);
     drop(limiter);
     match decision {
         Decision::Enqueue => Ok(()),
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -67,19 +67,19 @@
     attempt: Attempt,
     request: Request<Incoming>,
 ) -> Result<Call, Refusal> {
-    let since = clock::now();
+    let received_at = clock::now();
     let view = core.fleet.view();
     let (mut parts, incoming) = request.into_parts();
     let customer = customer(&view, &parts.headers)?;
     let id = CustomerId::of(&customer.name);
     let route = view.route(parts.method.as_str(), parts.uri.path());
-    let is_model = is_model(parts.uri.path());
-    if route.is_none() && !is_model {
+    let is_model_request = is_model_request(parts.uri.path());
+    if route.is_none() && !is_model_request {
         return Err(route_not_found());
     }
     let body = body::read(core, incoming).await?;
     let target = match route {
-        Some((pool, route)) if !is_model => Target {
+        Some((pool, route)) if !is_model_request => Target {
             pool: PoolId::of(&pool.name),
             idempotent: route.idempotent,
             cost: route.cost,
@@ -87,8 +87,8 @@
         },
         _ => target(&view, id, &body.bytes)?,
     };
-    let hint = number(&parts.headers, header::COST_HINT)?;
-    let deadline = deadline(core, &parts.headers, since)?;
+    let cost_hint = number(&parts.headers, header::COST_HINT)?;
+    let deadline = deadline(core, &parts.headers, received_at)?;
     let class = class(&parts.headers, customer.class)?;
     let key = key(&parts, id, attempt, target.idempotent)?;
     let path = parts.uri.path_and_query();
@@ -98,24 +98,24 @@
         attempt,
         customer: id,
         share: customer.share,
-        queue: customer.queue,
+        queue_limit: customer.queue,
         pool: target.pool,
         class,
         deadline,
-        since,
-        hint: hint.unwrap_or(0),
-        cost: hint.unwrap_or(target.cost).max(1),
+        received_at,
+        cost_hint: cost_hint.unwrap_or(0),
+        cost: cost_hint.unwrap_or(target.cost).max(1),
         key,
         prefix: target.prefix,
         method: parts.method,
         path,
         headers: parts.headers,
         body: body.bytes,
-        _memory: body.memory,
+        _body_memory: body.memory,
     })
 }
 
-fn is_model(path: &str) -> bool {
+fn is_model_request(path: &str) -> bool {
     matches!(path, "/v1/chat/completions" | "/v1/completions")
 }
 
