--- a/crates/daemon/tests/router/main.rs
+++ b/crates/daemon/tests/router/main.rs
@@ -1,12 +1,12 @@
-//! The router role against sidecars that do as a test tells them.
+//! The router role against scripted sidecars.
 
 mod caller;
 mod fake;
 mod fleet;
 
-mod input;
 mod key;
-mod limit;
 mod outcome;
-mod stop;
+mod queue_limit;
+mod request;
+mod shutdown;
 mod waiting;
