--- a/crates/daemon/tests/router/caller.rs
+++ b/crates/daemon/tests/router/caller.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! An HTTP client that sends requests as a caller.
 
 use std::net::SocketAddr;
 
@@ -14,27 +14,27 @@
 
 use crate::fleet::{CUSTOMER, MODEL};
 
-/// An answer as the caller sees it.
+/// A response that was read to its end.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct FullResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// The text, or why there is no whole one.
-    pub(crate) text: Result<String, String>,
+    /// The body, or why it could not be read.
+    pub(crate) body: Result<String, String>,
 }
 
-impl Reply {
-    /// A header's value, or nothing.
+impl FullResponse {
+    /// Returns a header's value, or an empty string.
     pub(crate) fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
             .map_or("", |value| value.to_str().unwrap())
     }
 
-    /// The status, the error's code and the outcome of a refusal.
+    /// Returns the status, error code and outcome of a refusal.
     pub(crate) fn refusal(&self) -> (u16, String, &str) {
-        let text = self.text.as_deref().unwrap_or("{}");
-        let body: Value = serde_json::from_str(text).unwrap_or_default();
+        let body = self.body.as_deref().unwrap_or("{}");
+        let body: Value = serde_json::from_str(body).unwrap_or_default();
         let code = body["error"]["code"]
             .as_str()
             .unwrap_or_default()
@@ -43,13 +43,13 @@
     }
 }
 
-/// A request for the model.
+/// A chat completion request for [`MODEL`].
 pub(crate) fn completion() -> Request<Full<Bytes>> {
     let body = json!({"model": MODEL, "messages": [{"role": "user", "content": "hi"}]});
     post("/v1/chat/completions", &body.to_string())
 }
 
-/// A request of the usual customer.
+/// A POST request of [`CUSTOMER`].
 pub(crate) fn post(path: &str, body: &str) -> Request<Full<Bytes>> {
     Request::post(path)
         .header("host", "router")
@@ -58,8 +58,7 @@
         .unwrap()
 }
 
-/// Adds a header.
-pub(crate) fn with(
+pub(crate) fn with_header(
     mut request: Request<Full<Bytes>>,
     name: &'static str,
     value: &str,
@@ -68,7 +67,7 @@
     request
 }
 
-/// Opens a connection.
+/// Opens an HTTP/1.1 connection.
 pub(crate) async fn connect(address: SocketAddr) -> http1::SendRequest<Full<Bytes>> {
     let stream = TcpStream::connect(address).await.unwrap();
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.unwrap();
@@ -76,54 +75,57 @@
     sender
 }
 
-/// Sends a request on a connection of its own and reads the head of the answer.
-pub(crate) async fn open(address: SocketAddr, request: Request<Full<Bytes>>) -> Response<Incoming> {
+/// Sends a request on a new connection and receives the response head.
+pub(crate) async fn receive_head(
+    address: SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> Response<Incoming> {
     let mut sender = connect(address).await;
     sender.send_request(request).await.unwrap()
 }
 
-/// Reads the rest of an answer.
-pub(crate) async fn read(response: Response<Incoming>) -> Reply {
+/// Reads a response body.
+pub(crate) async fn read_response(response: Response<Incoming>) -> FullResponse {
     let (parts, body) = response.into_parts();
-    let text = match body.collect().await {
-        Ok(whole) => Ok(String::from_utf8(whole.to_bytes().to_vec()).unwrap()),
+    let body = match body.collect().await {
+        Ok(body) => Ok(String::from_utf8(body.to_bytes().to_vec()).unwrap()),
         Err(error) => Err(error.to_string()),
     };
-    Reply {
+    FullResponse {
         status: parts.status,
         headers: parts.headers,
-        text,
+        body,
     }
 }
 
-/// Sends a request and reads its answer.
-pub(crate) async fn send(address: SocketAddr, request: Request<Full<Bytes>>) -> Reply {
-    read(open(address, request).await).await
+/// Sends a request on a new connection and reads the response.
+pub(crate) async fn send(address: SocketAddr, request: Request<Full<Bytes>>) -> FullResponse {
+    read_response(receive_head(address, request).await).await
 }
 
-/// Sends a request in a task of its own.
+/// Spawns a task that calls [`send`].
 pub(crate) fn spawn(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> tokio::task::JoinHandle<Reply> {
+) -> tokio::task::JoinHandle<FullResponse> {
     tokio::spawn(send(address, request))
 }
 
-/// Sends bytes as they are and reads all that comes back.
-pub(crate) async fn raw(address: SocketAddr, bytes: &[u8], half_close: bool) -> String {
+/// Sends raw bytes and reads until the router closes the connection.
+pub(crate) async fn send_raw(address: SocketAddr, bytes: &[u8], half_close: bool) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // The router may close before it has read all.
+    // The router may close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
     if half_close {
         let _ = stream.shutdown().await;
     }
-    let mut read = Vec::new();
-    let mut piece = [0; 4096];
-    while let Ok(count) = stream.read(&mut piece).await {
+    let mut received = Vec::new();
+    let mut chunk = [0; 4096];
+    while let Ok(count) = stream.read(&mut chunk).await {
         if count == 0 {
             break;
         }
-        read.extend_from_slice(&piece[..count]);
+        received.extend_from_slice(&chunk[..count]);
     }
-    String::from_utf8_lossy(&read).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
--- a/crates/daemon/tests/router/key.rs
+++ b/crates/daemon/tests/router/key.rs
@@ -5,12 +5,12 @@
 use mulberryyoke_wire::Verdict;
 use serde_json::json;
 
-use crate::caller::{post, send, spawn, with};
+use crate::caller::{post, send, spawn, with_header};
 use crate::fake::{Act, Fake};
 use crate::fleet::{Fleet, SERVICE, customer, draining, eventually};
 
 fn book(key: &str) -> hyper::Request<http_body_util::Full<bytes::Bytes>> {
-    with(post("/slots", "book"), "idempotency-key", key)
+    with_header(post("/slots", "book"), "idempotency-key", key)
 }
 
 #[gtest]
--- a/crates/daemon/tests/router/outcome.rs
+++ b/crates/daemon/tests/router/outcome.rs
@@ -1,4 +1,4 @@
-//! Truthful outcomes when servers fail.
+//! Outcomes reported when servers fail.
 
 use googletest::prelude::*;
 use http_body_util::BodyExt;
@@ -7,61 +7,62 @@
 use mulberryyoke_wire::Verdict;
 use serde_json::{Value, json};
 
-use crate::caller::{Reply, completion, open, post, read, send, spawn};
+use crate::caller::{FullResponse, completion, post, read_response, receive_head, send, spawn};
 use crate::fake::{Act, Fake};
 use crate::fleet::{Fleet, MODEL, SERVICE};
 
-async fn two(pool: &str, changes: &Value) -> (Fake, Fake, Fleet) {
+async fn spawn_pair(pool: &str, changes: &Value) -> (Fake, Fake, Fleet) {
     let first = Fake::bind("s1", pool, 4).await;
     let second = Fake::bind("s2", pool, 4).await;
     let fleet = Fleet::spawn(&[&first, &second], changes).await;
     (first, second, fleet)
 }
 
-/// What the router says became of an answered request.
-async fn outcome(fleet: &Fleet, reply: &Reply) -> String {
-    outcome_of(fleet, reply.header("x-request-id")).await
+/// Queries the outcome of the request that got `response`.
+async fn outcome(fleet: &Fleet, response: &FullResponse) -> String {
+    outcome_of(fleet, response.header("x-request-id")).await
 }
 
+/// Queries the outcome of a request by its id.
 async fn outcome_of(fleet: &Fleet, id: &str) -> String {
     let mut request = post(&format!("/v1/outcomes/{id}"), "");
     *request.method_mut() = Method::GET;
-    let told = send(fleet.address(), request).await;
-    let body: Value = serde_json::from_str(told.text.as_deref().unwrap()).unwrap();
+    let response = send(fleet.address(), request).await;
+    let body: Value = serde_json::from_str(response.body.as_deref().unwrap()).unwrap();
     body["outcome"].as_str().unwrap_or_default().to_owned()
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_that_breaks_off_never_looks_whole() {
+async fn truncated_response_ends_with_an_error() {
     let fake = Fake::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     fake.then(Act::Break("data: 1\n\n"));
-    let response = open(fleet.address(), completion()).await;
+    let response = receive_head(fleet.address(), completion()).await;
     fake.release();
-    let reply = read(response).await;
-    expect_that!(reply.status.as_u16(), eq(200));
-    expect_that!(reply.text, err(anything()));
+    let response = read_response(response).await;
+    expect_that!(response.status.as_u16(), eq(200));
+    expect_that!(response.body, err(anything()));
     fake.set_withdrawal(Outcome::Cut, false);
-    expect_that!(outcome(&fleet, &reply).await, eq("cut"));
+    expect_that!(outcome(&fleet, &response).await, eq("cut"));
 }
 
-/// The caller's connection has all that was told before the server's stream ends.
+/// The caller has received a response of known length before the server's stream ends.
 #[gtest]
 #[tokio::test]
-async fn an_answer_of_told_length_is_whole_once_passed_on() {
+async fn response_of_known_length_completes_before_the_stream_ends() {
     let fake = Fake::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     fake.then(Act::Told("whole"));
-    let reply = send(fleet.address(), completion()).await;
-    expect_that!(reply.text.as_deref(), ok(eq("whole")));
-    expect_that!(outcome(&fleet, &reply).await, eq("ran"));
+    let response = send(fleet.address(), completion()).await;
+    expect_that!(response.body.as_deref(), ok(eq("whole")));
+    expect_that!(outcome(&fleet, &response).await, eq("ran"));
     fake.release();
 }
 
 #[gtest]
 #[tokio::test]
-async fn idempotent_requests_are_retried_elsewhere() {
+async fn idempotent_requests_are_retried() {
     let rows = [
         Act::Verdict(Verdict::Unreachable),
         Act::Verdict(Verdict::Tombstone),
@@ -74,15 +75,15 @@
         let caller = spawn(fleet.address(), completion());
         fake.declared(crate::fleet::customer(), [0, 1, 0]).await;
         fake.grant(1, crate::fleet::customer());
-        let reply = caller.await.unwrap();
-        expect_that!(reply.status.as_u16(), eq(200), "{act:?}");
-        expect_that!(outcome(&fleet, &reply).await, eq("ran"), "{act:?}");
+        let response = caller.await.unwrap();
+        expect_that!(response.status.as_u16(), eq(200), "{act:?}");
+        expect_that!(outcome(&fleet, &response).await, eq("ran"), "{act:?}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn without_a_budget_the_refusal_tells_the_truth() {
+async fn refusal_without_retry_budget_reports_the_outcome() {
     let rows = [
         (Verdict::Unreachable, "not-run"),
         (Verdict::Tombstone, "not-run"),
@@ -92,73 +93,73 @@
     let fleet = Fleet::spawn(&[&fake], &json!({"limits": {"retry_percent": 0}})).await;
     for (verdict, expected) in rows {
         fake.then(Act::Verdict(verdict));
-        let reply = send(fleet.address(), completion()).await;
+        let response = send(fleet.address(), completion()).await;
         let refusal = (503, "unreachable".to_owned(), expected);
-        expect_that!(reply.refusal(), eq(&refusal), "{verdict:?}");
+        expect_that!(response.refusal(), eq(&refusal), "{verdict:?}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_frozen_server_costs_an_idempotent_request_a_retry() {
-    let (mut first, mut second, fleet) = two(MODEL, &json!({})).await;
+async fn idempotent_request_on_an_unresponsive_server_is_retried_and_withdrawn() {
+    let (mut first, mut second, fleet) = spawn_pair(MODEL, &json!({})).await;
     first.then(Act::Silence);
     second.then(Act::Silence);
     let caller = spawn(fleet.address(), completion());
-    let (frozen, other, ticket) = tokio::select! {
+    let (frozen, other, first_ticket) = tokio::select! {
         arrival = first.arrival() => (&first, &mut second, arrival.ticket),
         arrival = second.arrival() => (&second, &mut first, arrival.ticket),
     };
     other.clear();
     frozen.freeze(true);
-    let reply = caller.await.unwrap();
-    expect_that!(reply.text, ok(eq("ok")));
-    let again = other.arrival().await.ticket;
-    expect_that!(again.attempt, eq(ticket.attempt.next()));
-    // The first attempt is withdrawn once its server answers.
+    let response = caller.await.unwrap();
+    expect_that!(response.body, ok(eq("ok")));
+    let second_ticket = other.arrival().await.ticket;
+    expect_that!(second_ticket.attempt, eq(first_ticket.attempt.next()));
+    // The first attempt is withdrawn once its server responds again.
     frozen.freeze(false);
-    expect_that!(frozen.withdrawn().await, eq((ticket.attempt, None)));
+    expect_that!(frozen.withdrawn().await, eq((first_ticket.attempt, None)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn what_must_run_once_is_unknown_at_once_when_its_server_is_silent() {
+async fn non_idempotent_request_on_an_unresponsive_server_has_unknown_outcome() {
     let mut fake = Fake::bind("b1", SERVICE, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     fake.then(Act::Silence);
     let caller = spawn(fleet.address(), post("/slots", "book"));
     fake.arrival().await;
     fake.freeze(true);
-    let reply = caller.await.unwrap();
+    let response = caller.await.unwrap();
     let refusal = (502, "outcome_unknown".to_owned(), "unknown");
-    expect_that!(reply.refusal(), eq(&refusal));
+    expect_that!(response.refusal(), eq(&refusal));
     expect_that!(fake.unread(), eq(0));
-    // Once the server answers again, its withdrawal proves what became of it.
+    // Once the server responds again, the withdrawal settles the outcome.
     fake.set_withdrawal(Outcome::NotRun, false);
     fake.freeze(false);
     fake.withdrawn().await;
     fleet.connected(1).await;
-    expect_that!(outcome(&fleet, &reply).await, eq("not-run"));
+    expect_that!(outcome(&fleet, &response).await, eq("not-run"));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_server_that_cannot_be_reached_has_not_run_anything() {
+async fn connect_failure_is_reported_as_not_run() {
     let fake = Fake::bind("s1", MODEL, 4).await;
     fake.close_data();
     let fleet = Fleet::spawn(&[&fake], &json!({"limits": {"retry_percent": 0}})).await;
-    let reply = send(fleet.address(), completion()).await;
+    let response = send(fleet.address(), completion()).await;
     let refusal = (503, "unreachable".to_owned(), "not-run");
-    expect_that!(reply.refusal(), eq(&refusal));
+    expect_that!(response.refusal(), eq(&refusal));
 }
 
 #[gtest]
 #[tokio::test]
-async fn outcomes_of_strange_ids_are_unknown() {
+async fn unknown_request_ids_have_no_known_outcome() {
     let fake = Fake::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-    let reply = send(fleet.address(), completion()).await;
-    let id = reply.header("x-request-id").to_owned();
+    let response = send(fleet.address(), completion()).await;
+    let id = response.header("x-request-id").to_owned();
     expect_that!(outcome_of(&fleet, &id).await, eq("ran"));
     let (origin, _) = id.split_once('-').unwrap();
     expect_that!(
@@ -171,18 +172,18 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_caller_that_leaves_after_the_last_piece_had_its_answer() {
+async fn disconnect_after_the_last_frame_counts_as_completed() {
     let rows = [
         (Act::Break("data: 1\n\ndata: [DONE]\n\n"), "ran"),
         (Act::Break("data: 1\n\n"), "unknown"),
         (Act::Sized(6, "answer"), "ran"),
         (Act::Sized(7, "answer"), "unknown"),
     ];
-    for (act, told) in rows {
+    for (act, expected) in rows {
         let mut fake = Fake::bind("s1", MODEL, 4).await;
         let fleet = Fleet::spawn(&[&fake], &json!({})).await;
         fake.then(act.clone());
-        let response = open(fleet.address(), completion()).await;
+        let response = receive_head(fleet.address(), completion()).await;
         let id = response.headers()["x-request-id"]
             .to_str()
             .unwrap()
@@ -194,6 +195,6 @@
         fake.arrival().await;
         let inspect = fleet.router.inspect();
         crate::fleet::eventually(|| inspect.servers()[0].running == 0).await;
-        expect_that!(outcome_of(&fleet, &id).await, eq(told), "{act:?}");
+        expect_that!(outcome_of(&fleet, &id).await, eq(expected), "{act:?}");
     }
 }
--- a/crates/daemon/tests/router/queue_limit.rs
+++ b/crates/daemon/tests/router/queue_limit.rs
@@ -1,14 +1,14 @@
-//! Bounds on what waits.
+//! Limits of queued requests.
 
 use googletest::prelude::*;
 use serde_json::json;
 
-use crate::caller::{completion, send, spawn, with};
+use crate::caller::{completion, send, spawn, with_header};
 use crate::fake::Fake;
 use crate::fleet::{Fleet, MODEL, OTHER, SERVICE, other};
 
-fn of_other() -> hyper::Request<http_body_util::Full<bytes::Bytes>> {
-    with(
+fn completion_of_other() -> hyper::Request<http_body_util::Full<bytes::Bytes>> {
+    with_header(
         completion(),
         "authorization",
         &format!("Bearer key-{OTHER}"),
@@ -17,66 +17,66 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_flood_is_refused_at_once_and_costs_others_nothing() {
+async fn customer_at_its_queue_limit_does_not_affect_others() {
     let fake = Fake::bind("s1", MODEL, 0).await;
-    let limits = json!({"limits": {"queue_per_customer": 2}});
-    let fleet = Fleet::spawn(&[&fake], &limits).await;
-    let mut waiting = Vec::new();
+    let changes = json!({"limits": {"queue_per_customer": 2}});
+    let fleet = Fleet::spawn(&[&fake], &changes).await;
+    let mut queued = Vec::new();
     for count in 1..=2 {
-        waiting.push(spawn(fleet.address(), completion()));
+        queued.push(spawn(fleet.address(), completion()));
         fleet.waiting(count).await;
     }
     for _ in 0..20 {
-        let reply = send(fleet.address(), completion()).await;
+        let response = send(fleet.address(), completion()).await;
         let refusal = (429, "queue_full".to_owned(), "not-run");
-        expect_that!(reply.refusal(), eq(&refusal));
-        expect_that!(reply.header("retry-after"), not(eq("")));
+        expect_that!(response.refusal(), eq(&refusal));
+        expect_that!(response.header("retry-after"), not(eq("")));
     }
-    let served = spawn(fleet.address(), of_other());
+    let other_caller = spawn(fleet.address(), completion_of_other());
     fake.declared(other(), [0, 1, 0]).await;
     fake.grant(1, other());
-    expect_that!(served.await.unwrap().status.as_u16(), eq(200));
+    expect_that!(other_caller.await.unwrap().status.as_u16(), eq(200));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_full_router_makes_room_for_a_small_customer() {
+async fn full_router_displaces_a_request_of_the_largest_customer() {
     let fake = Fake::bind("s1", MODEL, 0).await;
-    let limits = json!({"limits": {"queue_per_customer": 9, "queue_total": 3}});
-    let fleet = Fleet::spawn(&[&fake], &limits).await;
-    let mut waiting = Vec::new();
+    let changes = json!({"limits": {"queue_per_customer": 9, "queue_total": 3}});
+    let fleet = Fleet::spawn(&[&fake], &changes).await;
+    let mut queued = Vec::new();
     for count in 1..=3 {
-        waiting.push(spawn(fleet.address(), completion()));
+        queued.push(spawn(fleet.address(), completion()));
         fleet.waiting(count).await;
     }
-    let reply = send(fleet.address(), completion()).await;
+    let response = send(fleet.address(), completion()).await;
     let refusal = (429, "router_full".to_owned(), "not-run");
-    expect_that!(reply.refusal(), eq(&refusal));
-    let small = spawn(fleet.address(), of_other());
+    expect_that!(response.refusal(), eq(&refusal));
+    let other_caller = spawn(fleet.address(), completion_of_other());
     fake.declared(other(), [0, 1, 0]).await;
-    // The last of the large customer has gone.
-    let displaced = waiting.pop().unwrap().await.unwrap();
+    // The last queued request of the larger customer is displaced.
+    let displaced = queued.pop().unwrap().await.unwrap();
     let refusal = (429, "displaced".to_owned(), "not-run");
     expect_that!(displaced.refusal(), eq(&refusal));
     fleet.waiting(3).await;
     fake.grant(1, other());
-    expect_that!(small.await.unwrap().status.as_u16(), eq(200));
+    expect_that!(other_caller.await.unwrap().status.as_u16(), eq(200));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_refused_key_may_have_run_by_another_request() {
+async fn refused_request_with_a_callers_key_has_unknown_outcome() {
     let fake = Fake::bind("b1", SERVICE, 0).await;
-    let limits = json!({"limits": {"queue_per_customer": 0}});
-    let fleet = Fleet::spawn(&[&fake], &limits).await;
+    let changes = json!({"limits": {"queue_per_customer": 0}});
+    let fleet = Fleet::spawn(&[&fake], &changes).await;
     let rows = [(None, "not-run"), (Some("k"), "unknown")];
     for (key, outcome) in rows {
         let mut request = crate::caller::post("/slots", "book");
         if let Some(key) = key {
-            request = with(request, "idempotency-key", key);
+            request = with_header(request, "idempotency-key", key);
         }
-        let reply = send(fleet.address(), request).await;
-        expect_that!(reply.refusal().2, eq(outcome), "{key:?}");
-        expect_that!(reply.status.as_u16(), eq(429), "{key:?}");
+        let response = send(fleet.address(), request).await;
+        expect_that!(response.refusal().2, eq(outcome), "{key:?}");
+        expect_that!(response.status.as_u16(), eq(429), "{key:?}");
     }
 }
--- a/crates/daemon/tests/router/request.rs
+++ b/crates/daemon/tests/router/request.rs
@@ -1,4 +1,4 @@
-//! Callers' input, good and bad.
+//! Validation and forwarding of callers' requests.
 
 use std::net::SocketAddr;
 
@@ -11,25 +11,25 @@
 use serde_json::json;
 use tokio::net::TcpStream;
 
-use crate::caller::{completion, post, raw, read, send, with};
+use crate::caller::{completion, post, read_response, send, send_raw, with_header};
 use crate::fake::{Act, Fake};
 use crate::fleet::{Fleet, MODEL, SERVICE, customer};
 
 const HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nhost: router\r\n\
                     authorization: Bearer key-scouts\r\n";
 
-async fn one() -> (Fake, Fleet) {
+async fn spawn_single() -> (Fake, Fleet) {
     let fake = Fake::bind("s1", MODEL, 4).await;
-    let limits = json!({"limits": {"body_bytes": 1000, "head_ms": 200, "connections": 8}});
-    let fleet = Fleet::spawn(&[&fake], &limits).await;
+    let changes = json!({"limits": {"body_bytes": 1000, "head_ms": 200, "connections": 8}});
+    let fleet = Fleet::spawn(&[&fake], &changes).await;
     (fake, fleet)
 }
 
 #[gtest]
 #[tokio::test]
-async fn requests_the_router_cannot_read_are_refused_not_run() {
-    let (mut fake, fleet) = one().await;
-    let large = "x".repeat(1001);
+async fn invalid_requests_are_refused_as_not_run() {
+    let (mut fake, fleet) = spawn_single().await;
+    let large_body = "x".repeat(1001);
     let rows = [
         (
             "bad JSON",
@@ -53,80 +53,80 @@
         ("unknown method", post("/slots/a", "{}"), 503, "no_server"),
         (
             "large body",
-            post("/v1/completions", &large),
+            post("/v1/completions", &large_body),
             413,
             "body_too_large",
         ),
         (
             "unknown key",
-            with(completion(), "authorization", "Bearer none"),
+            with_header(completion(), "authorization", "Bearer none"),
             401,
             "invalid_api_key",
         ),
         (
             "other scheme",
-            with(completion(), "authorization", "Basic key"),
+            with_header(completion(), "authorization", "Basic key"),
             401,
             "invalid_api_key",
         ),
         (
             "bad class",
-            with(completion(), "x-urgency", "now"),
+            with_header(completion(), "x-urgency", "now"),
             400,
             "invalid_header",
         ),
         (
             "bad deadline",
-            with(completion(), "x-deadline", "soon"),
+            with_header(completion(), "x-deadline", "soon"),
             400,
             "invalid_header",
         ),
         (
             "bad hint",
-            with(completion(), "x-cost-hint", "-1"),
+            with_header(completion(), "x-cost-hint", "-1"),
             400,
             "invalid_header",
         ),
         (
             "empty key",
-            with(completion(), "idempotency-key", ""),
+            with_header(completion(), "idempotency-key", ""),
             400,
             "invalid_header",
         ),
         (
             "past deadline",
-            with(completion(), "x-deadline", "1"),
+            with_header(completion(), "x-deadline", "1"),
             504,
             "deadline_passed",
         ),
     ];
-    for (row, request, status, code) in rows {
-        let reply = send(fleet.address(), request).await;
+    for (name, request, status, code) in rows {
+        let response = send(fleet.address(), request).await;
         expect_that!(
-            reply.refusal(),
+            response.refusal(),
             eq(&(status, code.to_owned(), "not-run")),
-            "{row}"
+            "{name}"
         );
-        expect_that!(reply.header("x-request-id"), not(eq("")), "{row}");
+        expect_that!(response.header("x-request-id"), not(eq("")), "{name}");
     }
     expect_that!(fake.unread(), eq(0));
 }
 
 #[gtest]
 #[tokio::test]
-async fn broken_http_is_answered_or_closed_and_the_router_goes_on() {
-    let (_fake, fleet) = one().await;
-    let flood = format!("{HEAD}x-flood: {}\r\n\r\n", "x".repeat(100_000));
-    let many = format!("{HEAD}{}\r\n", "x-more: 1\r\n".repeat(200));
-    let chunked = format!(
+async fn malformed_http_is_rejected_and_later_requests_succeed() {
+    let (_fake, fleet) = spawn_single().await;
+    let large_header = format!("{HEAD}x-flood: {}\r\n\r\n", "x".repeat(100_000));
+    let header_count = format!("{HEAD}{}\r\n", "x-more: 1\r\n".repeat(200));
+    let chunked_body = format!(
         "{HEAD}transfer-encoding: chunked\r\n\r\n400\r\n{}\r\n",
         "x".repeat(1024)
     );
     let rows = [
         ("malformed", "NONSENSE\r\n\r\n".to_owned(), "HTTP/1.1 400"),
-        ("header flood", flood, "HTTP/1.1 431"),
-        ("too many headers", many, "HTTP/1.1 431"),
-        ("large chunked body", chunked, "HTTP/1.1 413"),
+        ("large header", large_header, "HTTP/1.1 431"),
+        ("too many headers", header_count, "HTTP/1.1 431"),
+        ("large chunked body", chunked_body, "HTTP/1.1 413"),
         ("slow head", HEAD.to_owned(), ""),
         ("no head", String::new(), ""),
         (
@@ -135,33 +135,33 @@
             "HTTP/1.1 408",
         ),
     ];
-    for (row, bytes, start) in rows {
-        let answer = raw(fleet.address(), bytes.as_bytes(), false).await;
-        expect_that!(answer, starts_with(start), "{row}");
+    for (name, bytes, prefix) in rows {
+        let response = send_raw(fleet.address(), bytes.as_bytes(), false).await;
+        expect_that!(response, starts_with(prefix), "{name}");
     }
-    let closed = raw(fleet.address(), HEAD.as_bytes(), true).await;
-    expect_that!(closed, not(starts_with("HTTP/1.1 200")), "half-closed");
-    let reply = send(fleet.address(), completion()).await;
-    expect_that!(reply.status.as_u16(), eq(200));
+    let response = send_raw(fleet.address(), HEAD.as_bytes(), true).await;
+    expect_that!(response, not(starts_with("HTTP/1.1 200")), "half-closed");
+    let response = send(fleet.address(), completion()).await;
+    expect_that!(response.status.as_u16(), eq(200));
 }
 
 #[gtest]
 #[tokio::test]
-async fn connections_beyond_the_bound_wait() {
-    let (_fake, fleet) = one().await;
+async fn connections_beyond_the_limit_wait() {
+    let (_fake, fleet) = spawn_single().await;
     let mut idle = Vec::new();
     for _ in 0..8 {
         idle.push(TcpStream::connect(fleet.address()).await.unwrap());
     }
-    // Answered once the router has closed the idle ones.
-    let reply = send(fleet.address(), completion()).await;
-    expect_that!(reply.status.as_u16(), eq(200));
+    // Served once the router has closed idle connections.
+    let response = send(fleet.address(), completion()).await;
+    expect_that!(response.status.as_u16(), eq(200));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_reaches_its_server_as_it_came() {
-    let (mut fake, fleet) = one().await;
+async fn requests_are_forwarded_with_end_to_end_headers_and_a_ticket() {
+    let (mut fake, fleet) = spawn_single().await;
     let mut request = completion();
     let deadline = now() + 300_000;
     for (name, value) in [
@@ -172,17 +172,17 @@
         ("connection", "x-hop"),
         ("x-hop", "dropped"),
     ] {
-        request = with(request, name, value);
+        request = with_header(request, name, value);
     }
     *request.uri_mut() = "/v1/chat/completions?a=b".parse().unwrap();
-    let reply = send(fleet.address(), request).await;
-    let text = reply.text.as_deref().unwrap();
-    expect_that!((reply.status.as_u16(), text), eq((200, "ok")));
+    let response = send(fleet.address(), request).await;
+    let text = response.body.as_deref().unwrap();
+    expect_that!((response.status.as_u16(), text), eq((200, "ok")));
     let arrival = fake.arrival().await;
     expect_that!(arrival.path, eq("/v1/chat/completions?a=b"));
     expect_that!(arrival.headers.get("x-own"), some(anything()));
-    for gone in ["x-hop", "authorization", "connection"] {
-        expect_that!(arrival.headers.get(gone), none(), "{gone}");
+    for removed in ["x-hop", "authorization", "connection"] {
+        expect_that!(arrival.headers.get(removed), none(), "{removed}");
     }
     let body: serde_json::Value = serde_json::from_slice(&arrival.body).unwrap();
     expect_that!(body["model"], eq(MODEL));
@@ -195,23 +195,23 @@
     );
     expect_that!((ticket.key, ticket.grant), eq((None, None)));
     expect_that!(
-        reply.header("x-request-id"),
+        response.header("x-request-id"),
         eq(&ticket.attempt.request_id())
     );
 }
 
-/// A sidecar remembers a withdrawn attempt for the retention time only.
+/// Sidecars remember withdrawn attempts only for the retention time.
 #[gtest]
 #[tokio::test]
-async fn a_tickets_deadline_is_at_most_the_retention_time_ahead() {
-    const RETENTION: u64 = 600_000;
+async fn ticket_deadline_is_capped_at_the_retention_time() {
+    const RETENTION_MS: u64 = 600_000;
 
-    let (mut fake, fleet) = one().await;
-    let earliest = now() + RETENTION;
-    let far = with(completion(), "x-deadline", "99999999999999");
-    send(fleet.address(), far).await;
+    let (mut fake, fleet) = spawn_single().await;
+    let earliest = now() + RETENTION_MS;
+    let request = with_header(completion(), "x-deadline", "99999999999999");
+    send(fleet.address(), request).await;
     let deadline = fake.arrival().await.ticket.deadline;
-    expect_that!(deadline, all![ge(earliest), le(now() + RETENTION)]);
+    expect_that!(deadline, all![ge(earliest), le(now() + RETENTION_MS)]);
 }
 
 fn now() -> u64 {
@@ -222,14 +222,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn plain_services_are_reached_by_route() {
+async fn services_are_routed_by_method_and_path() {
     let mut fake = Fake::bind("b1", SERVICE, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let mut get = post("/slots/friday?room=2", "");
     *get.method_mut() = hyper::Method::GET;
     for (request, keyed) in [(get, false), (post("/slots/friday?room=2", "book"), true)] {
-        let reply = send(fleet.address(), request).await;
-        expect_that!(reply.status.as_u16(), eq(200));
+        let response = send(fleet.address(), request).await;
+        expect_that!(response.status.as_u16(), eq(200));
         let arrival = fake.arrival().await;
         expect_that!(arrival.path, eq("/slots/friday?room=2"));
         expect_that!(arrival.ticket.key.is_some(), eq(keyed));
@@ -239,23 +239,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn models_are_listed() {
-    let (_fake, fleet) = one().await;
+async fn models_are_listed_to_customers() {
+    let (_fake, fleet) = spawn_single().await;
     let mut request = post("/v1/models", "");
     *request.method_mut() = hyper::Method::GET;
-    let reply = send(fleet.address(), request.clone()).await;
-    let list: serde_json::Value = serde_json::from_str(reply.text.as_deref().unwrap()).unwrap();
+    let response = send(fleet.address(), request.clone()).await;
+    let list: serde_json::Value = serde_json::from_str(response.body.as_deref().unwrap()).unwrap();
     expect_that!(list["data"][0]["id"], eq(MODEL));
-    let reply = send(
+    let response = send(
         fleet.address(),
-        with(request, "authorization", "Bearer none"),
+        with_header(request, "authorization", "Bearer none"),
     )
     .await;
-    expect_that!(reply.status.as_u16(), eq(401));
+    expect_that!(response.status.as_u16(), eq(401));
 }
 
-/// Sends a request over HTTP/2 and reads the head of its answer.
-async fn open_http2(address: SocketAddr) -> Response<Incoming> {
+/// Sends a request over HTTP/2 and receives the response head.
+async fn receive_head_http2(address: SocketAddr) -> Response<Incoming> {
     let stream = TcpStream::connect(address).await.unwrap();
     let handshake = http2::handshake(TokioExecutor::new(), TokioIo::new(stream));
     let (mut sender, connection) = handshake.await.unwrap();
@@ -269,27 +269,27 @@
 
 #[gtest]
 #[tokio::test]
-async fn callers_may_speak_http2() {
-    let (fake, fleet) = one().await;
-    let reply = read(open_http2(fleet.address()).await).await;
-    expect_that!(reply.status.as_u16(), eq(200));
-    expect_that!(reply.text, ok(eq("ok")));
+async fn http2_responses_are_complete_or_reset() {
+    let (fake, fleet) = spawn_single().await;
+    let response = read_response(receive_head_http2(fleet.address()).await).await;
+    expect_that!(response.status.as_u16(), eq(200));
+    expect_that!(response.body, ok(eq("ok")));
     fake.then(Act::Break("data: 1\n\n"));
-    let response = open_http2(fleet.address()).await;
+    let response = receive_head_http2(fleet.address()).await;
     fake.release();
-    // The stream is reset, so that the answer does not look whole.
-    expect_that!(read(response).await.text, err(anything()));
+    // The stream is reset, so that the response does not appear complete.
+    expect_that!(read_response(response).await.body, err(anything()));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_caller_that_does_not_read_loses_its_answer_and_frees_its_server() {
+async fn response_to_a_stalled_caller_is_aborted_and_frees_its_server() {
     let fake = Fake::bind("s1", MODEL, 4).await;
-    let limits = json!({"limits": {"stall_ms": 100}});
-    let fleet = Fleet::spawn(&[&fake], &limits).await;
+    let changes = json!({"limits": {"stall_ms": 100}});
+    let fleet = Fleet::spawn(&[&fake], &changes).await;
     fake.then(Act::Endless);
-    let response = crate::caller::open(fleet.address(), completion()).await;
+    let response = crate::caller::receive_head(fleet.address(), completion()).await;
     fake.abandoned().await;
-    let reply = read(response).await;
-    expect_that!(reply.text, err(anything()));
+    let response = read_response(response).await;
+    expect_that!(response.body, err(anything()));
 }
--- a/crates/daemon/tests/router/shutdown.rs
+++ b/crates/daemon/tests/router/shutdown.rs
@@ -1,25 +1,25 @@
-//! A planned stop.
+//! Graceful shutdown.
 
 use googletest::prelude::*;
 use serde_json::json;
 
-use crate::caller::{completion, connect, read, spawn};
+use crate::caller::{completion, connect, read_response, spawn};
 use crate::fake::{Act, Fake};
 use crate::fleet::{Fleet, MODEL, customer, eventually};
 
 #[gtest]
 #[tokio::test]
-async fn a_stop_refuses_what_waits_and_lets_answers_end() {
+async fn shutdown_refuses_queued_requests_and_completes_responses() {
     let mut fake = Fake::bind("s1", MODEL, 1).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"drain_ms": 1000})).await;
     fake.then(Act::Hold("whole"));
     let running = spawn(fleet.address(), completion());
     fake.arrival().await;
-    let waiting = spawn(fleet.address(), completion());
+    let queued = spawn(fleet.address(), completion());
     fake.declared(customer(), [0, 1, 0]).await;
     let address = fleet.address();
     let stopped = tokio::spawn(fleet.router.stop());
-    let refused = waiting.await.unwrap();
+    let refused = queued.await.unwrap();
     let refusal = (503, "stopping".to_owned(), "not-run");
     expect_that!(refused.refusal(), eq(&refusal));
     expect_that!(refused.header("retry-after"), eq("1"));
@@ -28,28 +28,28 @@
         err(anything())
     );
     fake.release();
-    let reply = running.await.unwrap();
-    expect_that!(reply.text, ok(eq("whole")));
+    let response = running.await.unwrap();
+    expect_that!(response.body, ok(eq("whole")));
     stopped.await.unwrap();
 }
 
 #[gtest]
 #[tokio::test]
-async fn waiting_requests_may_still_start_while_it_stops() {
+async fn queued_requests_may_start_during_shutdown() {
     let mut fake = Fake::bind("s1", MODEL, 0).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"drain_ms": 60_000})).await;
-    let waiting = spawn(fleet.address(), completion());
+    let queued = spawn(fleet.address(), completion());
     fake.declared(customer(), [0, 1, 0]).await;
     let stopped = tokio::spawn(fleet.router.stop());
     fake.grant(1, customer());
     fake.arrival().await;
-    expect_that!(waiting.await.unwrap().status.as_u16(), eq(200));
+    expect_that!(queued.await.unwrap().status.as_u16(), eq(200));
     stopped.await.unwrap();
 }
 
 #[gtest]
 #[tokio::test]
-async fn what_remains_at_the_deadline_is_told_the_truth() {
+async fn requests_without_a_response_at_the_drain_deadline_have_unknown_outcome() {
     let mut fake = Fake::bind("s1", MODEL, 1).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"drain_ms": 400})).await;
     fake.then(Act::Silence);
@@ -62,17 +62,17 @@
 
 #[gtest]
 #[tokio::test]
-async fn open_connections_are_told_before_they_close() {
+async fn shutdown_closes_open_connections_after_a_response() {
     let fake = Fake::bind("s1", MODEL, 1).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let address = fleet.address();
     let mut connection = connect(address).await;
-    let before = read(connection.send_request(completion()).await.unwrap()).await;
+    let before = read_response(connection.send_request(completion()).await.unwrap()).await;
     expect_that!(before.header("connection"), eq(""));
     let inspect = fleet.router.inspect();
     let stopped = tokio::spawn(fleet.router.stop());
     eventually(|| !inspect.is_ready()).await;
-    let after = read(connection.send_request(completion()).await.unwrap()).await;
+    let after = read_response(connection.send_request(completion()).await.unwrap()).await;
     expect_that!(
         after.refusal(),
         eq(&(503, "stopping".to_owned(), "not-run"))
--- a/crates/daemon/tests/router/waiting.rs
+++ b/crates/daemon/tests/router/waiting.rs
@@ -4,7 +4,7 @@
 use mulberryyoke_wire::Verdict;
 use serde_json::json;
 
-use crate::caller::{completion, send, spawn, with};
+use crate::caller::{completion, send, spawn, with_header};
 use crate::fake::{Act, Fake};
 use crate::fleet::{Fleet, MODEL, customer, other};
 
@@ -38,9 +38,9 @@
     let (mut fake, fleet) = busy().await;
     let mut callers = Vec::new();
     for (number, class) in ["deferrable", "normal", "urgent"].into_iter().enumerate() {
-        let request = with(completion(), "x-urgency", class);
+        let request = with_header(completion(), "x-urgency", class);
         // Far off, so that the deferrable one does not rise.
-        let request = with(request, "x-deadline", "99999999999999");
+        let request = with_header(request, "x-deadline", "99999999999999");
         callers.push(spawn(fleet.address(), request));
         fleet.waiting(number + 1).await;
     }
