--- a/crates/daemon/src/router/abandoned_attempt.rs
+++ b/crates/daemon/src/router/abandoned_attempt.rs
@@ -5,6 +5,7 @@
 
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_model::{Attempt, KeyId, Outcome};
+use mulberryyoke_wire::Verdict;
 
 use super::call::Call;
 use super::core::Core;
@@ -24,24 +25,24 @@
 
 /// Tries to withdraw an abandoned attempt and discards a late response. Proof that the
 /// attempt did not run is recorded for later outcome queries.
-pub(crate) fn watch(core: &Arc<Core>, link: &Arc<Link>, call: &Call, pending: ResponseFuture) {
+pub(crate) fn watch(core: &Arc<Core>, link: &Arc<Link>, call: &Call, response: ResponseFuture) {
     let abandoned = AbandonedAttempt {
         core: Arc::clone(core),
         link: Arc::clone(link),
         attempt: call.attempt,
         key: call.key.map(|key| key.id),
     };
-    tokio::spawn(abandoned.run(pending));
+    tokio::spawn(abandoned.run(response));
 }
 
 impl AbandonedAttempt {
-    async fn run(self, pending: ResponseFuture) {
-        let withdrawn = tokio::select! {
-            withdrawn = self.withdraw() => withdrawn,
-            () = self.drop_response(pending) => return,
+    async fn run(self, response: ResponseFuture) {
+        let outcome = tokio::select! {
+            outcome = self.withdraw() => outcome,
+            () = self.discard_response(response) => return,
         };
-        match withdrawn {
-            Outcome::NotRun => self.not_run(),
+        match outcome {
+            Outcome::NotRun => self.record_not_run(),
             outcome => self.core.memory.learn(self.attempt, outcome),
         }
     }
@@ -51,17 +52,17 @@
         match withdrawal {
             Ok(withdrawal) if !withdrawal.doubtful => withdrawal.outcome,
             Ok(_) => Outcome::Unknown,
-            // Only the answer itself can settle the outcome.
+            // Only the response can settle the outcome.
             Err(_) => std::future::pending().await,
         }
     }
 
-    async fn drop_response(&self, pending: ResponseFuture) {
-        let Ok(Ok(response)) = tokio::time::timeout(LATE_RESPONSE_TIMEOUT, pending).await else {
+    async fn discard_response(&self, response: ResponseFuture) {
+        let Ok(Ok(response)) = tokio::time::timeout(LATE_RESPONSE_TIMEOUT, response).await else {
             return;
         };
-        if response::verdict(&response).is_some_and(mulberryyoke_wire::Verdict::is_not_run) {
-            self.not_run();
+        if response::verdict(&response).is_some_and(Verdict::is_not_run) {
+            self.record_not_run();
             return;
         }
         metrics::counter!("late_answers_dropped_total").increment(1);
@@ -71,7 +72,7 @@
             "server" => &self.link.server.name);
     }
 
-    fn not_run(&self) {
+    fn record_not_run(&self) {
         self.core.memory.prove(self.attempt.request);
         if let Some(key) = self.key {
             self.core.keys.forget(self.link.id, key);
--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -31,9 +31,9 @@
     Response(Response<ResponseBody>),
     /// The sidecar rejected the attempt. Carries its `Retry-After`, in seconds.
     Rejected(Verdict, Option<u32>),
-    /// The request was not sent.
+    /// The request was not sent. Carries the cause.
     NotSent(String),
-    /// The attempt may be running or have run.
+    /// The attempt may be running or have run. Carries the cause.
     Unknown(String),
     /// Like [`AttemptResult::Unknown`], because the deadline passed.
     TimedOut,
@@ -50,7 +50,7 @@
     };
     let grant = slot.take_grant();
     let max_deadline = clock::now().saturating_add(core.settings.retention_ms);
-    let request = request(call, &link, &call.ticket(grant, max_deadline));
+    let request = build_request(call, &link, &call.ticket(grant, max_deadline));
     let in_flight = InFlight::start(core, &link, call);
     log!(core.logger, Event::Routed,
         "request" => call.attempt.request_id(),
@@ -60,18 +60,18 @@
         "server" => &link.server.name,
         "granted" => grant.is_some(),
         "waited_ms" => clock::now().saturating_sub(call.received_at));
-    let mut pending: ResponseFuture = Box::pin(sender.try_send_request(request));
+    let mut response: ResponseFuture = Box::pin(sender.try_send_request(request));
     tokio::select! {
         biased;
-        result = &mut pending => read(core, call, in_flight, result),
+        result = &mut response => handle_result(core, call, in_flight, result),
         () = link.wait_silent() => {
             in_flight.record_unknown();
-            abandoned_attempt::watch(core, &link, call, pending);
+            abandoned_attempt::watch(core, &link, call, response);
             AttemptResult::Unknown("server is silent".to_owned())
         }
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => {
             in_flight.record_unknown();
-            abandoned_attempt::watch(core, &link, call, pending);
+            abandoned_attempt::watch(core, &link, call, response);
             AttemptResult::TimedOut
         }
         () = core.shutdown.abandon.cancelled() => {
@@ -81,7 +81,7 @@
     }
 }
 
-fn request(call: &Call, link: &Link, ticket: &Ticket) -> Request<Full<Bytes>> {
+fn build_request(call: &Call, link: &Link, ticket: &Ticket) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     let uri = format!("http://{}{}", link.server.data, call.path);
@@ -93,7 +93,7 @@
     request
 }
 
-fn read(
+fn handle_result(
     core: &Core,
     call: &Call,
     in_flight: InFlight,
@@ -111,7 +111,7 @@
         }
     };
     let Some(verdict) = response::verdict(&response) else {
-        return AttemptResult::Response(relay(core, call, in_flight, response));
+        return AttemptResult::Response(relay_response(core, call, in_flight, response));
     };
     if verdict.is_not_run() {
         in_flight.record_not_run();
@@ -126,14 +126,14 @@
     value.to_str().ok()?.parse().ok()
 }
 
-fn relay(
+fn relay_response(
     core: &Core,
     call: &Call,
     in_flight: InFlight,
     response: Response<Incoming>,
 ) -> Response<ResponseBody> {
     let (mut parts, body) = response.into_parts();
-    header::back(&mut parts.headers);
+    header::strip_response(&mut parts.headers);
     let relay = Relay::new(core.stall_monitor.register(body), in_flight);
     let mut response = Response::new(ResponseBody::Relay(relay));
     *response.status_mut() = parts.status;
--- a/crates/daemon/src/router/header.rs
+++ b/crates/daemon/src/router/header.rs
@@ -20,7 +20,7 @@
 
 /// Strips hop-by-hop headers, the bearer key and the router's internal headers
 /// from a request before it is forwarded.
-pub(crate) fn forward(headers: &mut HeaderMap) {
+pub(crate) fn strip_request(headers: &mut HeaderMap) {
     hop_by_hop::strip(headers);
     for name in [AUTHORIZATION, HOST, CONTENT_LENGTH, EXPECT] {
         headers.remove(name);
@@ -28,8 +28,8 @@
     headers.remove(ticket::HEADER);
 }
 
-/// Strips hop-by-hop and internal headers from an answer before it is forwarded.
-pub(crate) fn back(headers: &mut HeaderMap) {
+/// Strips hop-by-hop and internal headers from a response before it is forwarded.
+pub(crate) fn strip_response(headers: &mut HeaderMap) {
     hop_by_hop::strip(headers);
     headers.remove(verdict::HEADER);
     headers.remove(OUTCOME);
--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -24,9 +24,9 @@
     Ok(json(StatusCode::OK, body.to_string()))
 }
 
-/// The outcome of a request of this router: from its own record, otherwise from the
-/// sidecar that received the last attempt.
-pub(crate) async fn own(core: &Core, attempt: Attempt) -> Outcome {
+/// Returns the outcome of a request of this router: from its own record, otherwise
+/// from the sidecar that received the last attempt.
+pub(crate) async fn local(core: &Core, attempt: Attempt) -> Outcome {
     if attempt.origin != core.incarnation() {
         return Outcome::Unknown;
     }
@@ -39,11 +39,11 @@
     let Some(link) = record.server.and_then(|server| core.links.get(server)) else {
         return Outcome::Unknown;
     };
-    let sent = Attempt {
+    let last_attempt = Attempt {
         number: record.attempt,
         ..attempt
     };
-    let outcome = link.outcome(sent, record.key).await;
+    let outcome = link.outcome(last_attempt, record.key).await;
     outcome.unwrap_or(Outcome::Unknown)
 }
 
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -93,7 +93,7 @@
     let key = key(&parts, id, attempt, target.idempotent)?;
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str()).to_owned();
-    header::forward(&mut parts.headers);
+    header::strip_request(&mut parts.headers);
     Ok(Call {
         attempt,
         customer: id,
--- a/crates/daemon/src/router/role.rs
+++ b/crates/daemon/src/router/role.rs
@@ -136,7 +136,7 @@
 
 impl LocalRequests for OwnRequests {
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
-        Box::pin(outcome::own(&self.0, attempt))
+        Box::pin(outcome::local(&self.0, attempt))
     }
 
     fn keys(&self, server: ServerId, since: Millis) -> (Millis, Vec<KeyId>) {
