--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -1,4 +1,4 @@
-//! State shared by the router's tasks.
+//! State shared by the tasks of a router.
 
 use std::fmt;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 /// Memory limit for request bodies, in KiB.
 const BODY_MEMORY_KIB: usize = 256 << 10;
 
-/// Shared state of a router.
+/// State of a router.
 pub(crate) struct Core {
     pub(crate) settings: Arc<settings::Router>,
     pub(crate) logger: Logger,
@@ -72,8 +72,8 @@
         self.fleet.member().incarnation
     }
 
-    /// Gives a reserved slot to the customer's next request; `false` if none is queued.
-    pub(crate) fn grant(&self, link: &Arc<Link>, grant: &Grant) -> bool {
+    /// Assigns a reserved slot to the customer's next request; `false` if none is queued.
+    pub(crate) fn assign_grant(&self, link: &Arc<Link>, grant: &Grant) -> bool {
         if link.standing.is_closed() {
             return false;
         }
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -250,7 +250,7 @@
         for grant in &polled.grants {
             // Must precede the removal from the queue, which triggers a declaration.
             self.declared.lock().record_grant(grant.customer);
-            if !self.core.grant(self.link, grant) {
+            if !self.core.assign_grant(self.link, grant) {
                 declined.push(grant.id);
             }
         }
--- a/crates/daemon/src/router/listener.rs
+++ b/crates/daemon/src/router/listener.rs
@@ -23,8 +23,8 @@
 /// Largest HTTP/2 request head, in bytes.
 const HTTP2_HEAD_BYTES: u32 = 64 << 10;
 
-/// Concurrent streams per HTTP/2 connection.
-const MAX_STREAMS: u32 = 256;
+/// Maximum number of concurrent streams per HTTP/2 connection.
+const MAX_CONCURRENT_STREAMS: u32 = 256;
 
 /// HTTP/2 flow-control window per stream and per connection, in bytes.
 const WINDOW_BYTES: u32 = 256 << 10;
@@ -33,7 +33,7 @@
 const PING_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Delay after a failed accept, for example when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts callers' connections.
 pub(crate) struct Listener {
@@ -48,11 +48,11 @@
         let address = core.settings.callers;
         let socket = TcpListener::bind(address).await;
         let socket = socket.map_err(|source| Error::Bind { address, source })?;
-        let most = core.settings.limits.connections as usize;
+        let max_connections = core.settings.limits.connections as usize;
         Ok(Self {
             core: Arc::clone(core),
             socket,
-            connections: Arc::new(Semaphore::new(most)),
+            connections: Arc::new(Semaphore::new(max_connections)),
             shutdown: GracefulShutdown::new(),
         })
     }
@@ -77,13 +77,13 @@
             let Ok(permit) = permit else {
                 break;
             };
-            let accepted = tokio::select! {
+            let result = tokio::select! {
                 () = close.cancelled() => break,
-                accepted = self.socket.accept() => accepted,
+                result = self.socket.accept() => result,
             };
-            match accepted {
+            match result {
                 Ok((stream, _)) => self.serve(stream, permit),
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
         drop(self.socket);
@@ -95,7 +95,7 @@
     }
 
     fn serve(&self, stream: TcpStream, permit: OwnedSemaphorePermit) {
-        // Failure only adds latency.
+        // A failure only adds latency.
         let _ = stream.set_nodelay(true);
         let has_request = Arc::new(AtomicBool::new(false));
         let service = {
@@ -106,10 +106,10 @@
                 service::serve(Arc::clone(&core), request)
             })
         };
-        let head = Duration::from_millis(self.core.settings.limits.head_ms);
-        let builder = builder(head);
-        let stall = Duration::from_millis(self.core.settings.limits.stall_ms);
-        let stream = TimeoutStream::new(stream, stall);
+        let head_timeout = Duration::from_millis(self.core.settings.limits.head_ms);
+        let builder = builder(head_timeout);
+        let stall_timeout = Duration::from_millis(self.core.settings.limits.stall_ms);
+        let stream = TimeoutStream::new(stream, stall_timeout);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let connection = self.shutdown.watch(connection.into_owned());
         let terminate = self.core.shutdown.terminate.clone();
@@ -117,7 +117,7 @@
             tokio::select! {
                 // Connection errors are reported by the requests on it.
                 _ = connection => {}
-                () = idle_timeout(&has_request, head) => {}
+                () = idle_timeout(&has_request, head_timeout) => {}
                 () = terminate.cancelled() => {}
             }
             drop(permit);
@@ -127,24 +127,24 @@
 
 /// Resolves if no request arrives in time. hyper's own header timeout starts only
 /// after it has detected the protocol version.
-async fn idle_timeout(has_request: &AtomicBool, head: Duration) {
-    tokio::time::sleep(head + head / 2).await;
+async fn idle_timeout(has_request: &AtomicBool, head_timeout: Duration) {
+    tokio::time::sleep(head_timeout + head_timeout / 2).await;
     if has_request.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
 }
 
-fn builder(head: Duration) -> Builder<TokioExecutor> {
+fn builder(head_timeout: Duration) -> Builder<TokioExecutor> {
     let mut builder = Builder::new(TokioExecutor::new());
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(head)
+        .header_read_timeout(head_timeout)
         .max_buf_size(HEAD_BYTES);
     builder
         .http2()
         .timer(TokioTimer::new())
-        .max_concurrent_streams(MAX_STREAMS)
+        .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
         .initial_stream_window_size(WINDOW_BYTES)
         .initial_connection_window_size(WINDOW_BYTES)
         .max_header_list_size(HTTP2_HEAD_BYTES)
--- a/crates/daemon/src/router/role.rs
+++ b/crates/daemon/src/router/role.rs
@@ -1,4 +1,4 @@
-//! The running router.
+//! A running router.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -21,15 +21,15 @@
 use crate::operator::Api;
 
 /// How long to refuse requests on open connections before closing the listener.
-const LINGER: Duration = Duration::from_secs(2);
+const REFUSE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Caps [`LINGER`] at the drain time divided by this.
-const LINGER_DIVISOR: u32 = 4;
+/// Caps [`REFUSE_PERIOD`] at the drain time divided by this.
+const REFUSE_DIVISOR: u32 = 4;
 
 /// Queued requests may start until the drain time divided by this.
-const WAITING_DIVISOR: u32 = 2;
+const QUEUE_DIVISOR: u32 = 2;
 
-/// Time to flush the last refusals after the deadline.
+/// Time to send the last refusals after the drain time.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running router.
@@ -37,8 +37,8 @@
 pub struct Router {
     core: Arc<Core>,
     address: SocketAddr,
-    callers: JoinHandle<()>,
-    links: JoinHandle<()>,
+    listener_task: JoinHandle<()>,
+    links_task: JoinHandle<()>,
     operators: Api,
 }
 
@@ -54,19 +54,19 @@
         let fleet = fleet.map_err(Error::Fleet)?;
         let core = Arc::new(Core::new(settings, logger, fleet));
         core.fleet
-            .set_local_requests(Arc::new(OwnRequests(Arc::clone(&core))));
+            .set_local_requests(Arc::new(RouterRequests(Arc::clone(&core))));
         let listener = Listener::bind(&core).await?;
         let address = listener.address()?;
         let operators = operators::bind(&core).await?;
-        let links = tokio::spawn(links::keep(Arc::clone(&core)));
-        let callers = tokio::spawn(listener.run());
+        let links_task = tokio::spawn(links::keep(Arc::clone(&core)));
+        let listener_task = tokio::spawn(listener.run());
         log!(core.logger, Event::Ready,
             "role" => "router", "callers" => address.to_string());
         Ok(Self {
             core,
             address,
-            callers,
-            links,
+            listener_task,
+            links_task,
             operators,
         })
     }
@@ -95,46 +95,46 @@
         Inspector::new(&self.core)
     }
 
-    /// Stops gracefully: refuses new requests, lets queued ones start during the first
-    /// part of the drain time, and running answers finish until its end.
+    /// Stops gracefully: refuses new requests, lets queued requests start during the first
+    /// part of the drain time, and lets responses complete until its end.
     pub async fn stop(self) {
         let core = self.core;
         let shutdown = &core.shutdown;
         let drain = Duration::from_millis(core.settings.drain_ms);
-        let began = Instant::now();
-        let deadline = began + drain;
+        let started_at = Instant::now();
+        let deadline = started_at + drain;
         log!(core.logger, Event::Stopping, "running" => core.counts.total());
         shutdown.refuse.cancel();
-        let linger = LINGER.min(drain / LINGER_DIVISOR);
-        sleep_until(began + linger).await;
-        let steps = [
-            (&shutdown.close, began + drain / WAITING_DIVISOR),
+        let refuse_period = REFUSE_PERIOD.min(drain / REFUSE_DIVISOR);
+        sleep_until(started_at + refuse_period).await;
+        let phases = [
+            (&shutdown.close, started_at + drain / QUEUE_DIVISOR),
             (&shutdown.refuse_queued, deadline),
             (&shutdown.abandon, deadline + FLUSH_TIMEOUT),
         ];
-        let mut callers = self.callers;
-        let mut ended = false;
-        for (step, until) in steps {
-            step.cancel();
-            ended = ended || timeout_at(until, &mut callers).await.is_ok();
+        let mut listener_task = self.listener_task;
+        let mut is_closed = false;
+        for (phase, until) in phases {
+            phase.cancel();
+            is_closed = is_closed || timeout_at(until, &mut listener_task).await.is_ok();
         }
         shutdown.terminate.cancel();
-        if !ended {
+        if !is_closed {
             // A panic in the task does not affect the shutdown.
-            let _ = callers.await;
+            let _ = listener_task.await;
         }
-        let _ = self.links.await;
+        let _ = self.links_task.await;
         self.operators.stop().await;
         core.fleet.stop().await;
         log!(core.logger, Event::Stopped, "cut" => core.counts.total());
     }
 }
 
-/// Answers the fleet's queries about this router's requests.
+/// Serves the fleet's queries about this router's requests.
 #[derive(Debug)]
-struct OwnRequests(Arc<Core>);
+struct RouterRequests(Arc<Core>);
 
-impl LocalRequests for OwnRequests {
+impl LocalRequests for RouterRequests {
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
         Box::pin(outcome::local(&self.0, attempt))
     }
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -1,4 +1,4 @@
-//! Routes callers' requests by path.
+//! HTTP service for callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -10,6 +10,7 @@
 use mulberryyoke_model::{Attempt, Outcome};
 use serde_json::json;
 
+use super::call::Call;
 use super::core::Core;
 use super::dispatch;
 use super::outcome;
@@ -23,13 +24,13 @@
 /// Path prefix of outcome queries; the request id follows.
 const OUTCOMES: &str = "/v1/outcomes/";
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn serve(
     core: Arc<Core>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
     let is_http1 = request.version() < Version::HTTP_2;
-    let mut response = answer(&core, request).await;
+    let mut response = respond(&core, request).await;
     if is_http1 && core.shutdown.refuse.is_cancelled() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -37,41 +38,41 @@
     Ok(response)
 }
 
-async fn answer(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn respond(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
     if request.method() != Method::GET {
-        return run(core, request).await;
+        return forward(core, request).await;
     }
     if request.uri().path() == MODELS {
-        return models(core, &request).unwrap_or_else(|refusal| refusal.into_response(None));
+        return list_models(core, &request).unwrap_or_else(|refusal| refusal.into_response(None));
     }
     let Some(id) = request.uri().path().strip_prefix(OUTCOMES) else {
-        return run(core, request).await;
+        return forward(core, request).await;
     };
     let id = id.to_owned();
-    let answer = outcome::serve(core, &id, request.headers()).await;
-    answer.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
+    let response = outcome::serve(core, &id, request.headers()).await;
+    response.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
 }
 
-async fn run(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn forward(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
     let attempt = Attempt {
         origin: core.incarnation(),
         request: core.memory.open(),
         number: 0,
     };
     metrics::counter!("requests_total").increment(1);
-    let answer = match read(core, attempt, request).await {
+    let response = match read_call(core, attempt, request).await {
         Ok(call) => dispatch::answer(core, call).await,
         Err(refusal) => Err(record_refusal(core, attempt, refusal)),
     };
     let id = attempt.request_id();
-    answer.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
+    response.unwrap_or_else(|refusal| refusal.into_response(Some(&id)))
 }
 
-async fn read(
+async fn read_call(
     core: &Arc<Core>,
     attempt: Attempt,
     request: Request<Incoming>,
-) -> Result<super::call::Call, Refusal> {
+) -> Result<Call, Refusal> {
     if core.shutdown.refuse.is_cancelled() {
         return Err(queueing::stopping());
     }
@@ -89,7 +90,10 @@
     refusal
 }
 
-fn models(core: &Core, request: &Request<Incoming>) -> Result<Response<ResponseBody>, Refusal> {
+fn list_models(
+    core: &Core,
+    request: &Request<Incoming>,
+) -> Result<Response<ResponseBody>, Refusal> {
     let view = core.fleet.view();
     request::customer(&view, request.headers())?;
     let mut names: Vec<&str> = view.model_pools().map(|pool| pool.name.as_str()).collect();
