--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 use super::core::Core;
-use super::refusal::{Refusal, json};
+use super::refusal::{Refusal, json_response};
 use super::request;
 use super::response_body::ResponseBody;
 
@@ -17,11 +17,11 @@
     id: &str,
     headers: &HeaderMap,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    request::customer(&core.fleet.view(), headers)?;
+    request::authenticate(&core.fleet.view(), headers)?;
     let attempt = Attempt::parse_request_id(id).ok_or_else(request_not_found)?;
     let outcome = core.fleet.outcome(attempt).await;
     let body = json!({"id": id, "outcome": outcome.as_str()});
-    Ok(json(StatusCode::OK, body.to_string()))
+    Ok(json_response(StatusCode::OK, body.to_string()))
 }
 
 /// Returns the outcome of a request of this router: from its own record, otherwise
--- a/crates/daemon/src/router/refusal.rs
+++ b/crates/daemon/src/router/refusal.rs
@@ -30,7 +30,7 @@
 }
 
 impl Refusal {
-    /// Refuses a request that was not sent to a server.
+    /// Creates a refusal of a request that did not run.
     pub(crate) fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Sets an outcome other than the default, "not run".
+    /// Sets the outcome; the default is [`Outcome::NotRun`].
     pub(crate) fn outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
@@ -57,11 +57,11 @@
     pub(crate) fn into_response(self, id: Option<&str>) -> Response<ResponseBody> {
         let body = json!({"error": {
             "message": self.message,
-            "type": kind(self.status),
+            "type": error_type(self.status),
             "param": null,
             "code": self.code,
         }});
-        let mut response = json(self.status, body.to_string());
+        let mut response = json_response(self.status, body.to_string());
         let headers = response.headers_mut();
         headers.insert(OUTCOME, HeaderValue::from_static(self.outcome.as_str()));
         if let Some(seconds) = self.retry_after {
@@ -74,7 +74,7 @@
     }
 }
 
-fn kind(status: StatusCode) -> &'static str {
+fn error_type(status: StatusCode) -> &'static str {
     match status {
         StatusCode::UNAUTHORIZED => "authentication_error",
         StatusCode::TOO_MANY_REQUESTS => "rate_limit_error",
@@ -83,11 +83,11 @@
     }
 }
 
-/// A JSON response.
-pub(crate) fn json(status: StatusCode, body: String) -> Response<ResponseBody> {
+/// Builds a JSON response.
+pub(crate) fn json_response(status: StatusCode, body: String) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Full(Full::new(Bytes::from(body))));
     *response.status_mut() = status;
-    let json = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(CONTENT_TYPE, json);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -30,7 +30,7 @@
 
 /// The fields of a model request that the router uses.
 #[derive(Deserialize)]
-struct Body<'a> {
+struct ModelRequest<'a> {
     #[serde(borrow)]
     model: Cow<'a, str>,
     max_tokens: Option<u32>,
@@ -49,8 +49,11 @@
     prefix: Option<PromptPrefix>,
 }
 
-/// Authenticates the customer by the bearer key.
-pub(crate) fn customer<'a>(view: &'a View, headers: &HeaderMap) -> Result<&'a Customer, Refusal> {
+/// Returns the customer to whom the bearer key belongs.
+pub(crate) fn authenticate<'a>(
+    view: &'a View,
+    headers: &HeaderMap,
+) -> Result<&'a Customer, Refusal> {
     let value = headers.get(AUTHORIZATION).ok_or_else(unauthorized)?;
     let value = value.to_str().map_err(|_| unauthorized())?;
     let (scheme, key) = value.split_once(' ').ok_or_else(unauthorized)?;
@@ -70,10 +73,10 @@
     let received_at = clock::now();
     let view = core.fleet.view();
     let (mut parts, incoming) = request.into_parts();
-    let customer = customer(&view, &parts.headers)?;
+    let customer = authenticate(&view, &parts.headers)?;
     let id = CustomerId::of(&customer.name);
     let route = view.route(parts.method.as_str(), parts.uri.path());
-    let is_model_request = is_model_request(parts.uri.path());
+    let is_model_request = is_model_path(parts.uri.path());
     if route.is_none() && !is_model_request {
         return Err(route_not_found());
     }
@@ -85,12 +88,12 @@
             cost: route.cost,
             prefix: None,
         },
-        _ => target(&view, id, &body.bytes)?,
+        _ => model_target(&view, id, &body.bytes)?,
     };
-    let cost_hint = number(&parts.headers, header::COST_HINT)?;
+    let cost_hint = parse_u32(&parts.headers, header::COST_HINT)?;
     let deadline = deadline(core, &parts.headers, received_at)?;
     let class = class(&parts.headers, customer.class)?;
-    let key = key(&parts, id, attempt, target.idempotent)?;
+    let key = idempotency_key(&parts, id, attempt, target.idempotent)?;
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str()).to_owned();
     header::strip_request(&mut parts.headers);
@@ -115,37 +118,38 @@
     })
 }
 
-fn is_model_request(path: &str) -> bool {
+fn is_model_path(path: &str) -> bool {
     matches!(path, "/v1/chat/completions" | "/v1/completions")
 }
 
-fn target(view: &View, customer: CustomerId, body: &[u8]) -> Result<Target, Refusal> {
-    let read: Body = serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
-    let pool = view.model_pool(&read.model);
-    let pool = pool.ok_or_else(|| model_not_found(&read.model))?;
-    let hint = read.max_completion_tokens.or(read.max_tokens);
-    let start = read.messages.or(read.prompt).map(|raw| {
+fn model_target(view: &View, customer: CustomerId, body: &[u8]) -> Result<Target, Refusal> {
+    let request: ModelRequest =
+        serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
+    let pool = view.model_pool(&request.model);
+    let pool = pool.ok_or_else(|| model_not_found(&request.model))?;
+    let max_tokens = request.max_completion_tokens.or(request.max_tokens);
+    let prefix = request.messages.or(request.prompt).map(|raw| {
         let bytes = raw.get().as_bytes();
         &bytes[..bytes.len().min(PROMPT_PREFIX_BYTES)]
     });
     Ok(Target {
         pool: PoolId::of(&pool.name),
         idempotent: true,
-        cost: hint.unwrap_or(DEFAULT_COST),
-        prefix: start.map(|start| PromptPrefix::of(customer, start)),
+        cost: max_tokens.unwrap_or(DEFAULT_COST),
+        prefix: prefix.map(|prefix| PromptPrefix::of(customer, prefix)),
     })
 }
 
-fn key(
+fn idempotency_key(
     parts: &Parts,
     customer: CustomerId,
     attempt: Attempt,
     idempotent: bool,
 ) -> Result<Option<IdempotencyKey>, Refusal> {
     let Some(value) = parts.headers.get(header::IDEMPOTENCY_KEY) else {
-        let own = KeyId::of(customer, &attempt.request_id());
+        let id = KeyId::of(customer, &attempt.request_id());
         return Ok((!idempotent).then_some(IdempotencyKey {
-            id: own,
+            id,
             from_caller: false,
         }));
     };
@@ -176,12 +180,12 @@
     deadline.map_err(|_| invalid_header(header::DEADLINE))
 }
 
-fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u32>, Refusal> {
+fn parse_u32(headers: &HeaderMap, name: &'static str) -> Result<Option<u32>, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let number = header_text(name, value)?.parse();
-    number.map(Some).map_err(|_| invalid_header(name))
+    let parsed = header_text(name, value)?.parse();
+    parsed.map(Some).map_err(|_| invalid_header(name))
 }
 
 fn header_text<'a>(name: &'static str, value: &'a HeaderValue) -> Result<&'a str, Refusal> {
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -15,7 +15,7 @@
 use super::dispatch;
 use super::outcome;
 use super::queueing;
-use super::refusal::{Refusal, json};
+use super::refusal::{Refusal, json_response};
 use super::request;
 use super::response_body::ResponseBody;
 
@@ -95,7 +95,7 @@
     request: &Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let view = core.fleet.view();
-    request::customer(&view, request.headers())?;
+    request::authenticate(&view, request.headers())?;
     let mut names: Vec<&str> = view.model_pools().map(|pool| pool.name.as_str()).collect();
     names.sort_unstable();
     let models = names.into_iter().map(
@@ -103,5 +103,5 @@
     );
     let models: Vec<_> = models.collect();
     let list = json!({"object": "list", "data": models});
-    Ok(json(StatusCode::OK, list.to_string()))
+    Ok(json_response(StatusCode::OK, list.to_string()))
 }
