--- a/crates/daemon/src/router/in_flight.rs
+++ b/crates/daemon/src/router/in_flight.rs
@@ -10,19 +10,19 @@
 use super::link::Link;
 use crate::clock;
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// The whole answer was forwarded.
+    /// The whole response was forwarded.
     Complete,
-    /// The server or the connection to it failed.
+    /// The server or the connection to it failed. Carries the cause.
     Truncated(String),
     /// The caller disconnected.
     CallerClosed,
 }
 
-/// An attempt in flight, from just before it is sent to the end of its answer.
-/// Dropping it records that the caller disconnected.
+/// An attempt in flight, from just before it is sent to the end of its
+/// response. Dropping it records that the caller disconnected.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     core: Arc<Core>,
@@ -71,7 +71,7 @@
         self.ended = true;
     }
 
-    /// Records the end of the answer.
+    /// Records the end of the response.
     pub(crate) fn finish(mut self, end: &End) {
         self.end(end);
     }
@@ -81,7 +81,7 @@
         match end {
             End::Complete => self.record_completed(),
             End::Truncated(cause) => self.record_truncated("server", cause),
-            End::CallerClosed => self.record_truncated("caller", "caller left"),
+            End::CallerClosed => self.record_truncated("caller", "caller disconnected"),
         }
     }
 
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -1,4 +1,4 @@
-//! Forwards a server's answer to the caller.
+//! Relays a server's response body to the caller.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,37 +14,37 @@
 
 /// Last event of a model's event stream. Callers may disconnect after it without
 /// reading the end of the body.
-const DONE: &[u8] = b"data: [DONE]";
+const DONE_EVENT: &[u8] = b"data: [DONE]";
 
-/// Length of the frame suffix searched for [`DONE`], in bytes.
+/// Length of the frame suffix searched for [`DONE_EVENT`], in bytes.
 const TAIL_BYTES: usize = 32;
 
-/// Body that forwards a server's answer with backpressure. A truncated answer
+/// Body that relays a server's response with backpressure. A truncated response
 /// ends with an error, which aborts the caller's connection or stream.
 #[derive(Debug)]
 pub(crate) struct Relay {
     body: Arc<MonitoredBody>,
     in_flight: Option<InFlight>,
     /// Remaining bytes, if the server declared a length.
-    remaining: Option<u64>,
+    remaining_bytes: Option<u64>,
     /// Whether the last frame ended an event stream.
-    done: bool,
+    is_stream_done: bool,
 }
 
 impl Relay {
     pub(crate) fn new(body: Arc<MonitoredBody>, in_flight: InFlight) -> Self {
-        let remaining = body
+        let remaining_bytes = body
             .with_incoming(|body| body.size_hint().exact())
             .flatten();
         Self {
             body,
             in_flight: Some(in_flight),
-            remaining,
-            done: false,
+            remaining_bytes,
+            is_stream_done: false,
         }
     }
 
-    pub(super) fn poll_next(
+    pub(super) fn poll_frame(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
@@ -58,9 +58,9 @@
         };
         let frame = ready!(polled);
         match &frame {
-            Some(Ok(piece)) => {
-                self.count(piece);
-                self.done = piece.data_ref().is_some_and(|data| ends_stream(data));
+            Some(Ok(frame)) => {
+                self.count_bytes(frame);
+                self.is_stream_done = frame.data_ref().is_some_and(|data| ends_stream(data));
                 self.body.record_forwarded(clock::now());
             }
             Some(Err(error)) => self.finish(&End::Truncated(error.to_string())),
@@ -69,7 +69,7 @@
         Poll::Ready(frame.map(|frame| frame.map_err(BodyError::Truncated)))
     }
 
-    pub(super) fn is_end(&self) -> bool {
+    pub(super) fn is_end_stream(&self) -> bool {
         self.body
             .with_incoming(|body| body.is_end_stream())
             .unwrap_or(false)
@@ -81,10 +81,10 @@
             .unwrap_or_default()
     }
 
-    fn count(&mut self, frame: &Frame<Bytes>) {
+    fn count_bytes(&mut self, frame: &Frame<Bytes>) {
         let length = frame.data_ref().map_or(0, Bytes::len) as u64;
-        self.remaining = self
-            .remaining
+        self.remaining_bytes = self
+            .remaining_bytes
             .map(|remaining| remaining.saturating_sub(length));
     }
 
@@ -98,7 +98,8 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         // hyper stops polling once the declared length has been written.
-        let end = if self.done || self.is_end() || self.remaining == Some(0) {
+        let end = if self.is_stream_done || self.is_end_stream() || self.remaining_bytes == Some(0)
+        {
             End::Complete
         } else {
             End::CallerClosed
@@ -109,5 +110,6 @@
 
 fn ends_stream(data: &[u8]) -> bool {
     let tail = &data[data.len().saturating_sub(TAIL_BYTES)..];
-    tail.windows(DONE.len()).any(|window| window == DONE)
+    tail.windows(DONE_EVENT.len())
+        .any(|window| window == DONE_EVENT)
 }
