--- a/crates/daemon/src/router/call.rs
+++ b/crates/daemon/src/router/call.rs
@@ -37,7 +37,7 @@
     /// Set if the request must run at most once.
     pub(crate) key: Option<IdempotencyKey>,
     /// Prompt prefix of a model request.
-    pub(crate) prefix: Option<PromptPrefix>,
+    pub(crate) prompt_prefix: Option<PromptPrefix>,
     pub(crate) method: Method,
     pub(crate) path: String,
     /// End-to-end headers.
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -132,7 +132,7 @@
         }
         let mut candidates = candidates(self.core, self.call.pool);
         candidates.retain(|candidate| Some(candidate.server) != self.avoid);
-        let server = decide::choose(&candidates, self.call.prefix)?;
+        let server = decide::choose(&candidates, self.call.prompt_prefix)?;
         let link = self.core.links.get(server)?;
         link.standing.take_free().then(|| Slot::unreserved(&link))
     }
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -58,7 +58,7 @@
     let (wakeup, mut woken) = oneshot::channel();
     let request = QueuedRequest {
         attempt: call.attempt,
-        prefix: call.prefix,
+        prefix: call.prompt_prefix,
         wakeup,
     };
     let mut entry = Entry::new(
--- a/crates/daemon/src/router/refusals.rs
+++ b/crates/daemon/src/router/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals raised during dispatch.
+//! Refusals of requests during dispatch.
 
 use hyper::StatusCode;
 use mulberryyoke_model::Outcome;
@@ -8,7 +8,7 @@
 /// `Retry-After` for transient failures, in seconds.
 pub(super) const RETRY_AFTER_S: u32 = 1;
 
-/// A temporary refusal, answered 503.
+/// A temporary refusal with status 503.
 pub(super) fn unavailable(code: &'static str, message: impl Into<String>) -> Refusal {
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, message)
 }
@@ -43,17 +43,17 @@
 }
 
 /// The sidecar's table of idempotency keys is full.
-pub(super) fn keys_full(after: Option<u32>) -> Refusal {
+pub(super) fn keys_full(retry_after_s: Option<u32>) -> Refusal {
     let message = "the server cannot remember more idempotency keys";
-    unavailable("keys_full", message).retry_after(after.unwrap_or(RETRY_AFTER_S))
+    unavailable("keys_full", message).retry_after(retry_after_s.unwrap_or(RETRY_AFTER_S))
 }
 
 /// It cannot be proved whether a request with this key ran.
-pub(super) fn key_doubtful(after: Option<u32>) -> Refusal {
+pub(super) fn key_doubtful(retry_after_s: Option<u32>) -> Refusal {
     let message = "a request with this key may have run before a restart or a change of servers";
     unavailable("key_doubtful", message)
         .outcome(Outcome::Unknown)
-        .retry_after(after.unwrap_or(RETRY_AFTER_S))
+        .retry_after(retry_after_s.unwrap_or(RETRY_AFTER_S))
 }
 
 /// A request with this key was started before.
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -30,7 +30,7 @@
 
 /// The fields of a model request that the router uses.
 #[derive(Deserialize)]
-struct ModelRequest<'a> {
+struct Body<'a> {
     #[serde(borrow)]
     model: Cow<'a, str>,
     max_tokens: Option<u32>,
@@ -46,10 +46,10 @@
     pool: PoolId,
     idempotent: bool,
     cost: u32,
-    prefix: Option<PromptPrefix>,
+    prompt_prefix: Option<PromptPrefix>,
 }
 
-/// Returns the customer to whom the bearer key belongs.
+/// Returns the customer that the bearer key belongs to.
 pub(crate) fn authenticate<'a>(
     view: &'a View,
     headers: &HeaderMap,
@@ -74,7 +74,7 @@
     let view = core.fleet.view();
     let (mut parts, incoming) = request.into_parts();
     let customer = authenticate(&view, &parts.headers)?;
-    let id = CustomerId::of(&customer.name);
+    let customer_id = CustomerId::of(&customer.name);
     let route = view.route(parts.method.as_str(), parts.uri.path());
     let is_model_request = is_model_path(parts.uri.path());
     if route.is_none() && !is_model_request {
@@ -86,20 +86,20 @@
             pool: PoolId::of(&pool.name),
             idempotent: route.idempotent,
             cost: route.cost,
-            prefix: None,
+            prompt_prefix: None,
         },
-        _ => model_target(&view, id, &body.bytes)?,
+        _ => model_target(&view, customer_id, &body.bytes)?,
     };
     let cost_hint = parse_u32(&parts.headers, header::COST_HINT)?;
     let deadline = deadline(core, &parts.headers, received_at)?;
     let class = class(&parts.headers, customer.class)?;
-    let key = idempotency_key(&parts, id, attempt, target.idempotent)?;
+    let key = idempotency_key(&parts, customer_id, attempt, target.idempotent)?;
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str()).to_owned();
     header::strip_request(&mut parts.headers);
     Ok(Call {
         attempt,
-        customer: id,
+        customer: customer_id,
         share: customer.share,
         queue_limit: customer.queue,
         pool: target.pool,
@@ -109,7 +109,7 @@
         cost_hint: cost_hint.unwrap_or(0),
         cost: cost_hint.unwrap_or(target.cost).max(1),
         key,
-        prefix: target.prefix,
+        prompt_prefix: target.prompt_prefix,
         method: parts.method,
         path,
         headers: parts.headers,
@@ -123,8 +123,7 @@
 }
 
 fn model_target(view: &View, customer: CustomerId, body: &[u8]) -> Result<Target, Refusal> {
-    let request: ModelRequest =
-        serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
+    let request: Body = serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
     let pool = view.model_pool(&request.model);
     let pool = pool.ok_or_else(|| model_not_found(&request.model))?;
     let max_tokens = request.max_completion_tokens.or(request.max_tokens);
@@ -136,7 +135,7 @@
         pool: PoolId::of(&pool.name),
         idempotent: true,
         cost: max_tokens.unwrap_or(DEFAULT_COST),
-        prefix: prefix.map(|prefix| PromptPrefix::of(customer, prefix)),
+        prompt_prefix: prefix.map(|prefix| PromptPrefix::of(customer, prefix)),
     })
 }
 
