--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -1,5 +1,5 @@
 //! The router role: accepts callers' requests, queues them, sends each to a server
-//! with a free slot, and forwards the answer.
+//! with a free slot, and forwards the response.
 
 mod abandoned_attempt;
 mod attempt;
--- a/crates/daemon/src/router/refusals.rs
+++ b/crates/daemon/src/router/refusals.rs
@@ -18,7 +18,7 @@
     unavailable("no_server", "no server of this pool takes new work").retry_after(RETRY_AFTER_S)
 }
 
-/// No attempt reached a server.
+/// No attempt succeeded and no retry is left.
 pub(super) fn unreachable(cause: &str) -> Refusal {
     let message = format!("no attempt succeeded and no retry is left: {cause}");
     unavailable("unreachable", message).retry_after(RETRY_AFTER_S)
