--- a/crates/daemon/src/router/timeout_stream.rs
+++ b/crates/daemon/src/router/timeout_stream.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    fn limit_pending<T>(
+    fn apply_timeout<T>(
         &mut self,
         cx: &mut Context<'_>,
         polled: Poll<io::Result<T>>,
@@ -63,7 +63,7 @@
         data: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, data);
-        self.limit_pending(cx, polled)
+        self.apply_timeout(cx, polled)
     }
 
     fn poll_write_vectored(
@@ -72,7 +72,7 @@
         data: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, data);
-        self.limit_pending(cx, polled)
+        self.apply_timeout(cx, polled)
     }
 
     fn is_write_vectored(&self) -> bool {
