--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -17,7 +17,7 @@
 use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{
-    deadline_passed, key_doubtful, key_used, keys_full, malformed, no_server, outcome_unknown,
+    key_doubtful, key_used, keys_full, malformed, no_server, outcome_unknown, timed_out,
     unreachable,
 };
 use super::response_body::ResponseBody;
@@ -86,7 +86,7 @@
                 AttemptResult::Unknown(cause) => self.lost(&cause)?,
                 AttemptResult::TimedOut => {
                     self.may_have_run = true;
-                    return Err(deadline_passed());
+                    return Err(timed_out());
                 }
                 AttemptResult::Stopping => {
                     self.may_have_run = true;
--- a/crates/daemon/src/router/refusals.rs
+++ b/crates/daemon/src/router/refusals.rs
@@ -31,7 +31,7 @@
 }
 
 /// The deadline passed after the request was sent to a server.
-pub(super) fn deadline_passed() -> Refusal {
+pub(super) fn timed_out() -> Refusal {
     let message = "the deadline passed while a server held the request";
     Refusal::new(StatusCode::GATEWAY_TIMEOUT, "deadline_passed", message).outcome(Outcome::Unknown)
 }
