--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -15,13 +15,13 @@
 use super::call::Call;
 use super::core::Core;
 use super::header;
+use super::in_flight::InFlight;
 use super::link::Link;
-use super::place::Place;
 use super::refusal::REQUEST_ID;
 use super::relay::Relay;
 use super::response::{self, ResponseFuture};
 use super::response_body::ResponseBody;
-use super::running::Running;
+use super::slot::Slot;
 use crate::clock;
 
 /// Result of an attempt.
@@ -31,9 +31,9 @@
     Response(Response<ResponseBody>),
     /// The sidecar rejected the attempt. Carries its `Retry-After`, in seconds.
     Rejected(Verdict, Option<u32>),
-    /// The request was not sent.
+    /// The request was not sent. Carries the cause.
     NotSent(String),
-    /// The attempt may be running or have run.
+    /// The attempt may be running or have run. Carries the cause.
     Unknown(String),
     /// Like [`AttemptResult::Unknown`], because the deadline passed.
     TimedOut,
@@ -42,16 +42,16 @@
 }
 
 /// Sends a request and waits for the response head.
-pub(crate) async fn send(core: &Arc<Core>, call: &Call, mut place: Place) -> AttemptResult {
-    let link = Arc::clone(&place.link);
+pub(crate) async fn send(core: &Arc<Core>, call: &Call, mut slot: Slot) -> AttemptResult {
+    let link = Arc::clone(&slot.link);
     let mut sender = match link.data.sender().await {
         Ok(sender) => sender,
         Err(error) => return AttemptResult::NotSent(error.to_string()),
     };
-    let grant = place.take();
-    let until = clock::now().saturating_add(core.settings.retention_ms);
-    let request = request(call, &link, &call.ticket(grant, until));
-    let running = Running::begin(core, &link, call);
+    let grant = slot.take_grant();
+    let max_deadline = clock::now().saturating_add(core.settings.retention_ms);
+    let request = build_request(call, &link, &call.ticket(grant, max_deadline));
+    let in_flight = InFlight::start(core, &link, call);
     log!(core.logger, Event::Routed,
         "request" => call.attempt.request_id(),
         "attempt" => call.attempt.number,
@@ -59,29 +59,29 @@
         "class" => call.class.as_str(),
         "server" => &link.server.name,
         "granted" => grant.is_some(),
-        "waited_ms" => clock::now().saturating_sub(call.since));
-    let mut pending: ResponseFuture = Box::pin(sender.try_send_request(request));
+        "waited_ms" => clock::now().saturating_sub(call.received_at));
+    let mut response: ResponseFuture = Box::pin(sender.try_send_request(request));
     tokio::select! {
         biased;
-        result = &mut pending => read(core, call, running, result),
+        result = &mut response => handle_result(core, call, in_flight, result),
         () = link.wait_silent() => {
-            running.lose();
-            abandoned_attempt::watch(core, &link, call, pending);
+            in_flight.record_unknown();
+            abandoned_attempt::watch(core, &link, call, response);
             AttemptResult::Unknown("server is silent".to_owned())
         }
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => {
-            running.lose();
-            abandoned_attempt::watch(core, &link, call, pending);
+            in_flight.record_unknown();
+            abandoned_attempt::watch(core, &link, call, response);
             AttemptResult::TimedOut
         }
-        () = core.stop.cut.cancelled() => {
-            running.lose();
+        () = core.shutdown.abandon.cancelled() => {
+            in_flight.record_unknown();
             AttemptResult::Stopping
         }
     }
 }
 
-fn request(call: &Call, link: &Link, ticket: &Ticket) -> Request<Full<Bytes>> {
+fn build_request(call: &Call, link: &Link, ticket: &Ticket) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     let uri = format!("http://{}{}", link.server.data, call.path);
@@ -93,30 +93,30 @@
     request
 }
 
-fn read(
+fn handle_result(
     core: &Core,
     call: &Call,
-    running: Running,
+    in_flight: InFlight,
     result: Result<Response<Incoming>, TrySendError<Request<Full<Bytes>>>>,
 ) -> AttemptResult {
     let response = match result {
         Ok(response) => response,
         Err(error) if error.message().is_some() => {
-            running.not_run();
+            in_flight.record_not_run();
             return AttemptResult::NotSent(error.error().to_string());
         }
         Err(error) => {
-            running.lose();
+            in_flight.record_unknown();
             return AttemptResult::Unknown(error.error().to_string());
         }
     };
     let Some(verdict) = response::verdict(&response) else {
-        return AttemptResult::Response(relay(core, call, running, response));
+        return AttemptResult::Response(relay_response(core, call, in_flight, response));
     };
     if verdict.is_not_run() {
-        running.not_run();
+        in_flight.record_not_run();
     } else {
-        running.lose();
+        in_flight.record_unknown();
     }
     AttemptResult::Rejected(verdict, retry_after(&response))
 }
@@ -126,15 +126,15 @@
     value.to_str().ok()?.parse().ok()
 }
 
-fn relay(
+fn relay_response(
     core: &Core,
     call: &Call,
-    running: Running,
+    in_flight: InFlight,
     response: Response<Incoming>,
 ) -> Response<ResponseBody> {
     let (mut parts, body) = response.into_parts();
-    header::back(&mut parts.headers);
-    let relay = Relay::new(core.stalls.watch(body), running);
+    header::strip_response(&mut parts.headers);
+    let relay = Relay::new(core.stall_monitor.register(body), in_flight);
     let mut response = Response::new(ResponseBody::Relay(relay));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers;
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -1,4 +1,4 @@
-//! State shared by the router's tasks.
+//! State shared by the tasks of a router.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,39 +16,39 @@
 use super::link::Link;
 use super::links::Links;
 use super::memory::Memory;
-use super::place::Place;
 use super::pool_queues::PoolQueues;
 use super::queued_request::Wakeup;
-use super::stalls::Stalls;
-use super::stop::Stop;
+use super::shutdown::Shutdown;
+use super::slot::Slot;
+use super::stall_monitor::StallMonitor;
 use crate::clock;
 use crate::fleet::Fleet;
 
 /// Memory limit for request bodies, in KiB.
-const BODY_KIB: usize = 256 << 10;
+const BODY_MEMORY_KIB: usize = 256 << 10;
 
-/// Shared state of a router.
+/// State of a router.
 pub(crate) struct Core {
     pub(crate) settings: Arc<settings::Router>,
     pub(crate) logger: Logger,
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) queues: PoolQueues,
     pub(crate) links: Links,
-    pub(crate) limit: Mutex<Limiter>,
-    pub(crate) budget: Mutex<Budget>,
+    pub(crate) limiter: Mutex<Limiter>,
+    pub(crate) retry_budget: Mutex<Budget>,
     pub(crate) memory: Memory,
     pub(crate) keys: Keys,
-    pub(crate) bodies: Arc<Semaphore>,
+    pub(crate) body_memory: Arc<Semaphore>,
     pub(crate) counts: Counts,
-    pub(crate) stalls: Stalls,
-    pub(crate) stop: Stop,
+    pub(crate) stall_monitor: StallMonitor,
+    pub(crate) shutdown: Shutdown,
 }
 
 impl Core {
     pub(crate) fn new(settings: Arc<settings::Router>, logger: Logger, fleet: Arc<Fleet>) -> Self {
         let limits = &settings.limits;
-        let limit = Limiter::new(limits.queue_per_customer, limits.queue_total);
-        let budget = Budget::new(limits.retry_percent);
+        let limiter = Limiter::new(limits.queue_per_customer, limits.queue_total);
+        let retry_budget = Budget::new(limits.retry_percent);
         let keys = Keys::new(fleet.member().started_at, settings.retention_ms);
         Self {
             settings,
@@ -56,24 +56,24 @@
             fleet,
             queues: PoolQueues::default(),
             links: Links::default(),
-            limit: Mutex::new(limit),
-            budget: Mutex::new(budget),
+            limiter: Mutex::new(limiter),
+            retry_budget: Mutex::new(retry_budget),
             memory: Memory::default(),
             keys,
-            bodies: Arc::new(Semaphore::new(BODY_KIB)),
+            body_memory: Arc::new(Semaphore::new(BODY_MEMORY_KIB)),
             counts: Counts::default(),
-            stalls: Stalls::default(),
-            stop: Stop::default(),
+            stall_monitor: StallMonitor::default(),
+            shutdown: Shutdown::default(),
         }
     }
 
     /// This router's instance.
-    pub(crate) fn origin(&self) -> Incarnation {
+    pub(crate) fn incarnation(&self) -> Incarnation {
         self.fleet.member().incarnation
     }
 
-    /// Gives a reserved slot to the customer's next request; `false` if none is queued.
-    pub(crate) fn grant(&self, link: &Arc<Link>, grant: &Grant) -> bool {
+    /// Assigns a reserved slot to the customer's next request; `false` if none is queued.
+    pub(crate) fn assign_grant(&self, link: &Arc<Link>, grant: &Grant) -> bool {
         if link.standing.is_closed() {
             return false;
         }
@@ -81,13 +81,13 @@
         let open = self.links.open(link.pool);
         while let Some(entry) = queue.pop(grant.customer, link.id, &open) {
             let now = clock::now();
-            self.limit.lock().remove(entry.customer, true, now);
-            let wakeup = Wakeup::Granted(Place::granted(link, grant.id));
-            let Err(Wakeup::Granted(mut place)) = entry.payload.wakeup.send(wakeup) else {
+            self.limiter.lock().remove(entry.customer, true, now);
+            let wakeup = Wakeup::Granted(Slot::granted(link, grant.id));
+            let Err(Wakeup::Granted(mut slot)) = entry.payload.wakeup.send(wakeup) else {
                 return true;
             };
             // The caller disconnected: the slot goes to the next request.
-            place.take();
+            slot.take_grant();
         }
         false
     }
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -14,13 +14,14 @@
 use super::core::Core;
 use super::home;
 use super::link::Link;
-use super::place::Place;
 use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{
-    doubtful, keys_full, malformed, no_server, repeated, too_late, unknown, unreachable,
+    key_doubtful, key_used, keys_full, malformed, no_server, outcome_unknown, timed_out,
+    unreachable,
 };
 use super::response_body::ResponseBody;
+use super::slot::Slot;
 use crate::clock;
 
 /// Limit on attempts per request, regardless of the retry budget.
@@ -31,7 +32,7 @@
     core: &Arc<Core>,
     call: Call,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    core.budget.lock().deposit();
+    core.retry_budget.lock().deposit();
     let mut dispatch = Dispatch {
         core,
         call,
@@ -56,7 +57,7 @@
 
 impl Dispatch<'_> {
     async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
-        if self.call.is_late(clock::now()) {
+        if self.call.is_expired(clock::now()) {
             return Err(queueing::deadline_passed(self.core, &self.call));
         }
         let mut at_once = true;
@@ -85,7 +86,7 @@
                 AttemptResult::Unknown(cause) => self.lost(&cause)?,
                 AttemptResult::TimedOut => {
                     self.may_have_run = true;
-                    return Err(too_late());
+                    return Err(timed_out());
                 }
                 AttemptResult::Stopping => {
                     self.may_have_run = true;
@@ -97,7 +98,7 @@
     }
 
     /// Selects a server, without queueing if one is expected to have a free slot.
-    async fn place(&mut self, at_once: bool) -> Result<Place, Refusal> {
+    async fn place(&mut self, at_once: bool) -> Result<Slot, Refusal> {
         if let Some(key) = self.call.key {
             let place = home::place(self.core, &self.call, key, at_once, self.waited).await?;
             self.waited = true;
@@ -124,23 +125,23 @@
     }
 
     /// Selects a server expected to have a free slot, unless other requests are queued.
-    fn direct(&self) -> Option<Place> {
+    fn direct(&self) -> Option<Slot> {
         let queue = self.core.queues.get(self.call.pool);
         if !queue.is_empty() {
             return None;
         }
         let mut candidates = candidates(self.core, self.call.pool);
         candidates.retain(|candidate| Some(candidate.server) != self.avoid);
-        let server = decide::choose(&candidates, self.call.prefix)?;
+        let server = decide::choose(&candidates, self.call.prompt_prefix)?;
         let link = self.core.links.get(server)?;
-        link.standing.take_free().then(|| Place::direct(&link))
+        link.standing.take_free().then(|| Slot::unreserved(&link))
     }
 
-    fn baseline(&self) -> Option<Place> {
+    fn baseline(&self) -> Option<Slot> {
         let candidates = candidates(self.core, self.call.pool);
         let server = decide::two_random_choices(&candidates, &mut rand::rng())?;
         let link = self.core.links.get(server)?;
-        Some(Place::direct(&link))
+        Some(Slot::unreserved(&link))
     }
 
     /// Handles a sidecar's verdict; returns `Err` if the request must not be retried.
@@ -159,9 +160,9 @@
             Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
             Verdict::Malformed => Err(malformed()),
             Verdict::Full => Err(keys_full(after)),
-            Verdict::Doubtful => Err(doubtful(after)),
-            Verdict::Running => Err(repeated(Outcome::Running)),
-            Verdict::Ran => Err(repeated(Outcome::Ran)),
+            Verdict::Doubtful => Err(key_doubtful(after)),
+            Verdict::Running => Err(key_used(Outcome::Running)),
+            Verdict::Ran => Err(key_used(Outcome::Ran)),
             Verdict::Broken => self.lost("the server failed"),
             Verdict::NotHome | Verdict::Tombstone | Verdict::Unreachable => {
                 self.retry(verdict.as_str())
@@ -173,14 +174,14 @@
     fn lost(&mut self, cause: &str) -> Result<(), Refusal> {
         self.may_have_run = true;
         if self.call.key.is_some() {
-            return Err(unknown(cause));
+            return Err(outcome_unknown(cause));
         }
         self.retry(cause)
     }
 
     /// Takes a retry from the budget.
     fn retry(&self, cause: &str) -> Result<(), Refusal> {
-        if !self.core.budget.lock().try_withdraw() {
+        if !self.core.retry_budget.lock().try_withdraw() {
             return Err(unreachable(cause));
         }
         metrics::counter!("retries_total").increment(1);
@@ -193,7 +194,7 @@
 
     /// Sets the refusal's outcome for all attempts of the request, and records it.
     fn refuse(&self, mut refusal: Refusal) -> Refusal {
-        let given = self.call.key.is_some_and(|key| key.given);
+        let given = self.call.key.is_some_and(|key| key.from_caller);
         if refusal.outcome == Outcome::NotRun && (self.may_have_run || given) {
             refusal.outcome = Outcome::Unknown;
         }
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -7,13 +7,13 @@
 use mulberryyoke_model::{Outcome, ServerId};
 use mulberryyoke_settings::Policy;
 
-use super::call::{Call, Key};
+use super::call::{Call, IdempotencyKey};
 use super::core::Core;
 use super::link::Link;
-use super::place::Place;
 use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
-use super::refusals::{SOON_S, doubtful, no_server, repeated};
+use super::refusals::{RETRY_AFTER_S, key_doubtful, key_used, no_server};
+use super::slot::Slot;
 use crate::clock;
 
 /// Finds a slot on the key's home server, after every former home has confirmed a
@@ -21,13 +21,13 @@
 pub(crate) async fn place(
     core: &Arc<Core>,
     call: &Call,
-    key: Key,
+    key: IdempotencyKey,
     mut at_once: bool,
     mut again: bool,
-) -> Result<Place, Refusal> {
+) -> Result<Slot, Refusal> {
     loop {
         let homes = homes(core, call, key);
-        if key.given {
+        if key.from_caller {
             for former in &homes.former {
                 withdraw(core, call, key, *former).await?;
             }
@@ -36,7 +36,7 @@
         let link = link(core, current).ok_or_else(no_server)?;
         let baseline = core.settings.policy == Policy::Baseline;
         if baseline || at_once && take_free(core, call, &link) {
-            return Ok(Place::direct(&link));
+            return Ok(Slot::unreserved(&link));
         }
         let home_lost = home_lost(core, call, key, &link);
         match queueing::wait_for_slot(core, call, Some(current), again, home_lost).await? {
@@ -60,7 +60,7 @@
 async fn home_lost(
     core: &Arc<Core>,
     call: &Call,
-    key: Key,
+    key: IdempotencyKey,
     link: &Arc<Link>,
 ) -> Result<WaitResult, Refusal> {
     let mut revision = core.fleet.watch();
@@ -79,10 +79,10 @@
 
 fn home_unresponsive() -> Refusal {
     let message = "the only server that may run this request does not answer";
-    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "home_silent", message).retry_after(SOON_S)
+    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "home_silent", message).retry_after(RETRY_AFTER_S)
 }
 
-fn homes(core: &Core, call: &Call, key: Key) -> Homes {
+fn homes(core: &Core, call: &Call, key: IdempotencyKey) -> Homes {
     let view = core.fleet.view();
     let servers = view.all_servers(call.pool);
     home::find(servers, key.id, clock::now(), core.settings.retention_ms)
@@ -99,17 +99,17 @@
 async fn withdraw(
     core: &Arc<Core>,
     call: &Call,
-    key: Key,
+    key: IdempotencyKey,
     former: ServerId,
 ) -> Result<(), Refusal> {
-    let link = link(core, former).ok_or_else(|| doubtful(None))?;
+    let link = link(core, former).ok_or_else(|| key_doubtful(None))?;
     link.wait_control().await;
     core.keys.remember(former, key.id, clock::now());
     let withdrawal = link.withdraw(call.attempt, Some(key.id)).await;
-    let withdrawal = withdrawal.map_err(|_| doubtful(None))?;
+    let withdrawal = withdrawal.map_err(|_| key_doubtful(None))?;
     match withdrawal.outcome {
         Outcome::NotRun if !withdrawal.doubtful => Ok(()),
-        Outcome::Running | Outcome::Ran | Outcome::Cut => Err(repeated(withdrawal.outcome)),
-        Outcome::NotRun | Outcome::Waiting | Outcome::Unknown => Err(doubtful(None)),
+        Outcome::Running | Outcome::Ran | Outcome::Cut => Err(key_used(withdrawal.outcome)),
+        Outcome::NotRun | Outcome::Waiting | Outcome::Unknown => Err(key_doubtful(None)),
     }
 }
--- a/crates/daemon/src/router/running.rs
+++ b/crates/daemon/src/router/in_flight.rs
@@ -1,4 +1,4 @@
-//! Tracks a request sent to a server.
+//! Tracks an attempt in flight.
 
 use std::sync::Arc;
 
@@ -10,33 +10,33 @@
 use super::link::Link;
 use crate::clock;
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// The whole answer was forwarded.
+    /// The whole response was forwarded.
     Complete,
-    /// The server or the connection to it failed.
-    Failed(String),
+    /// The server or the connection to it failed. Carries the cause.
+    Truncated(String),
     /// The caller disconnected.
-    Disconnected,
+    CallerClosed,
 }
 
-/// An attempt in flight, from just before it is sent to the end of its answer.
-/// Dropping it records that the caller disconnected.
+/// An attempt in flight, from just before it is sent to the end of its
+/// response. Dropping it records that the caller disconnected.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct InFlight {
     core: Arc<Core>,
     link: Arc<Link>,
     attempt: Attempt,
     customer: CustomerId,
     key: Option<KeyId>,
-    since: Millis,
+    received_at: Millis,
     ended: bool,
 }
 
-impl Running {
+impl InFlight {
     /// Records that an attempt is about to be sent.
-    pub(crate) fn begin(core: &Arc<Core>, link: &Arc<Link>, call: &Call) -> Self {
+    pub(crate) fn start(core: &Arc<Core>, link: &Arc<Link>, call: &Call) -> Self {
         let key = call.key.map(|key| key.id);
         let attempt = call.attempt;
         core.memory
@@ -52,13 +52,13 @@
             attempt,
             customer: call.customer,
             key,
-            since: call.since,
+            received_at: call.received_at,
             ended: false,
         }
     }
 
     /// Records proof that the attempt did not run.
-    pub(crate) fn not_run(mut self) {
+    pub(crate) fn record_not_run(mut self) {
         self.ended = true;
         self.core.memory.prove(self.attempt.request);
         if let Some(key) = self.key {
@@ -67,11 +67,11 @@
     }
 
     /// Records that the attempt's outcome is unknown.
-    pub(crate) fn lose(mut self) {
+    pub(crate) fn record_unknown(mut self) {
         self.ended = true;
     }
 
-    /// Records the end of the answer.
+    /// Records the end of the response.
     pub(crate) fn finish(mut self, end: &End) {
         self.end(end);
     }
@@ -79,23 +79,23 @@
     fn end(&mut self, end: &End) {
         self.ended = true;
         match end {
-            End::Complete => self.answered(),
-            End::Failed(cause) => self.truncated("server", cause),
-            End::Disconnected => self.truncated("caller", "caller left"),
+            End::Complete => self.record_completed(),
+            End::Truncated(cause) => self.record_truncated("server", cause),
+            End::CallerClosed => self.record_truncated("caller", "caller disconnected"),
         }
     }
 
-    fn answered(&self) {
+    fn record_completed(&self) {
         self.core.memory.settle(self.attempt.request, Outcome::Ran);
         metrics::counter!("answers_total").increment(1);
         log!(self.core.logger, Event::Answered,
             "request" => self.attempt.request_id(),
             "customer" => self.customer.0,
             "server" => &self.link.server.name,
-            "elapsed_ms" => clock::now().saturating_sub(self.since));
+            "elapsed_ms" => clock::now().saturating_sub(self.received_at));
     }
 
-    fn truncated(&self, side: &'static str, cause: &str) {
+    fn record_truncated(&self, side: &'static str, cause: &str) {
         self.core
             .memory
             .settle(self.attempt.request, Outcome::Unknown);
@@ -109,10 +109,10 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
         if !self.ended {
-            self.end(&End::Disconnected);
+            self.end(&End::CallerClosed);
         }
         let queue_is_empty = self.core.queues.get(self.link.pool).is_empty();
         self.link.standing.end(queue_is_empty);
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -93,7 +93,7 @@
     /// Whether the router accepts requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let stopping = self.core.stop.refuse.is_cancelled();
+        let stopping = self.core.shutdown.refuse.is_cancelled();
         !stopping && self.core.fleet.view().revision() > 0
     }
 
@@ -133,7 +133,7 @@
         for usage in totals {
             *served.entry(usage.customer).or_default() += usage.tokens;
         }
-        let limit = self.core.limit.lock();
+        let limit = self.core.limiter.lock();
         let customers = view.customers().map(|(id, customer)| {
             let served = served.get(&id).copied().unwrap_or(0);
             Customer {
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -1,5 +1,5 @@
 //! The router role: accepts callers' requests, queues them, sends each to a server
-//! with a free slot, and forwards the answer.
+//! with a free slot, and forwards the response.
 
 mod abandoned_attempt;
 mod attempt;
@@ -12,6 +12,7 @@
 mod error;
 mod header;
 mod home;
+mod in_flight;
 pub mod inspect;
 mod keys;
 mod link;
@@ -21,7 +22,6 @@
 mod memory;
 mod operators;
 mod outcome;
-mod place;
 mod pool_queue;
 mod pool_queues;
 mod queued_request;
@@ -33,10 +33,10 @@
 mod response;
 mod response_body;
 mod role;
-mod running;
 mod service;
-mod stalls;
-mod stop;
+mod shutdown;
+mod slot;
+mod stall_monitor;
 mod timeout_stream;
 
 pub use error::Error;
--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 use super::core::Core;
-use super::refusal::{Refusal, json};
+use super::refusal::{Refusal, json_response};
 use super::request;
 use super::response_body::ResponseBody;
 
@@ -17,17 +17,17 @@
     id: &str,
     headers: &HeaderMap,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    request::customer(&core.fleet.view(), headers)?;
+    request::authenticate(&core.fleet.view(), headers)?;
     let attempt = Attempt::parse_request_id(id).ok_or_else(request_not_found)?;
     let outcome = core.fleet.outcome(attempt).await;
     let body = json!({"id": id, "outcome": outcome.as_str()});
-    Ok(json(StatusCode::OK, body.to_string()))
+    Ok(json_response(StatusCode::OK, body.to_string()))
 }
 
-/// The outcome of a request of this router: from its own record, otherwise from the
-/// sidecar that received the last attempt.
-pub(crate) async fn own(core: &Core, attempt: Attempt) -> Outcome {
-    if attempt.origin != core.origin() {
+/// Returns the outcome of a request of this router: from its own record, otherwise
+/// from the sidecar that received the last attempt.
+pub(crate) async fn local(core: &Core, attempt: Attempt) -> Outcome {
+    if attempt.origin != core.incarnation() {
         return Outcome::Unknown;
     }
     let Some(record) = core.memory.get(attempt.request) else {
@@ -39,11 +39,11 @@
     let Some(link) = record.server.and_then(|server| core.links.get(server)) else {
         return Outcome::Unknown;
     };
-    let sent = Attempt {
+    let last_attempt = Attempt {
         number: record.attempt,
         ..attempt
     };
-    let outcome = link.outcome(sent, record.key).await;
+    let outcome = link.outcome(last_attempt, record.key).await;
     outcome.unwrap_or(Outcome::Unknown)
 }
 
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -11,10 +11,10 @@
 
 use super::call::Call;
 use super::core::Core;
-use super::place::Place;
 use super::pool_queue::PoolQueue;
 use super::queued_request::{QueuedRequest, Wakeup};
 use super::refusal::Refusal;
+use super::slot::Slot;
 use crate::clock;
 
 /// Removes a queued request from its queue on drop.
@@ -29,7 +29,7 @@
     fn drop(&mut self) {
         if self.queue.remove(self.key).is_some() {
             let now = clock::now();
-            self.core.limit.lock().remove(self.customer, false, now);
+            self.core.limiter.lock().remove(self.customer, false, now);
         }
     }
 }
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) enum WaitResult {
     /// A server has a free slot.
-    Place(Place),
+    Place(Slot),
     /// The server to which the request is pinned is no longer its key's home.
     HomeChanged,
 }
@@ -58,14 +58,14 @@
     let (wakeup, mut woken) = oneshot::channel();
     let request = QueuedRequest {
         attempt: call.attempt,
-        prefix: call.prefix,
+        prefix: call.prompt_prefix,
         wakeup,
     };
     let mut entry = Entry::new(
         call.customer,
         call.class,
         call.deadline,
-        call.since,
+        call.received_at,
         request,
     );
     entry.cost = call.cost;
@@ -88,19 +88,19 @@
             Ok(Wakeup::Displaced) | Err(_) => Err(displaced(core, call)),
         },
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => Err(deadline_passed(core, call)),
-        () = core.stop.clear.cancelled() => Err(stopping()),
+        () = core.shutdown.refuse_queued.cancelled() => Err(stopping()),
         result = home_changed => result,
     }
 }
 
 /// Admits the request to the queue, or refuses it.
 fn admit(core: &Core, call: &Call, readmit: bool) -> Result<(), Refusal> {
-    let mut limiter = core.limit.lock();
+    let mut limiter = core.limiter.lock();
     if readmit {
         limiter.readmit(call.customer, call.share);
         return Ok(());
     }
-    let decision = limiter.admit(call.customer, call.share, call.queue);
+    let decision = limiter.admit(call.customer, call.share, call.queue_limit);
     drop(limiter);
     match decision {
         Decision::Enqueue => Ok(()),
@@ -119,7 +119,7 @@
         let Some(entry) = queue.pop_last(customer) else {
             continue;
         };
-        core.limit.lock().remove(customer, false, clock::now());
+        core.limiter.lock().remove(customer, false, clock::now());
         // The caller may have disconnected.
         let _ = entry.payload.wakeup.send(Wakeup::Displaced);
         return;
@@ -127,7 +127,7 @@
 }
 
 fn retry_after(core: &Core, call: &Call) -> u32 {
-    core.limit.lock().retry_after(call.customer, clock::now())
+    core.limiter.lock().retry_after(call.customer, clock::now())
 }
 
 /// The customer has reached its limit of queued requests.
--- a/crates/daemon/src/router/request.rs
+++ b/crates/daemon/src/router/request.rs
@@ -14,7 +14,7 @@
 use serde_json::value::RawValue;
 
 use super::body;
-use super::call::{Call, Key};
+use super::call::{Call, IdempotencyKey};
 use super::core::Core;
 use super::header;
 use super::refusal::Refusal;
@@ -46,11 +46,14 @@
     pool: PoolId,
     idempotent: bool,
     cost: u32,
-    prefix: Option<PromptPrefix>,
+    prompt_prefix: Option<PromptPrefix>,
 }
 
-/// Authenticates the customer by the bearer key.
-pub(crate) fn customer<'a>(view: &'a View, headers: &HeaderMap) -> Result<&'a Customer, Refusal> {
+/// Returns the customer that the bearer key belongs to.
+pub(crate) fn authenticate<'a>(
+    view: &'a View,
+    headers: &HeaderMap,
+) -> Result<&'a Customer, Refusal> {
     let value = headers.get(AUTHORIZATION).ok_or_else(unauthorized)?;
     let value = value.to_str().map_err(|_| unauthorized())?;
     let (scheme, key) = value.split_once(' ').ok_or_else(unauthorized)?;
@@ -67,95 +70,95 @@
     attempt: Attempt,
     request: Request<Incoming>,
 ) -> Result<Call, Refusal> {
-    let since = clock::now();
+    let received_at = clock::now();
     let view = core.fleet.view();
     let (mut parts, incoming) = request.into_parts();
-    let customer = customer(&view, &parts.headers)?;
-    let id = CustomerId::of(&customer.name);
+    let customer = authenticate(&view, &parts.headers)?;
+    let customer_id = CustomerId::of(&customer.name);
     let route = view.route(parts.method.as_str(), parts.uri.path());
-    let is_model = is_model(parts.uri.path());
-    if route.is_none() && !is_model {
+    let is_model_request = is_model_path(parts.uri.path());
+    if route.is_none() && !is_model_request {
         return Err(route_not_found());
     }
     let body = body::read(core, incoming).await?;
     let target = match route {
-        Some((pool, route)) if !is_model => Target {
+        Some((pool, route)) if !is_model_request => Target {
             pool: PoolId::of(&pool.name),
             idempotent: route.idempotent,
             cost: route.cost,
-            prefix: None,
+            prompt_prefix: None,
         },
-        _ => target(&view, id, &body.bytes)?,
+        _ => model_target(&view, customer_id, &body.bytes)?,
     };
-    let hint = number(&parts.headers, header::COST_HINT)?;
-    let deadline = deadline(core, &parts.headers, since)?;
+    let cost_hint = parse_u32(&parts.headers, header::COST_HINT)?;
+    let deadline = deadline(core, &parts.headers, received_at)?;
     let class = class(&parts.headers, customer.class)?;
-    let key = key(&parts, id, attempt, target.idempotent)?;
+    let key = idempotency_key(&parts, customer_id, attempt, target.idempotent)?;
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str()).to_owned();
-    header::forward(&mut parts.headers);
+    header::strip_request(&mut parts.headers);
     Ok(Call {
         attempt,
-        customer: id,
+        customer: customer_id,
         share: customer.share,
-        queue: customer.queue,
+        queue_limit: customer.queue,
         pool: target.pool,
         class,
         deadline,
-        since,
-        hint: hint.unwrap_or(0),
-        cost: hint.unwrap_or(target.cost).max(1),
+        received_at,
+        cost_hint: cost_hint.unwrap_or(0),
+        cost: cost_hint.unwrap_or(target.cost).max(1),
         key,
-        prefix: target.prefix,
+        prompt_prefix: target.prompt_prefix,
         method: parts.method,
         path,
         headers: parts.headers,
         body: body.bytes,
-        _memory: body.memory,
+        _body_memory: body.memory,
     })
 }
 
-fn is_model(path: &str) -> bool {
+fn is_model_path(path: &str) -> bool {
     matches!(path, "/v1/chat/completions" | "/v1/completions")
 }
 
-fn target(view: &View, customer: CustomerId, body: &[u8]) -> Result<Target, Refusal> {
-    let read: Body = serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
-    let pool = view.model_pool(&read.model);
-    let pool = pool.ok_or_else(|| model_not_found(&read.model))?;
-    let hint = read.max_completion_tokens.or(read.max_tokens);
-    let start = read.messages.or(read.prompt).map(|raw| {
+fn model_target(view: &View, customer: CustomerId, body: &[u8]) -> Result<Target, Refusal> {
+    let request: Body = serde_json::from_slice(body).map_err(|error| invalid_json(&error))?;
+    let pool = view.model_pool(&request.model);
+    let pool = pool.ok_or_else(|| model_not_found(&request.model))?;
+    let max_tokens = request.max_completion_tokens.or(request.max_tokens);
+    let prefix = request.messages.or(request.prompt).map(|raw| {
         let bytes = raw.get().as_bytes();
         &bytes[..bytes.len().min(PROMPT_PREFIX_BYTES)]
     });
     Ok(Target {
         pool: PoolId::of(&pool.name),
         idempotent: true,
-        cost: hint.unwrap_or(DEFAULT_COST),
-        prefix: start.map(|start| PromptPrefix::of(customer, start)),
+        cost: max_tokens.unwrap_or(DEFAULT_COST),
+        prompt_prefix: prefix.map(|prefix| PromptPrefix::of(customer, prefix)),
     })
 }
 
-fn key(
+fn idempotency_key(
     parts: &Parts,
     customer: CustomerId,
     attempt: Attempt,
     idempotent: bool,
-) -> Result<Option<Key>, Refusal> {
+) -> Result<Option<IdempotencyKey>, Refusal> {
     let Some(value) = parts.headers.get(header::IDEMPOTENCY_KEY) else {
-        let own = KeyId::of(customer, &attempt.request_id());
-        return Ok((!idempotent).then_some(Key {
-            id: own,
-            given: false,
+        let id = KeyId::of(customer, &attempt.request_id());
+        return Ok((!idempotent).then_some(IdempotencyKey {
+            id,
+            from_caller: false,
         }));
     };
     let text = header_text(header::IDEMPOTENCY_KEY, value)?;
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(invalid_header(header::IDEMPOTENCY_KEY));
     }
-    Ok(Some(Key {
+    Ok(Some(IdempotencyKey {
         id: KeyId::of(customer, text),
-        given: true,
+        from_caller: true,
     }))
 }
 
@@ -176,12 +179,12 @@
     deadline.map_err(|_| invalid_header(header::DEADLINE))
 }
 
-fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u32>, Refusal> {
+fn parse_u32(headers: &HeaderMap, name: &'static str) -> Result<Option<u32>, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let number = header_text(name, value)?.parse();
-    number.map(Some).map_err(|_| invalid_header(name))
+    let parsed = header_text(name, value)?.parse();
+    parsed.map(Some).map_err(|_| invalid_header(name))
 }
 
 fn header_text<'a>(name: &'static str, value: &'a HeaderValue) -> Result<&'a str, Refusal> {
