--- a/crates/daemon/src/router/handle.rs
+++ b/crates/daemon/src/router/handle.rs
@@ -15,7 +15,7 @@
 use super::callers::Port;
 use super::core::Core;
 use super::error::Error;
-use super::inspect::Inspect;
+use super::inspect::Inspector;
 use super::{links, operators, outcome};
 use crate::fleet::{Fleet, LocalRequests};
 use crate::operator::Api;
@@ -91,8 +91,8 @@
 
     /// A handle for inspecting the router.
     #[must_use]
-    pub fn inspect(&self) -> Inspect {
-        Inspect::new(&self.core)
+    pub fn inspect(&self) -> Inspector {
+        Inspector::new(&self.core)
     }
 
     /// Stops gracefully: refuses new requests, lets queued ones start during the first
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -79,11 +79,11 @@
 
 /// A handle for inspecting a running router.
 #[derive(Clone, Debug)]
-pub struct Inspect {
+pub struct Inspector {
     core: Arc<Core>,
 }
 
-impl Inspect {
+impl Inspector {
     pub(crate) fn new(core: &Arc<Core>) -> Self {
         Self {
             core: Arc::clone(core),
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -41,4 +41,4 @@
 
 pub use error::Error;
 pub use handle::Router;
-pub use inspect::Inspect;
+pub use inspect::Inspector;
--- a/crates/daemon/src/router/operators.rs
+++ b/crates/daemon/src/router/operators.rs
@@ -13,7 +13,7 @@
 
 use super::core::Core;
 use super::error::Error;
-use super::inspect::Inspect;
+use super::inspect::Inspector;
 use crate::operator::{Api, Options, RouterState};
 
 /// Binds the operator API.
@@ -28,7 +28,7 @@
         kv: Arc::new(kv),
         router: Arc::new(RouterSource {
             core: Arc::clone(core),
-            inspect: Inspect::new(core),
+            inspect: Inspector::new(core),
         }),
         logger: core.logger.clone(),
     };
@@ -38,7 +38,7 @@
 /// Exposes the router's state on the operator port.
 struct RouterSource {
     core: Arc<Core>,
-    inspect: Inspect,
+    inspect: Inspector,
 }
 
 impl RouterState for RouterSource {
--- a/crates/daemon/src/router/operators/waiting.rs
+++ b/crates/daemon/src/router/operators/waiting.rs
@@ -6,13 +6,13 @@
 use mulberryyoke_command::answer::{Counter, Waiter, Waiting};
 use mulberryyoke_model::Class;
 
-use crate::router::inspect::{self, Customer, Inspect, Server};
+use crate::router::inspect::{self, Customer, Inspector, Server};
 
 /// Maximum number of customers named in a reason.
 const MAX_NAMED: usize = 3;
 
 /// Answers a query on waiting requests.
-pub(crate) fn answer(router: &str, inspect: &Inspect, query: &command::Waiting) -> Waiting {
+pub(crate) fn answer(router: &str, inspect: &Inspector, query: &command::Waiting) -> Waiting {
     let requests = inspect.waiting();
     let servers = inspect.servers();
     let counters = counters(&inspect.customers(), &requests);
