--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -17,7 +17,7 @@
 use super::links::Links;
 use super::memory::Memory;
 use super::place::Place;
-use super::rooms::Rooms;
+use super::pool_queues::PoolQueues;
 use super::stalls::Stalls;
 use super::stop::Stop;
 use super::waiter::Turn;
@@ -32,7 +32,7 @@
     pub(crate) settings: Arc<settings::Router>,
     pub(crate) logger: Logger,
     pub(crate) fleet: Arc<Fleet>,
-    pub(crate) rooms: Rooms,
+    pub(crate) queues: PoolQueues,
     pub(crate) links: Links,
     pub(crate) limit: Mutex<Limiter>,
     pub(crate) budget: Mutex<Budget>,
@@ -54,7 +54,7 @@
             settings,
             logger,
             fleet,
-            rooms: Rooms::default(),
+            queues: PoolQueues::default(),
             links: Links::default(),
             limit: Mutex::new(limit),
             budget: Mutex::new(budget),
@@ -77,9 +77,9 @@
         if link.standing.is_closed() {
             return false;
         }
-        let room = self.rooms.get(link.pool);
+        let queue = self.queues.get(link.pool);
         let open = self.links.open(link.pool);
-        while let Some(waiting) = room.take(grant.customer, link.id, &open) {
+        while let Some(waiting) = queue.take(grant.customer, link.id, &open) {
             let now = clock::now();
             self.limit.lock().remove(waiting.customer, true, now);
             let turn = Turn::Go(Place::granted(link, grant.id));
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -117,8 +117,8 @@
 
     /// Selects a server expected to have a free slot, unless other requests are queued.
     fn direct(&self) -> Option<Place> {
-        let room = self.core.rooms.get(self.call.pool);
-        if !room.is_empty() {
+        let queue = self.core.queues.get(self.call.pool);
+        if !queue.is_empty() {
             return None;
         }
         let mut candidates = candidates(self.core, self.call.pool);
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -52,7 +52,7 @@
     if core.settings.policy == Policy::Baseline {
         return link.standing.is_open();
     }
-    let queue_is_empty = core.rooms.get(call.pool).is_empty();
+    let queue_is_empty = core.queues.get(call.pool).is_empty();
     queue_is_empty && link.standing.is_open() && link.standing.take_free()
 }
 
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -101,8 +101,8 @@
     #[must_use]
     pub fn waiting(&self) -> Vec<Waiting> {
         let mut all = Vec::new();
-        for room in self.core.rooms.all() {
-            room.read(|queue| {
+        for pool_queue in self.core.queues.all() {
+            pool_queue.read(|queue| {
                 for (_, waiting) in queue.iter() {
                     let pinned = waiting.pinned_server;
                     let server = pinned.and_then(|server| self.core.links.get(server));
@@ -110,7 +110,7 @@
                     all.push(Waiting {
                         request: waiting.payload.attempt.request_id(),
                         customer: self.customer_name(waiting.customer),
-                        pool: self.pool_name(room.pool),
+                        pool: self.pool_name(pool_queue.pool),
                         class: waiting.class,
                         deadline: waiting.deadline,
                         since: waiting.arrived_at,
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -114,8 +114,8 @@
 
     /// Declares demand to the sidecar: first all of it, then changes.
     async fn declare(&self) -> Result<Infallible, Error> {
-        let room = self.core.rooms.get(self.link.pool);
-        let mut changed = room.subscribe();
+        let queue = self.core.queues.get(self.link.pool);
+        let mut changed = queue.subscribe();
         let mut seen = 0;
         let mut full = true;
         let mut all = true;
@@ -126,7 +126,7 @@
                 if full {
                     declared.clear();
                 }
-                let interest = room.interest(&mut seen, &self.look(&declared, all));
+                let interest = queue.interest(&mut seen, &self.look(&declared, all));
                 declared.update(interest)
             };
             if full || !updates.is_empty() {
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -141,9 +141,9 @@
     loop {
         core.links.reconcile(&core);
         let now = clock::now();
-        for room in core.rooms.all() {
-            room.raise(now);
-            room.spread(before, now);
+        for queue in core.queues.all() {
+            queue.raise(now);
+            queue.spread(before, now);
         }
         before = now;
         let stall_ms = core.settings.limits.stall_ms;
--- a/crates/daemon/src/router/links/choice.rs
+++ b/crates/daemon/src/router/links/choice.rs
@@ -79,14 +79,14 @@
         }
         self.extra
             .retain(|_, used_at| now.saturating_sub(*used_at) < EXTRA_IDLE_MS);
-        for room in core.rooms.all() {
-            self.widen(core, room.pool, now);
+        for queue in core.queues.all() {
+            self.widen(core, queue.pool, now);
         }
     }
 
     /// Adds idle servers of peers if requests have waited for [`WIDEN_MS`].
     fn widen(&mut self, core: &Core, pool: PoolId, now: Millis) {
-        if core.rooms.get(pool).is_empty() || has_free(core, pool) {
+        if core.queues.get(pool).is_empty() || has_free(core, pool) {
             self.starved_since.remove(&pool);
             return;
         }
@@ -137,7 +137,7 @@
 pub(super) fn idle_servers(core: &Core) -> Vec<ServerId> {
     let links = core.links.all().into_iter();
     let mut idle: Vec<(u32, ServerId)> = links
-        .filter(|link| link.standing.is_open() && core.rooms.get(link.pool).is_empty())
+        .filter(|link| link.standing.is_open() && core.queues.get(link.pool).is_empty())
         .map(|link| (link.standing.free(), link.id))
         .filter(|(free, _)| *free > 0)
         .collect();
--- a/crates/daemon/src/router/room.rs
+++ b/crates/daemon/src/router/pool_queue.rs
@@ -20,13 +20,13 @@
 
 /// The request queue of one pool, with a change log for the links.
 #[derive(Debug)]
-pub(crate) struct Room {
+pub(crate) struct PoolQueue {
     pub(crate) pool: PoolId,
     state: Mutex<State>,
     changed: watch::Sender<u64>,
 }
 
-impl Room {
+impl PoolQueue {
     pub(crate) fn new(pool: PoolId) -> Arc<Self> {
         Arc::new(Self {
             pool,
--- a/crates/daemon/src/router/running.rs
+++ b/crates/daemon/src/router/running.rs
@@ -114,7 +114,7 @@
         if !self.ended {
             self.end(&End::Disconnected);
         }
-        let queue_is_empty = self.core.rooms.get(self.link.pool).is_empty();
+        let queue_is_empty = self.core.queues.get(self.link.pool).is_empty();
         self.link.standing.end(queue_is_empty);
         self.core.counts.end(self.customer);
     }
--- a/crates/daemon/src/router/wait.rs
+++ b/crates/daemon/src/router/wait.rs
@@ -12,22 +12,22 @@
 use super::call::Call;
 use super::core::Core;
 use super::place::Place;
+use super::pool_queue::PoolQueue;
 use super::refusal::Refusal;
-use super::room::Room;
 use super::waiter::{Turn, Waiter};
 use crate::clock;
 
 /// Removes a queued request from its queue on drop.
 struct QueueGuard<'a> {
     core: &'a Core,
-    room: &'a Room,
+    queue: &'a PoolQueue,
     key: EntryKey,
     customer: CustomerId,
 }
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        if self.room.remove(self.key).is_some() {
+        if self.queue.remove(self.key).is_some() {
             let now = clock::now();
             self.core.limit.lock().remove(self.customer, false, now);
         }
@@ -54,7 +54,7 @@
     gone: impl Future<Output = Result<Waited, Refusal>>,
 ) -> Result<Waited, Refusal> {
     admit(core, call, readmit)?;
-    let room = core.rooms.get(call.pool);
+    let queue = core.queues.get(call.pool);
     let (turn, mut taken) = oneshot::channel();
     let waiter = Waiter {
         attempt: call.attempt,
@@ -66,8 +66,8 @@
     waiting.pinned_server = pinned;
     let _guard = QueueGuard {
         core,
-        room: &room,
-        key: room.push(waiting),
+        queue: &queue,
+        key: queue.push(waiting),
         customer: call.customer,
     };
     log!(core.logger, Event::Queued,
@@ -109,8 +109,8 @@
 
 /// Refuses the customer's last request in one of the pools' queues.
 fn displace(core: &Core, customer: CustomerId) {
-    for room in core.rooms.all() {
-        let Some(waiting) = room.displace(customer) else {
+    for queue in core.queues.all() {
+        let Some(waiting) = queue.displace(customer) else {
             continue;
         };
         core.limit.lock().remove(customer, false, clock::now());
