--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -18,9 +18,9 @@
 use super::memory::Memory;
 use super::place::Place;
 use super::pool_queues::PoolQueues;
+use super::queued_request::Wakeup;
 use super::stalls::Stalls;
 use super::stop::Stop;
-use super::waiter::Turn;
 use crate::clock;
 use crate::fleet::Fleet;
 
@@ -79,14 +79,14 @@
         }
         let queue = self.queues.get(link.pool);
         let open = self.links.open(link.pool);
-        while let Some(waiting) = queue.take(grant.customer, link.id, &open) {
+        while let Some(entry) = queue.pop(grant.customer, link.id, &open) {
             let now = clock::now();
-            self.limit.lock().remove(waiting.customer, true, now);
-            let turn = Turn::Go(Place::granted(link, grant.id));
-            let Err(Turn::Go(mut place)) = waiting.payload.turn.send(turn) else {
+            self.limit.lock().remove(entry.customer, true, now);
+            let wakeup = Wakeup::Granted(Place::granted(link, grant.id));
+            let Err(Wakeup::Granted(mut place)) = entry.payload.wakeup.send(wakeup) else {
                 return true;
             };
-            // The caller disconnected: give the slot to the next request.
+            // The caller disconnected: the slot goes to the next request.
             place.take();
         }
         false
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -16,11 +16,11 @@
 use super::home;
 use super::link::Link;
 use super::place::Place;
+use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{
     doubtful, keys_full, malformed, no_server, repeated, too_late, unknown, unreachable,
 };
-use super::wait::{self, Waited};
 use crate::clock;
 
 /// Limit on attempts per request, regardless of the retry budget.
@@ -54,7 +54,7 @@
 impl Dispatch<'_> {
     async fn run(&mut self) -> Result<Response<Answer>, Refusal> {
         if self.call.is_late(clock::now()) {
-            return Err(wait::late(self.core, &self.call));
+            return Err(queueing::deadline_passed(self.core, &self.call));
         }
         let mut at_once = true;
         loop {
@@ -81,7 +81,7 @@
                 }
                 Sent::Stopping => {
                     self.may_have_run = true;
-                    return Err(wait::stopping());
+                    return Err(queueing::stopping());
                 }
             }
             self.call.attempt = self.call.attempt.next();
@@ -109,9 +109,9 @@
             self.core.memory.wait(self.call.attempt.request);
         }
         let never = std::future::pending();
-        match wait::wait(self.core, &self.call, None, waited, never).await? {
-            Waited::Place(place) => Ok(place),
-            Waited::Moved => Err(no_server()),
+        match queueing::wait_for_slot(self.core, &self.call, None, waited, never).await? {
+            WaitResult::Place(place) => Ok(place),
+            WaitResult::HomeChanged => Err(no_server()),
         }
     }
 
@@ -148,7 +148,7 @@
                 link.standing.exhaust();
                 Ok(())
             }
-            Verdict::Late => Err(wait::late(self.core, &self.call)),
+            Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
             Verdict::Malformed => Err(malformed()),
             Verdict::Full => Err(keys_full(after)),
             Verdict::Doubtful => Err(doubtful(after)),
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -11,9 +11,9 @@
 use super::core::Core;
 use super::link::Link;
 use super::place::Place;
+use super::queueing::{self, WaitResult};
 use super::refusal::Refusal;
 use super::refusals::{SOON_S, doubtful, no_server, repeated};
-use super::wait::{self, Waited};
 use crate::clock;
 
 /// Finds a slot on the key's home server, after every former home has confirmed a
@@ -39,9 +39,9 @@
             return Ok(Place::direct(&link));
         }
         let home_lost = home_lost(core, call, key, &link);
-        match wait::wait(core, call, Some(current), again, home_lost).await? {
-            Waited::Place(place) => return Ok(place),
-            Waited::Moved => (at_once, again) = (true, true),
+        match queueing::wait_for_slot(core, call, Some(current), again, home_lost).await? {
+            WaitResult::Place(place) => return Ok(place),
+            WaitResult::HomeChanged => (at_once, again) = (true, true),
         }
     }
 }
@@ -62,7 +62,7 @@
     call: &Call,
     key: Key,
     link: &Arc<Link>,
-) -> Result<Waited, Refusal> {
+) -> Result<WaitResult, Refusal> {
     let mut revision = core.fleet.watch();
     loop {
         tokio::select! {
@@ -72,7 +72,7 @@
             }
         }
         if homes(core, call, key).current != Some(link.id) {
-            return Ok(Waited::Moved);
+            return Ok(WaitResult::HomeChanged);
         }
     }
 }
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -142,8 +142,8 @@
         core.links.reconcile(&core);
         let now = clock::now();
         for queue in core.queues.all() {
-            queue.raise(now);
-            queue.spread(before, now);
+            queue.promote(now);
+            queue.record_fanout_growth(before, now);
         }
         before = now;
         let stall_ms = core.settings.limits.stall_ms;
--- a/crates/daemon/src/router/look.rs
+++ b/crates/daemon/src/router/look.rs
@@ -4,7 +4,7 @@
 use mulberryyoke_decide::queue::Queue;
 use mulberryyoke_model::{CustomerId, Interest, Millis, ServerId};
 
-use super::waiter::Waiter;
+use super::queued_request::QueuedRequest;
 
 /// Inputs that decide which demand is declared to a sidecar.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 
 impl Look<'_> {
     /// Returns the demand of a customer to declare to the sidecar.
-    pub(crate) fn interest(&self, queue: &Queue<Waiter>, customer: CustomerId) -> Interest {
+    pub(crate) fn interest(&self, queue: &Queue<QueuedRequest>, customer: CustomerId) -> Interest {
         let interest = queue.interest(customer, self.server);
         if !self.closed && self.should_declare(queue, &interest) {
             return interest;
@@ -37,7 +37,7 @@
     }
 
     /// Demand already declared is kept up to date, so that it is not retracted early.
-    fn should_declare(&self, queue: &Queue<Waiter>, interest: &Interest) -> bool {
+    fn should_declare(&self, queue: &Queue<QueuedRequest>, interest: &Interest) -> bool {
         let customer = interest.customer;
         self.has_free
             || self.declared.contains(customer)
--- a/crates/daemon/src/router/mod.rs
+++ b/crates/daemon/src/router/mod.rs
@@ -28,6 +28,8 @@
 mod place;
 mod pool_queue;
 mod pool_queues;
+mod queued_request;
+mod queueing;
 mod refusal;
 mod refusals;
 mod relay;
@@ -36,8 +38,6 @@
 mod service;
 mod stalls;
 mod stop;
-mod wait;
-mod waiter;
 
 pub use error::Error;
 pub use handle::Router;
--- a/crates/daemon/src/router/pool_queue.rs
+++ b/crates/daemon/src/router/pool_queue.rs
@@ -10,11 +10,11 @@
 use tokio::sync::watch;
 
 use super::look::Look;
-use super::waiter::Waiter;
+use super::queued_request::QueuedRequest;
 
 #[derive(Debug, Default)]
 struct State {
-    queue: Queue<Waiter>,
+    queue: Queue<QueuedRequest>,
     changes: ChangeLog,
 }
 
@@ -44,7 +44,7 @@
         self.state.lock().queue.is_empty()
     }
 
-    pub(crate) fn push(&self, entry: Entry<Waiter>) -> EntryKey {
+    pub(crate) fn push(&self, entry: Entry<QueuedRequest>) -> EntryKey {
         let customer = entry.customer;
         let mut state = self.state.lock();
         let key = state.queue.push(entry);
@@ -54,7 +54,7 @@
         key
     }
 
-    pub(crate) fn remove(&self, key: EntryKey) -> Option<Entry<Waiter>> {
+    pub(crate) fn remove(&self, key: EntryKey) -> Option<Entry<QueuedRequest>> {
         let mut state = self.state.lock();
         let entry = state.queue.remove(key)?;
         let number = state.changes.record(entry.customer);
@@ -64,15 +64,16 @@
     }
 
     /// Removes the customer's next request for `server`, given the pool's open servers.
-    pub(crate) fn take(
+    pub(crate) fn pop(
         &self,
         customer: CustomerId,
         server: ServerId,
         open: &[ServerId],
-    ) -> Option<Entry<Waiter>> {
-        let prefers_server = |waiter: &Waiter| {
-            let prefix = waiter.prefix;
-            let preferred = prefix.and_then(|prefix| prefix.preferred_server(open.iter().copied()));
+    ) -> Option<Entry<QueuedRequest>> {
+        let prefers_server = |request: &QueuedRequest| {
+            let preferred = request
+                .prefix
+                .and_then(|prefix| prefix.preferred_server(open.iter().copied()));
             preferred == Some(server)
         };
         let mut state = self.state.lock();
@@ -84,13 +85,13 @@
     }
 
     /// Removes the customer's last request in queue order.
-    pub(crate) fn displace(&self, customer: CustomerId) -> Option<Entry<Waiter>> {
+    pub(crate) fn pop_last(&self, customer: CustomerId) -> Option<Entry<QueuedRequest>> {
         let key = self.state.lock().queue.back(customer)?;
         self.remove(key)
     }
 
     /// Promotes deferrable requests whose deadline is near.
-    pub(crate) fn raise(&self, now: Millis) {
+    pub(crate) fn promote(&self, now: Millis) {
         let mut state = self.state.lock();
         let promoted = state.queue.promote(now);
         let numbers = promoted
@@ -124,7 +125,7 @@
 
     /// Records a change for customers whose demand has to be declared to more sidecars,
     /// because a request has waited for another doubling interval since `before`.
-    pub(crate) fn spread(&self, before: Millis, now: Millis) {
+    pub(crate) fn record_fanout_growth(&self, before: Millis, now: Millis) {
         let mut state = self.state.lock();
         let steps = |since: Millis, at: Millis| at.saturating_sub(since) / FANOUT_DOUBLING_MS;
         let entries = state.queue.iter().map(|(_, entry)| entry);
@@ -142,7 +143,7 @@
     }
 
     /// Calls `read` with the queue locked.
-    pub(crate) fn read<T>(&self, read: impl FnOnce(&Queue<Waiter>) -> T) -> T {
+    pub(crate) fn read<T>(&self, read: impl FnOnce(&Queue<QueuedRequest>) -> T) -> T {
         read(&self.state.lock().queue)
     }
 }
--- a/crates/daemon/src/router/waiter.rs
+++ b/crates/daemon/src/router/queued_request.rs
@@ -8,17 +8,17 @@
 
 /// The result of a request's wait.
 #[derive(Debug)]
-pub(crate) enum Turn {
+pub(crate) enum Wakeup {
     /// A slot was found.
-    Go(Place),
+    Granted(Place),
     /// The request was removed because the queue is full.
     Displaced,
 }
 
 /// Data stored with a queued request.
 #[derive(Debug)]
-pub(crate) struct Waiter {
+pub(crate) struct QueuedRequest {
     pub(crate) attempt: Attempt,
     pub(crate) prefix: Option<PromptPrefix>,
-    pub(crate) turn: oneshot::Sender<Turn>,
+    pub(crate) wakeup: oneshot::Sender<Wakeup>,
 }
--- a/crates/daemon/src/router/wait.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -13,8 +13,8 @@
 use super::core::Core;
 use super::place::Place;
 use super::pool_queue::PoolQueue;
+use super::queued_request::{QueuedRequest, Wakeup};
 use super::refusal::Refusal;
-use super::waiter::{Turn, Waiter};
 use crate::clock;
 
 /// Removes a queued request from its queue on drop.
@@ -36,38 +36,44 @@
 
 /// Result of a wait that was not refused.
 #[derive(Debug)]
-pub(crate) enum Waited {
+pub(crate) enum WaitResult {
     /// A server has a free slot.
     Place(Place),
-    /// The only server that may run it has changed.
-    Moved,
+    /// The server to which the request is pinned is no longer its key's home.
+    HomeChanged,
 }
 
 /// Waits until a server has a free slot for the request. With `readmit`, the
-/// request was queued before and is not subject to the queue limits. `gone` ends
-/// the wait of a request pinned to one server when that server changes.
-pub(crate) async fn wait(
+/// request was queued before and is not subject to the queue limits. `home_changed`
+/// ends the wait of a request pinned to its key's home server.
+pub(crate) async fn wait_for_slot(
     core: &Arc<Core>,
     call: &Call,
     pinned: Option<ServerId>,
     readmit: bool,
-    gone: impl Future<Output = Result<Waited, Refusal>>,
-) -> Result<Waited, Refusal> {
+    home_changed: impl Future<Output = Result<WaitResult, Refusal>>,
+) -> Result<WaitResult, Refusal> {
     admit(core, call, readmit)?;
     let queue = core.queues.get(call.pool);
-    let (turn, mut taken) = oneshot::channel();
-    let waiter = Waiter {
+    let (wakeup, mut woken) = oneshot::channel();
+    let request = QueuedRequest {
         attempt: call.attempt,
         prefix: call.prefix,
-        turn,
+        wakeup,
     };
-    let mut waiting = Entry::new(call.customer, call.class, call.deadline, call.since, waiter);
-    waiting.cost = call.cost;
-    waiting.pinned_server = pinned;
+    let mut entry = Entry::new(
+        call.customer,
+        call.class,
+        call.deadline,
+        call.since,
+        request,
+    );
+    entry.cost = call.cost;
+    entry.pinned_server = pinned;
     let _guard = QueueGuard {
         core,
         queue: &queue,
-        key: queue.push(waiting),
+        key: queue.push(entry),
         customer: call.customer,
     };
     log!(core.logger, Event::Queued,
@@ -77,32 +83,32 @@
         "pool" => call.pool.0);
     tokio::select! {
         biased;
-        turn = &mut taken => match turn {
-            Ok(Turn::Go(place)) => Ok(Waited::Place(place)),
-            Ok(Turn::Displaced) | Err(_) => Err(displaced(core, call)),
+        result = &mut woken => match result {
+            Ok(Wakeup::Granted(place)) => Ok(WaitResult::Place(place)),
+            Ok(Wakeup::Displaced) | Err(_) => Err(displaced(core, call)),
         },
-        () = tokio::time::sleep_until(clock::instant(call.deadline)) => Err(late(core, call)),
+        () = tokio::time::sleep_until(clock::instant(call.deadline)) => Err(deadline_passed(core, call)),
         () = core.stop.clear.cancelled() => Err(stopping()),
-        gone = gone => gone,
+        result = home_changed => result,
     }
 }
 
 /// Admits the request to the queue, or refuses it.
 fn admit(core: &Core, call: &Call, readmit: bool) -> Result<(), Refusal> {
-    let mut limit = core.limit.lock();
+    let mut limiter = core.limit.lock();
     if readmit {
-        limit.readmit(call.customer, call.share);
+        limiter.readmit(call.customer, call.share);
         return Ok(());
     }
-    let decision = limit.admit(call.customer, call.share, call.queue);
-    drop(limit);
+    let decision = limiter.admit(call.customer, call.share, call.queue);
+    drop(limiter);
     match decision {
         Decision::Enqueue => Ok(()),
         Decision::Displace(customer) => {
             displace(core, customer);
             Ok(())
         }
-        Decision::CustomerFull => Err(full(core, call)),
+        Decision::CustomerFull => Err(queue_full(core, call)),
         Decision::RouterFull => Err(router_full(core, call)),
     }
 }
@@ -110,12 +116,12 @@
 /// Refuses the customer's last request in one of the pools' queues.
 fn displace(core: &Core, customer: CustomerId) {
     for queue in core.queues.all() {
-        let Some(waiting) = queue.displace(customer) else {
+        let Some(entry) = queue.pop_last(customer) else {
             continue;
         };
         core.limit.lock().remove(customer, false, clock::now());
         // The caller may have disconnected.
-        let _ = waiting.payload.turn.send(Turn::Displaced);
+        let _ = entry.payload.wakeup.send(Wakeup::Displaced);
         return;
     }
 }
@@ -125,7 +131,7 @@
 }
 
 /// The customer has reached its limit of queued requests.
-pub(crate) fn full(core: &Core, call: &Call) -> Refusal {
+pub(crate) fn queue_full(core: &Core, call: &Call) -> Refusal {
     let message = "too many requests of this customer wait here";
     Refusal::new(StatusCode::TOO_MANY_REQUESTS, "queue_full", message)
         .retry_after(retry_after(core, call))
@@ -144,7 +150,7 @@
 }
 
 /// The deadline passed while the request was queued.
-pub(crate) fn late(core: &Core, call: &Call) -> Refusal {
+pub(crate) fn deadline_passed(core: &Core, call: &Call) -> Refusal {
     let message = "the deadline passed before a server had a free slot";
     Refusal::new(StatusCode::GATEWAY_TIMEOUT, "deadline_passed", message)
         .retry_after(retry_after(core, call))
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -14,9 +14,9 @@
 use super::core::Core;
 use super::dispatch;
 use super::outcome;
+use super::queueing;
 use super::refusal::{Refusal, json};
 use super::request;
-use super::wait;
 
 const MODELS: &str = "/v1/models";
 
@@ -73,7 +73,7 @@
     request: Request<Incoming>,
 ) -> Result<super::call::Call, Refusal> {
     if core.stop.refuse.is_cancelled() {
-        return Err(wait::stopping());
+        return Err(queueing::stopping());
     }
     request::read(core, attempt, request).await
 }
