--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -11,14 +11,14 @@
 use parking_lot::Mutex;
 use tokio::sync::Semaphore;
 
-use super::counts::Counts;
-use super::keys::Keys;
 use super::link::Link;
 use super::links::Links;
-use super::memory::Memory;
 use super::place::Place;
 use super::pool_queues::PoolQueues;
 use super::queued_request::Wakeup;
+use super::request_table::RequestTable;
+use super::running_counts::RunningCounts;
+use super::sent_keys::SentKeys;
 use super::stalls::Stalls;
 use super::stop::Stop;
 use crate::clock;
@@ -36,10 +36,10 @@
     pub(crate) links: Links,
     pub(crate) limit: Mutex<Limiter>,
     pub(crate) budget: Mutex<Budget>,
-    pub(crate) memory: Memory,
-    pub(crate) keys: Keys,
+    pub(crate) requests: RequestTable,
+    pub(crate) sent_keys: SentKeys,
     pub(crate) bodies: Arc<Semaphore>,
-    pub(crate) counts: Counts,
+    pub(crate) running_counts: RunningCounts,
     pub(crate) stalls: Stalls,
     pub(crate) stop: Stop,
 }
@@ -49,7 +49,7 @@
         let limits = &settings.limits;
         let limit = Limiter::new(limits.queue_per_customer, limits.queue_total);
         let budget = Budget::new(limits.retry_percent);
-        let keys = Keys::new(fleet.member().started_at, settings.retention_ms);
+        let sent_keys = SentKeys::new(fleet.member().started_at, settings.retention_ms);
         Self {
             settings,
             logger,
@@ -58,10 +58,10 @@
             links: Links::default(),
             limit: Mutex::new(limit),
             budget: Mutex::new(budget),
-            memory: Memory::default(),
-            keys,
+            requests: RequestTable::default(),
+            sent_keys,
             bodies: Arc::new(Semaphore::new(BODY_KIB)),
-            counts: Counts::default(),
+            running_counts: RunningCounts::default(),
             stalls: Stalls::default(),
             stop: Stop::default(),
         }
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -106,7 +106,7 @@
         }
         let waited = std::mem::replace(&mut self.waited, true);
         if waited {
-            self.core.memory.wait(self.call.attempt.request);
+            self.core.requests.record_queued(self.call.attempt.request);
         }
         let never = std::future::pending();
         match queueing::wait_for_slot(self.core, &self.call, None, waited, never).await? {
@@ -190,8 +190,8 @@
             refusal.outcome = Outcome::Unknown;
         }
         self.core
-            .memory
-            .settle(self.call.attempt.request, refusal.outcome);
+            .requests
+            .set_outcome(self.call.attempt.request, refusal.outcome);
         metrics::counter!("refused_total", "code" => refusal.code).increment(1);
         self.log(&refusal);
         refusal
--- a/crates/daemon/src/router/handle.rs
+++ b/crates/daemon/src/router/handle.rs
@@ -103,7 +103,7 @@
         let drain = Duration::from_millis(core.settings.drain_ms);
         let began = Instant::now();
         let deadline = began + drain;
-        log!(core.logger, Event::Stopping, "running" => core.counts.total());
+        log!(core.logger, Event::Stopping, "running" => core.running_counts.total());
         stop.refuse.cancel();
         let linger = LINGER.min(drain / LINGER_DIVISOR);
         sleep_until(began + linger).await;
@@ -126,7 +126,7 @@
         let _ = self.links.await;
         self.operators.stop().await;
         core.fleet.stop().await;
-        log!(core.logger, Event::Stopped, "cut" => core.counts.total());
+        log!(core.logger, Event::Stopped, "cut" => core.running_counts.total());
     }
 }
 
@@ -140,6 +140,6 @@
     }
 
     fn keys(&self, server: ServerId, since: Millis) -> (Millis, Vec<KeyId>) {
-        self.0.keys.since(server, since)
+        self.0.sent_keys.for_peer(server, since)
     }
 }
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -104,7 +104,7 @@
 ) -> Result<(), Refusal> {
     let link = link(core, former).ok_or_else(|| doubtful(None))?;
     link.wait_control().await;
-    core.keys.remember(former, key.id, clock::now());
+    core.sent_keys.record(former, key.id, clock::now());
     let withdrawal = link.withdraw(call.attempt, Some(key.id)).await;
     let withdrawal = withdrawal.map_err(|_| doubtful(None))?;
     match withdrawal.outcome {
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -140,7 +140,7 @@
                 name: customer.name.clone(),
                 share: customer.share,
                 waiting: limit.waiting(id),
-                running: self.core.counts.running(id),
+                running: self.core.running_counts.get(id),
                 served,
                 #[expect(clippy::cast_precision_loss, reason = "for people to compare")]
                 weighted: served as f64 / f64::from(customer.share.max(1)),
--- a/crates/daemon/src/router/late.rs
+++ b/crates/daemon/src/router/late.rs
@@ -42,7 +42,10 @@
         };
         match withdrawn {
             Outcome::NotRun => self.not_run(),
-            outcome => self.core.memory.learn(self.attempt, outcome),
+            outcome => self
+                .core
+                .requests
+                .record_late_outcome(self.attempt, outcome),
         }
     }
 
@@ -72,9 +75,9 @@
     }
 
     fn not_run(&self) {
-        self.core.memory.prove(self.attempt.request);
+        self.core.requests.record_not_run(self.attempt.request);
         if let Some(key) = self.key {
-            self.core.keys.forget(self.link.id, key);
+            self.core.sent_keys.remove(self.link.id, key);
         }
     }
 }
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -104,7 +104,7 @@
     /// Sends the sidecar the keys that were sent to it or to an earlier instance.
     async fn recall(&self) -> Result<(), Error> {
         let since = clock::now().saturating_sub(self.core.settings.retention_ms);
-        let (complete, keys) = self.core.keys.recall(self.link.id, since);
+        let (complete, keys) = self.core.sent_keys.for_sidecar(self.link.id, since);
         let context = with_timeout(self.link.heartbeat * SILENT_HEARTBEATS);
         let call = self
             .client
--- a/crates/daemon/src/router/operators.rs
+++ b/crates/daemon/src/router/operators.rs
@@ -81,7 +81,7 @@
                 .iter()
                 .map(|customer| u64::from(customer.waiting))
                 .sum(),
-            running: u64::from(self.core.counts.total()),
+            running: u64::from(self.core.running_counts.total()),
         }
     }
 
--- a/crates/daemon/src/router/outcome.rs
+++ b/crates/daemon/src/router/outcome.rs
@@ -30,7 +30,7 @@
     if attempt.origin != core.origin() {
         return Outcome::Unknown;
     }
-    let Some(record) = core.memory.get(attempt.request) else {
+    let Some(record) = core.requests.get(attempt.request) else {
         return Outcome::Unknown;
     };
     if record.outcome != Outcome::Unknown {
--- a/crates/daemon/src/router/memory.rs
+++ b/crates/daemon/src/router/request_table.rs
@@ -23,13 +23,13 @@
 }
 
 #[derive(Debug, Default)]
-struct Records {
-    /// Sequence number of the first record.
+struct State {
+    /// Sequence number of the oldest record.
     first: u64,
     records: VecDeque<Record>,
 }
 
-impl Records {
+impl State {
     fn get_mut(&mut self, request: u64) -> Option<&mut Record> {
         let index = request.checked_sub(self.first)?;
         self.records.get_mut(usize::try_from(index).ok()?)
@@ -38,32 +38,38 @@
 
 /// Records of the most recent requests by sequence number.
 #[derive(Debug, Default)]
-pub(crate) struct Memory {
-    records: Mutex<Records>,
+pub(crate) struct RequestTable {
+    state: Mutex<State>,
 }
 
-impl Memory {
+impl RequestTable {
     /// Adds a record and returns its sequence number.
-    pub(crate) fn open(&self) -> u64 {
-        let mut records = self.records.lock();
-        if records.records.len() == MAX_RECORDS {
-            records.records.pop_front();
-            records.first += 1;
+    pub(crate) fn insert(&self) -> u64 {
+        let mut state = self.state.lock();
+        if state.records.len() == MAX_RECORDS {
+            state.records.pop_front();
+            state.first += 1;
         }
-        records.records.push_back(Record {
+        state.records.push_back(Record {
             outcome: Outcome::Waiting,
             server: None,
             attempt: 0,
             key: None,
             unresolved: 0,
         });
-        records.first + records.records.len() as u64 - 1
+        state.first + state.records.len() as u64 - 1
     }
 
     /// Records that an attempt is about to be sent. It counts as unresolved until
-    /// [`Memory::prove`].
-    pub(crate) fn send(&self, request: u64, attempt: u8, server: ServerId, key: Option<KeyId>) {
-        if let Some(record) = self.records.lock().get_mut(request) {
+    /// [`RequestTable::record_not_run`].
+    pub(crate) fn record_attempt(
+        &self,
+        request: u64,
+        attempt: u8,
+        server: ServerId,
+        key: Option<KeyId>,
+    ) {
+        if let Some(record) = self.state.lock().get_mut(request) {
             record.outcome = Outcome::Running;
             record.server = Some(server);
             record.attempt = attempt;
@@ -73,8 +79,8 @@
     }
 
     /// Records that one attempt is known not to have run.
-    pub(crate) fn prove(&self, request: u64) {
-        if let Some(record) = self.records.lock().get_mut(request) {
+    pub(crate) fn record_not_run(&self, request: u64) {
+        if let Some(record) = self.state.lock().get_mut(request) {
             record.unresolved = record.unresolved.saturating_sub(1);
             if record.unresolved == 0 && record.outcome == Outcome::Unknown {
                 record.outcome = Outcome::NotRun;
@@ -83,11 +89,11 @@
     }
 
     /// Records the outcome that a sidecar reports for an abandoned attempt.
-    pub(crate) fn learn(&self, attempt: Attempt, outcome: Outcome) {
+    pub(crate) fn record_late_outcome(&self, attempt: Attempt, outcome: Outcome) {
         if !matches!(outcome, Outcome::Ran | Outcome::Cut) {
             return;
         }
-        if let Some(record) = self.records.lock().get_mut(attempt.request)
+        if let Some(record) = self.state.lock().get_mut(attempt.request)
             && record.outcome == Outcome::Unknown
         {
             record.outcome = outcome;
@@ -95,19 +101,19 @@
     }
 
     /// Records that the request is queued again.
-    pub(crate) fn wait(&self, request: u64) {
-        self.settle(request, Outcome::Waiting);
+    pub(crate) fn record_queued(&self, request: u64) {
+        self.set_outcome(request, Outcome::Waiting);
     }
 
     /// Records the outcome reported to the caller.
-    pub(crate) fn settle(&self, request: u64, outcome: Outcome) {
-        if let Some(record) = self.records.lock().get_mut(request) {
+    pub(crate) fn set_outcome(&self, request: u64, outcome: Outcome) {
+        if let Some(record) = self.state.lock().get_mut(request) {
             record.outcome = outcome;
         }
     }
 
     /// Returns the record of a request.
     pub(crate) fn get(&self, request: u64) -> Option<Record> {
-        self.records.lock().get_mut(request).copied()
+        self.state.lock().get_mut(request).copied()
     }
 }
--- a/crates/daemon/src/router/running.rs
+++ b/crates/daemon/src/router/running.rs
@@ -39,13 +39,13 @@
     pub(crate) fn begin(core: &Arc<Core>, link: &Arc<Link>, call: &Call) -> Self {
         let key = call.key.map(|key| key.id);
         let attempt = call.attempt;
-        core.memory
-            .send(attempt.request, attempt.number, link.id, key);
+        core.requests
+            .record_attempt(attempt.request, attempt.number, link.id, key);
         if let Some(key) = key {
-            core.keys.remember(link.id, key, clock::now());
+            core.sent_keys.record(link.id, key, clock::now());
         }
         link.standing.begin();
-        core.counts.begin(call.customer);
+        core.running_counts.increment(call.customer);
         Self {
             core: Arc::clone(core),
             link: Arc::clone(link),
@@ -60,9 +60,9 @@
     /// Records proof that the attempt did not run.
     pub(crate) fn not_run(mut self) {
         self.ended = true;
-        self.core.memory.prove(self.attempt.request);
+        self.core.requests.record_not_run(self.attempt.request);
         if let Some(key) = self.key {
-            self.core.keys.forget(self.link.id, key);
+            self.core.sent_keys.remove(self.link.id, key);
         }
     }
 
@@ -86,7 +86,9 @@
     }
 
     fn answered(&self) {
-        self.core.memory.settle(self.attempt.request, Outcome::Ran);
+        self.core
+            .requests
+            .set_outcome(self.attempt.request, Outcome::Ran);
         metrics::counter!("answers_total").increment(1);
         log!(self.core.logger, Event::Answered,
             "request" => self.attempt.request_id(),
@@ -97,8 +99,8 @@
 
     fn truncated(&self, side: &'static str, cause: &str) {
         self.core
-            .memory
-            .settle(self.attempt.request, Outcome::Unknown);
+            .requests
+            .set_outcome(self.attempt.request, Outcome::Unknown);
         metrics::counter!("answers_cut_total", "side" => side).increment(1);
         log!(self.core.logger, Event::Truncated,
             "request" => self.attempt.request_id(),
@@ -116,6 +118,6 @@
         }
         let queue_is_empty = self.core.queues.get(self.link.pool).is_empty();
         self.link.standing.end(queue_is_empty);
-        self.core.counts.end(self.customer);
+        self.core.running_counts.decrement(self.customer);
     }
 }
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -55,7 +55,7 @@
 async fn run(core: &Arc<Core>, request: Request<Incoming>) -> Response<Answer> {
     let attempt = Attempt {
         origin: core.origin(),
-        request: core.memory.open(),
+        request: core.requests.insert(),
         number: 0,
     };
     metrics::counter!("requests_total").increment(1);
@@ -80,7 +80,7 @@
 
 /// Records a refusal of a request that failed validation.
 fn record_refusal(core: &Core, attempt: Attempt, refusal: Refusal) -> Refusal {
-    core.memory.settle(attempt.request, Outcome::NotRun);
+    core.requests.set_outcome(attempt.request, Outcome::NotRun);
     metrics::counter!("refused_total", "code" => refusal.code).increment(1);
     log!(core.logger, Event::Refused,
         "request" => attempt.request_id(),
