--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -64,7 +64,7 @@
     tokio::select! {
         biased;
         result = &mut pending => read(core, call, running, result),
-        () = link.wait_silent() => {
+        () = link.wait_unresponsive() => {
             running.lose();
             late::watch(core, &link, call, pending);
             Sent::Lost("server is silent".to_owned())
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -74,12 +74,12 @@
 
     /// Gives a reserved slot to the customer's next request; `false` if none is queued.
     pub(crate) fn grant(&self, link: &Arc<Link>, grant: &Grant) -> bool {
-        if link.standing.is_closed() {
+        if link.status.is_excluded() {
             return false;
         }
         let queue = self.queues.get(link.pool);
-        let open = self.links.open(link.pool);
-        while let Some(entry) = queue.pop(grant.customer, link.id, &open) {
+        let eligible = self.links.eligible(link.pool);
+        while let Some(entry) = queue.pop(grant.customer, link.id, &eligible) {
             let now = clock::now();
             self.limit.lock().remove(entry.customer, true, now);
             let wakeup = Wakeup::Granted(Place::granted(link, grant.id));
--- a/crates/daemon/src/router/look.rs
+++ b/crates/daemon/src/router/demand_selector.rs
@@ -8,14 +8,14 @@
 
 /// Inputs that decide which demand is declared to a sidecar.
 #[derive(Debug)]
-pub(crate) struct Look<'a> {
+pub(crate) struct DemandSelector<'a> {
     pub(crate) server: ServerId,
     /// Whether the server should have a free slot.
     pub(crate) has_free: bool,
     /// Whether the server gets no new work.
-    pub(crate) closed: bool,
+    pub(crate) excluded: bool,
     /// Servers of the pool that may get new work.
-    pub(crate) open: Vec<ServerId>,
+    pub(crate) eligible: Vec<ServerId>,
     pub(crate) now: Millis,
     /// Demand declared to the sidecar so far.
     pub(crate) declared: &'a DeclaredDemand,
@@ -23,11 +23,11 @@
     pub(crate) all: bool,
 }
 
-impl Look<'_> {
+impl DemandSelector<'_> {
     /// Returns the demand of a customer to declare to the sidecar.
     pub(crate) fn interest(&self, queue: &Queue<QueuedRequest>, customer: CustomerId) -> Interest {
         let interest = queue.interest(customer, self.server);
-        if !self.closed && self.should_declare(queue, &interest) {
+        if !self.excluded && self.should_declare(queue, &interest) {
             return interest;
         }
         Interest {
@@ -46,7 +46,7 @@
                 interest,
                 queue.salt(customer),
                 self.server,
-                &self.open,
+                &self.eligible,
                 queue.subqueues(),
                 self.now,
             )
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -71,7 +71,7 @@
                 Sent::Answer(response) => return Ok(response),
                 Sent::Verdict(verdict, after) => self.handle_verdict(verdict, after, &link)?,
                 Sent::Unsent(cause) => {
-                    link.standing.exhaust();
+                    link.status.clear_free_slots();
                     self.retry(&cause)?;
                 }
                 Sent::Lost(cause) => self.lost(&cause)?,
@@ -125,7 +125,7 @@
         candidates.retain(|candidate| Some(candidate.server) != self.avoid);
         let server = decide::choose(&candidates, self.call.prefix)?;
         let link = self.core.links.get(server)?;
-        link.standing.take_free().then(|| Place::direct(&link))
+        link.status.take_free_slot().then(|| Place::direct(&link))
     }
 
     fn baseline(&self) -> Option<Place> {
@@ -145,7 +145,7 @@
         match verdict {
             // No retry is charged: the request did no work and is queued again.
             Verdict::Busy | Verdict::Draining => {
-                link.standing.exhaust();
+                link.status.clear_free_slots();
                 Ok(())
             }
             Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
@@ -215,16 +215,17 @@
 }
 
 fn candidates(core: &Core, pool: PoolId) -> Vec<Candidate> {
-    core.links.of(pool, |links| {
-        let open = links.iter().filter(|link| link.standing.is_open());
-        open.map(|link| Candidate {
-            server: link.id,
-            same_zone: link.near,
-            free_slots: link.standing.free(),
-            slots: link.standing.slots(),
-            running: link.standing.running(),
-        })
-        .collect()
+    core.links.with_pool(pool, |links| {
+        let eligible = links.iter().filter(|link| link.status.is_eligible());
+        eligible
+            .map(|link| Candidate {
+                server: link.id,
+                same_zone: link.same_zone,
+                free_slots: link.status.free_slots(),
+                slots: link.status.slots(),
+                running: link.status.running(),
+            })
+            .collect()
     })
 }
 
--- a/crates/daemon/src/router/handle.rs
+++ b/crates/daemon/src/router/handle.rs
@@ -16,7 +16,7 @@
 use super::core::Core;
 use super::error::Error;
 use super::inspect::Inspector;
-use super::{links, operators, outcome};
+use super::{links, operator_api, outcome};
 use crate::fleet::{Fleet, LocalRequests};
 use crate::operator::Api;
 
@@ -57,8 +57,8 @@
             .set_local_requests(Arc::new(OwnRequests(Arc::clone(&core))));
         let port = Port::bind(&core).await?;
         let address = port.address()?;
-        let operators = operators::bind(&core).await?;
-        let links = tokio::spawn(links::keep(Arc::clone(&core)));
+        let operators = operator_api::bind(&core).await?;
+        let links = tokio::spawn(links::run(Arc::clone(&core)));
         let callers = tokio::spawn(port.run());
         log!(core.logger, Event::Ready,
             "role" => "router", "callers" => address.to_string());
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -50,10 +50,10 @@
 /// policy has no queue in the router.
 fn take_free(core: &Core, call: &Call, link: &Link) -> bool {
     if core.settings.policy == Policy::Baseline {
-        return link.standing.is_open();
+        return link.status.is_eligible();
     }
     let queue_is_empty = core.queues.get(call.pool).is_empty();
-    queue_is_empty && link.standing.is_open() && link.standing.take_free()
+    queue_is_empty && link.status.is_eligible() && link.status.take_free_slot()
 }
 
 /// Resolves when the key's home has changed or its sidecar no longer responds.
@@ -66,7 +66,7 @@
     let mut revision = core.fleet.watch();
     loop {
         tokio::select! {
-            () = link.wait_silent() => return Err(home_unresponsive()),
+            () = link.wait_unresponsive() => return Err(home_unresponsive()),
             changed = revision.changed() => if changed.is_err() {
                 return Err(home_unresponsive());
             }
@@ -91,7 +91,7 @@
 fn link(core: &Arc<Core>, server: ServerId) -> Option<Arc<Link>> {
     let view = core.fleet.view();
     let server = view.server(server)?;
-    Some(core.links.require(core, server))
+    Some(core.links.get_or_open(core, server))
 }
 
 /// Prevents the key from starting on a former home. The key is recorded as sent
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -181,18 +181,18 @@
 }
 
 fn server(link: &Link) -> Server {
-    let load = link.standing.load();
+    let load = link.status.load();
     Server {
         name: link.server.name.clone(),
         pool: link.server.pool.clone(),
-        up: link.standing.is_up(),
-        closed: link.standing.is_closed(),
+        up: link.status.is_up(),
+        closed: link.status.is_excluded(),
         draining: load.is_some_and(|load| load.draining),
-        free: link.standing.free(),
-        slots: link.standing.slots(),
-        running: link.standing.running(),
+        free: link.status.free_slots(),
+        slots: link.status.slots(),
+        running: link.status.running(),
         revision: load.map_or(0, |load| load.revision),
         incarnation: load.map(|load| load.incarnation),
-        heard_at: link.standing.heard_at(),
+        heard_at: link.status.last_response_at(),
     }
 }
--- a/crates/daemon/src/router/link.rs
+++ b/crates/daemon/src/router/link.rs
@@ -5,7 +5,7 @@
 mod data;
 mod error;
 mod session;
-mod standing;
+mod status;
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -21,10 +21,10 @@
 use crate::clock;
 use data::Data;
 pub(crate) use error::Error;
-use standing::Standing;
+use status::Status;
 
 /// Missed heartbeats after which a sidecar counts as unresponsive.
-const SILENT_HEARTBEATS: u32 = 3;
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
 /// A sidecar that the router is connected or connecting to.
 #[derive(Debug)]
@@ -33,13 +33,13 @@
     pub(crate) pool: PoolId,
     pub(crate) server: Arc<Server>,
     /// Whether it is in the router's availability zone.
-    pub(crate) near: bool,
-    pub(crate) standing: Standing,
+    pub(crate) same_zone: bool,
+    pub(crate) status: Status,
     pub(crate) data: Data,
     heartbeat: Duration,
     control: ArcSwapOption<SidecarClient>,
-    linked: watch::Sender<bool>,
-    reconsider: Notify,
+    control_connected: watch::Sender<bool>,
+    reevaluate: Notify,
     cancel: CancellationToken,
 }
 
@@ -51,16 +51,16 @@
             id: ServerId::of(&server.name),
             pool: PoolId::of(&server.pool),
             server: Arc::clone(server),
-            near: server.zone == core.settings.zone,
-            standing: Standing::default(),
+            same_zone: server.zone == core.settings.zone,
+            status: Status::default(),
             data: Data::new(server.data, heartbeat),
             heartbeat,
             control: ArcSwapOption::empty(),
-            linked: watch::Sender::new(false),
-            reconsider: Notify::new(),
+            control_connected: watch::Sender::new(false),
+            reevaluate: Notify::new(),
             cancel: CancellationToken::new(),
         });
-        link.standing.start_timeout(clock::now());
+        link.status.start_timeout(clock::now());
         tokio::spawn(session::run(Arc::clone(core), Arc::clone(&link)));
         link
     }
@@ -71,34 +71,34 @@
     }
 
     /// Sets whether the server is closed to new work by configuration or VM list.
-    pub(crate) fn set_closed(&self, closed: bool) {
-        if self.standing.closed.swap(closed, Ordering::Relaxed) != closed {
-            self.reconsider.notify_one();
+    pub(crate) fn set_excluded(&self, excluded: bool) {
+        if self.status.excluded.swap(excluded, Ordering::Relaxed) != excluded {
+            self.reevaluate.notify_one();
         }
     }
 
     /// Waits until the control link is connected or the sidecar is unresponsive.
     pub(crate) async fn wait_control(&self) {
-        let mut linked = self.linked.subscribe();
+        let mut control_connected = self.control_connected.subscribe();
         tokio::select! {
-            _ = linked.wait_for(|linked| *linked) => {}
-            () = self.wait_silent() => {}
+            _ = control_connected.wait_for(|control_connected| *control_connected) => {}
+            () = self.wait_unresponsive() => {}
         }
     }
 
     /// Waits until the sidecar is unresponsive. It may be frozen or partitioned, and
     /// its requests may still be running.
-    pub(crate) async fn wait_silent(&self) {
-        let timeout = self.heartbeat * (SILENT_HEARTBEATS + 1);
+    pub(crate) async fn wait_unresponsive(&self) {
+        let timeout = self.heartbeat * (MAX_MISSED_HEARTBEATS + 1);
         let timeout = u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX);
         loop {
-            let heard_at = self.standing.heard_at();
-            let expires_at = heard_at.saturating_add(timeout);
+            let last_response_at = self.status.last_response_at();
+            let expires_at = last_response_at.saturating_add(timeout);
             tokio::time::sleep_until(clock::instant(expires_at)).await;
             // This process may itself have been suspended: allow time to read
             // responses that have arrived meanwhile.
             tokio::time::sleep(self.heartbeat / 4).await;
-            if self.standing.heard_at() == heard_at {
+            if self.status.last_response_at() == last_response_at {
                 return;
             }
         }
@@ -107,10 +107,10 @@
     fn set_control(&self, client: Option<SidecarClient>) {
         let is_linked = client.is_some();
         self.control.store(client.map(Arc::new));
-        self.linked.send_replace(is_linked);
+        self.control_connected.send_replace(is_linked);
     }
 
     fn set_up(&self, up: bool) {
-        self.standing.up.store(up, Ordering::Relaxed);
+        self.status.up.store(up, Ordering::Relaxed);
     }
 }
--- a/crates/daemon/src/router/link/config_sync.rs
+++ b/crates/daemon/src/router/link/config_sync.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::control::with_timeout;
-use super::{Link, SILENT_HEARTBEATS};
+use super::{Link, MAX_MISSED_HEARTBEATS};
 use crate::router::core::Core;
 
 /// Heartbeats after which unacknowledged configuration is sent again.
@@ -43,8 +43,8 @@
         let mut revision = self.core.fleet.watch();
         loop {
             // While the link is down, the load may be that of an earlier instance.
-            let load = self.link.standing.load();
-            if let Some(load) = load.filter(|_| self.link.standing.is_up()) {
+            let load = self.link.status.load();
+            if let Some(load) = load.filter(|_| self.link.status.is_up()) {
                 self.compare(load);
             }
             tokio::select! {
@@ -100,7 +100,7 @@
         self.sent = Some((current, Instant::now()));
         let changes = self.core.fleet.config().since(since);
         let client = self.client.clone();
-        let limit = self.link.heartbeat * SILENT_HEARTBEATS;
+        let limit = self.link.heartbeat * MAX_MISSED_HEARTBEATS;
         tokio::spawn(async move {
             let _ = client.configure(with_timeout(limit), changes).await;
         });
@@ -109,7 +109,7 @@
     fn fetch(&self, since: Revision) {
         let client = self.client.clone();
         let core = Arc::clone(self.core);
-        let limit = self.link.heartbeat * SILENT_HEARTBEATS;
+        let limit = self.link.heartbeat * MAX_MISSED_HEARTBEATS;
         tokio::spawn(async move {
             // The next load triggers a retry after a failure.
             if let Ok(changes) = client.changes(with_timeout(limit), since).await {
--- a/crates/daemon/src/router/link/control.rs
+++ b/crates/daemon/src/router/link/control.rs
@@ -8,7 +8,7 @@
 use tarpc::client::RpcError;
 use tarpc::context::{self, Context};
 
-use super::{Error, Link, SILENT_HEARTBEATS};
+use super::{Error, Link, MAX_MISSED_HEARTBEATS};
 
 impl Link {
     /// Prevents an attempt from starting if it has not started yet.
@@ -55,7 +55,7 @@
     fn call(&self) -> Result<(SidecarClient, Context), Error> {
         let client = self.control.load();
         let client = client.as_ref().ok_or(Error::Timeout)?;
-        let timeout = self.heartbeat * SILENT_HEARTBEATS;
+        let timeout = self.heartbeat * MAX_MISSED_HEARTBEATS;
         Ok((client.as_ref().clone(), with_timeout(timeout)))
     }
 }
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -15,10 +15,10 @@
 
 use super::config_sync::ConfigSync;
 use super::control::{call_error, with_timeout};
-use super::{Error, Link, SILENT_HEARTBEATS};
+use super::{Error, Link, MAX_MISSED_HEARTBEATS};
 use crate::clock;
 use crate::router::core::Core;
-use crate::router::look::Look;
+use crate::router::demand_selector::DemandSelector;
 
 /// Initial reconnect delay; it doubles up to a heartbeat.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
@@ -41,7 +41,7 @@
             () = link.cancel.cancelled() => break,
             error = Session::run(&core, &link) => error,
         };
-        if link.standing.is_up() {
+        if link.status.is_up() {
             backoff = INITIAL_BACKOFF;
             log!(core.logger, Event::LinkDown,
                 "server" => &link.server.name, "cause" => error.to_string());
@@ -68,7 +68,7 @@
     link: &'a Arc<Link>,
     client: SidecarClient,
     declared: Mutex<DeclaredDemand>,
-    repeat: Notify,
+    redeclare: Notify,
 }
 
 impl<'a> Session<'a> {
@@ -85,7 +85,7 @@
             link,
             client,
             declared: Mutex::default(),
-            repeat: Notify::new(),
+            redeclare: Notify::new(),
         };
         if let Err(error) = session.recall().await {
             return error;
@@ -105,7 +105,7 @@
     async fn recall(&self) -> Result<(), Error> {
         let since = clock::now().saturating_sub(self.core.settings.retention_ms);
         let (complete, keys) = self.core.sent_keys.for_sidecar(self.link.id, since);
-        let context = with_timeout(self.link.heartbeat * SILENT_HEARTBEATS);
+        let context = with_timeout(self.link.heartbeat * MAX_MISSED_HEARTBEATS);
         let call = self
             .client
             .recall(context, self.core.origin(), complete, keys);
@@ -116,7 +116,7 @@
     async fn declare(&self) -> Result<Infallible, Error> {
         let queue = self.core.queues.get(self.link.pool);
         let mut changed = queue.subscribe();
-        let mut seen = 0;
+        let mut last_seen = 0;
         let mut full = true;
         let mut all = true;
         loop {
@@ -126,7 +126,8 @@
                 if full {
                     declared.clear();
                 }
-                let interest = queue.interest(&mut seen, &self.look(&declared, all));
+                let interest =
+                    queue.interest(&mut last_seen, &self.demand_selector(&declared, all));
                 declared.update(interest)
             };
             if full || !updates.is_empty() {
@@ -141,8 +142,8 @@
             }
             (full, all) = tokio::select! {
                 _ = changed.changed() => (false, false),
-                () = self.link.reconsider.notified() => (false, true),
-                () = self.repeat.notified() => (true, true),
+                () = self.link.reevaluate.notified() => (false, true),
+                () = self.redeclare.notified() => (true, true),
             };
         }
     }
@@ -159,18 +160,18 @@
         if *idle == IDLE_POLLS {
             *idle = 0;
             metrics::counter!("declarations_repeated_total").increment(1);
-            self.repeat.notify_one();
+            self.redeclare.notify_one();
         }
     }
 
     /// Collects the inputs for the next declaration.
-    fn look<'t>(&self, declared: &'t DeclaredDemand, all: bool) -> Look<'t> {
-        let standing = &self.link.standing;
-        Look {
+    fn demand_selector<'t>(&self, declared: &'t DeclaredDemand, all: bool) -> DemandSelector<'t> {
+        let status = &self.link.status;
+        DemandSelector {
             server: self.link.id,
-            has_free: standing.free() > 0,
-            closed: standing.is_closed(),
-            open: self.core.links.open(self.link.pool),
+            has_free: status.free_slots() > 0,
+            excluded: status.is_excluded(),
+            eligible: self.core.links.eligible(self.link.pool),
             now: clock::now(),
             declared,
             all,
@@ -214,14 +215,14 @@
 
     /// Polls the sidecar and marks the link as down if it does not respond in time.
     async fn call_poll(&self, poll: &Poll) -> Result<PollResponse, Error> {
-        let limit = self.link.heartbeat * (SILENT_HEARTBEATS + 1);
+        let limit = self.link.heartbeat * (MAX_MISSED_HEARTBEATS + 1);
         metrics::counter!("polls_total").increment(1);
         let call = self.client.poll(with_timeout(POLL_LIMIT), poll.clone());
         let mut call = std::pin::pin!(call);
         if let Ok(polled) = timeout(limit, &mut call).await {
             return polled.map_err(call_error);
         }
-        if self.link.standing.is_up() {
+        if self.link.status.is_up() {
             log!(self.core.logger, Event::LinkDown,
                 "server" => &self.link.server.name, "cause" => "silent");
         }
@@ -231,12 +232,12 @@
     }
 
     fn receive(&self, load: Load) {
-        self.link.standing.receive(load, clock::now());
+        self.link.status.receive(load, clock::now());
         if load.free > 0 {
             // All demand is declared to a server with a free slot.
-            self.link.reconsider.notify_one();
+            self.link.reevaluate.notify_one();
         }
-        if !self.link.standing.is_up() {
+        if !self.link.status.is_up() {
             self.link.set_up(true);
             log!(self.core.logger, Event::LinkUp,
                 "server" => &self.link.server.name,
--- a/crates/daemon/src/router/link/standing.rs
+++ b/crates/daemon/src/router/link/status.rs
@@ -7,29 +7,29 @@
 
 /// Availability and load of a server.
 #[derive(Debug, Default)]
-pub(crate) struct Standing {
+pub(crate) struct Status {
     /// Whether the control link has received a load and is responsive.
     pub(super) up: AtomicBool,
     /// Whether configuration or VM list close the server to new work.
-    pub(super) closed: AtomicBool,
-    free: AtomicU32,
+    pub(super) excluded: AtomicBool,
+    free_slots: AtomicU32,
     slots: AtomicU32,
     running: AtomicU32,
-    heard_at: AtomicU64,
+    last_response_at: AtomicU64,
     load: Mutex<Option<Load>>,
 }
 
-impl Standing {
+impl Status {
     /// Starts the response timeout.
     pub(super) fn start_timeout(&self, now: Millis) {
-        self.heard_at.store(now, Ordering::Relaxed);
+        self.last_response_at.store(now, Ordering::Relaxed);
     }
 
     /// Updates the state from a load that the sidecar reported.
     pub(super) fn receive(&self, load: Load, now: Millis) {
-        self.free.store(load.free, Ordering::Relaxed);
+        self.free_slots.store(load.free, Ordering::Relaxed);
         self.slots.store(load.slots, Ordering::Relaxed);
-        self.heard_at.store(now, Ordering::Relaxed);
+        self.last_response_at.store(now, Ordering::Relaxed);
         *self.load.lock() = Some(load);
     }
 
@@ -39,15 +39,15 @@
     }
 
     /// When the sidecar last responded.
-    pub(crate) fn heard_at(&self) -> Millis {
-        self.heard_at.load(Ordering::Relaxed)
+    pub(crate) fn last_response_at(&self) -> Millis {
+        self.last_response_at.load(Ordering::Relaxed)
     }
 
     /// Whether the server may get new work.
-    pub(crate) fn is_open(&self) -> bool {
-        let closed = self.closed.load(Ordering::Relaxed);
+    pub(crate) fn is_eligible(&self) -> bool {
+        let excluded = self.excluded.load(Ordering::Relaxed);
         let draining = self.load().is_some_and(|load| load.draining);
-        self.is_up() && !closed && !draining
+        self.is_up() && !excluded && !draining
     }
 
     /// Whether the control link is up.
@@ -56,13 +56,13 @@
     }
 
     /// Whether configuration or VM list close the server to new work.
-    pub(crate) fn is_closed(&self) -> bool {
-        self.closed.load(Ordering::Relaxed)
+    pub(crate) fn is_excluded(&self) -> bool {
+        self.excluded.load(Ordering::Relaxed)
     }
 
     /// Estimated number of free slots.
-    pub(crate) fn free(&self) -> u32 {
-        self.free.load(Ordering::Relaxed)
+    pub(crate) fn free_slots(&self) -> u32 {
+        self.free_slots.load(Ordering::Relaxed)
     }
 
     /// Total number of slots.
@@ -76,26 +76,26 @@
     }
 
     /// Decrements the estimate of free slots; returns `false` if it is zero.
-    pub(crate) fn take_free(&self) -> bool {
+    pub(crate) fn take_free_slot(&self) -> bool {
         let take = |free: u32| free.checked_sub(1);
-        self.free
+        self.free_slots
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
             .is_ok()
     }
 
     /// Sets the estimate of free slots to zero.
-    pub(crate) fn exhaust(&self) {
-        self.free.store(0, Ordering::Relaxed);
+    pub(crate) fn clear_free_slots(&self) {
+        self.free_slots.store(0, Ordering::Relaxed);
     }
 
     /// Counts a request sent to the server.
-    pub(crate) fn begin(&self) {
+    pub(crate) fn request_started(&self) {
         self.running.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a request that has ended on the server. Its slot counts as free if no
     /// request is queued.
-    pub(crate) fn end(&self, queue_is_empty: bool) {
+    pub(crate) fn request_ended(&self, queue_is_empty: bool) {
         self.running.fetch_sub(1, Ordering::Relaxed);
         if !queue_is_empty {
             return;
@@ -104,7 +104,7 @@
         let release = |free: u32| (free < slots).then_some(free + 1);
         // The estimate never exceeds the number of slots.
         let _ = self
-            .free
+            .free_slots
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, release);
     }
 }
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -1,6 +1,6 @@
 //! The sidecars that the router is connected to.
 
-mod choice;
+mod selection;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::core::Core;
 use super::link::Link;
 use crate::clock;
-use choice::Choice;
+use selection::Selection;
 
 /// Interval at which links and queues are updated if configuration has not changed.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     table: ArcSwap<Table>,
-    choice: Mutex<Choice>,
+    selection: Mutex<Selection>,
 }
 
 impl Links {
@@ -40,16 +40,16 @@
     }
 
     /// Calls `read` with the links of a pool.
-    pub(crate) fn of<T>(&self, pool: PoolId, read: impl FnOnce(&[Arc<Link>]) -> T) -> T {
+    pub(crate) fn with_pool<T>(&self, pool: PoolId, read: impl FnOnce(&[Arc<Link>]) -> T) -> T {
         let table = self.table.load();
         read(table.by_pool.get(&pool).map_or(&[], Vec::as_slice))
     }
 
     /// Returns the servers of a pool that may get new work.
-    pub(crate) fn open(&self, pool: PoolId) -> Vec<ServerId> {
-        self.of(pool, |links| {
-            let open = links.iter().filter(|link| link.standing.is_open());
-            open.map(|link| link.id).collect()
+    pub(crate) fn eligible(&self, pool: PoolId) -> Vec<ServerId> {
+        self.with_pool(pool, |links| {
+            let eligible = links.iter().filter(|link| link.status.is_eligible());
+            eligible.map(|link| link.id).collect()
         })
     }
 
@@ -58,10 +58,10 @@
     }
 
     /// Returns the link to a server, opening it if necessary, and marks it as used.
-    pub(crate) fn require(&self, core: &Arc<Core>, server: &Arc<Server>) -> Arc<Link> {
+    pub(crate) fn get_or_open(&self, core: &Arc<Core>, server: &Arc<Server>) -> Arc<Link> {
         let id = ServerId::of(&server.name);
-        let mut choice = self.choice.lock();
-        choice.require(id, clock::now());
+        let mut selection = self.selection.lock();
+        selection.record_use(id, clock::now());
         if let Some(link) = self.get(id) {
             return link;
         }
@@ -75,27 +75,29 @@
     /// Opens and closes links according to configuration, VM list and queued requests.
     fn reconcile(&self, core: &Arc<Core>) {
         let view = core.fleet.view();
-        let mut choice = self.choice.lock();
-        choice.refresh(core, clock::now());
+        let mut selection = self.selection.lock();
+        selection.refresh(core, clock::now());
         let (kept, dropped): (Vec<_>, Vec<_>) = self
             .all()
             .into_iter()
-            .partition(|link| is_kept(&view, &choice, link));
+            .partition(|link| should_keep(&view, &selection, link));
         for link in dropped {
             link.stop();
         }
         let mut links = kept;
         let linked: HashSet<ServerId> = links.iter().map(|link| link.id).collect();
-        let missing = choice.wanted().filter(|server| !linked.contains(server));
+        let missing = selection
+            .servers()
+            .filter(|server| !linked.contains(server));
         let missing = missing.filter_map(|server| view.server(server));
         links.extend(missing.map(|server| Link::spawn(core, server)));
         for link in &links {
             let state = view.server(link.id).map(|server| server.state);
             let active = state == Some(State::Active);
-            link.set_closed(!active || core.fleet.is_leaving(&link.server.name));
+            link.set_excluded(!active || core.fleet.is_leaving(&link.server.name));
         }
         self.publish(links);
-        core.fleet.set_idle(choice::idle_servers(core));
+        core.fleet.set_idle(selection::idle_servers(core));
     }
 
     fn publish(&self, links: Vec<Arc<Link>>) {
@@ -111,23 +113,23 @@
 
 /// Whether to keep a link: while it is wanted or requests run on it. The link to a
 /// removed server is also kept until its sidecar has received the current revision.
-fn is_kept(view: &View, choice: &Choice, link: &Link) -> bool {
+fn should_keep(view: &View, selection: &Selection, link: &Link) -> bool {
     let server = view.server(link.id);
     if server.is_some_and(|server| address_changed(server, link)) {
         return false;
     }
     let state = server.map(|server| server.state);
     let wanted = match state {
-        Some(State::Active) => choice.wants(link.id),
+        Some(State::Active) => selection.contains(link.id),
         Some(State::Draining) => true,
-        Some(State::Removed) | None => choice.wants(link.id) || is_behind(view, link),
+        Some(State::Removed) | None => selection.contains(link.id) || is_behind(view, link),
     };
-    wanted || link.standing.running() > 0
+    wanted || link.status.running() > 0
 }
 
 fn is_behind(view: &View, link: &Link) -> bool {
-    let load = link.standing.load();
-    link.standing.is_up() && load.is_some_and(|load| load.revision < view.revision())
+    let load = link.status.load();
+    link.status.is_up() && load.is_some_and(|load| load.revision < view.revision())
 }
 
 fn address_changed(server: &Server, link: &Link) -> bool {
@@ -135,7 +137,7 @@
 }
 
 /// Updates links and queues when configuration or VM list change, and periodically.
-pub(crate) async fn keep(core: Arc<Core>) {
+pub(crate) async fn run(core: Arc<Core>) {
     let mut revision = core.fleet.watch();
     let mut before = clock::now();
     loop {
--- a/crates/daemon/src/router/links/choice.rs
+++ b/crates/daemon/src/router/links/selection.rs
@@ -9,7 +9,7 @@
 use crate::router::core::Core;
 
 /// Idle timeout of a link outside the router's subset, in milliseconds.
-const EXTRA_IDLE_MS: Millis = 60_000;
+const ADDITIONAL_IDLE_MS: Millis = 60_000;
 
 /// Interval at which the subset is recomputed even if configuration is unchanged,
 /// because the set of routers may have changed, in milliseconds.
@@ -20,10 +20,10 @@
 
 /// Time that requests wait without a free slot before the router connects to peers'
 /// idle servers, in milliseconds.
-const WIDEN_MS: Millis = 500;
+const EXTEND_AFTER_MS: Millis = 500;
 
 /// Maximum number of peers' idle servers to connect to at a time.
-const MAX_WIDEN: usize = 4;
+const MAX_PEER_IDLE: usize = 4;
 
 /// Number of routers that keep a link to a draining server.
 const DRAINING_LINKS: usize = 2;
@@ -33,72 +33,72 @@
 
 /// The router's subset of servers, and servers linked in addition.
 #[derive(Debug, Default)]
-pub(super) struct Choice {
+pub(super) struct Selection {
     subset: HashSet<ServerId>,
     revision: Revision,
-    chosen_at: Millis,
+    refreshed_at: Millis,
     /// Servers linked in addition to the subset, with their time of last use.
-    extra: HashMap<ServerId, Millis>,
+    additional: HashMap<ServerId, Millis>,
     /// Since when requests of a pool have waited without a free slot.
     starved_since: HashMap<PoolId, Millis>,
 }
 
-impl Choice {
+impl Selection {
     /// Whether a link to the server is wanted.
-    pub(super) fn wants(&self, server: ServerId) -> bool {
-        self.subset.contains(&server) || self.extra.contains_key(&server)
+    pub(super) fn contains(&self, server: ServerId) -> bool {
+        self.subset.contains(&server) || self.additional.contains_key(&server)
     }
 
     /// Returns the servers to which links are wanted.
-    pub(super) fn wanted(&self) -> impl Iterator<Item = ServerId> {
-        self.subset.iter().chain(self.extra.keys()).copied()
+    pub(super) fn servers(&self) -> impl Iterator<Item = ServerId> {
+        self.subset.iter().chain(self.additional.keys()).copied()
     }
 
     /// Records the use of a server, which keeps its link open outside the subset.
-    pub(super) fn require(&mut self, server: ServerId, now: Millis) {
-        self.extra.insert(server, now);
+    pub(super) fn record_use(&mut self, server: ServerId, now: Millis) {
+        self.additional.insert(server, now);
     }
 
     /// Recomputes the subset if it is outdated, and expires additional links.
     pub(super) fn refresh(&mut self, core: &Core, now: Millis) {
         let view = core.fleet.view();
-        let age = now.saturating_sub(self.chosen_at);
+        let age = now.saturating_sub(self.refreshed_at);
         let changed = view.revision() != self.revision && age >= MIN_REFRESH_MS;
         if changed || age >= REFRESH_MS {
             let pools = view.pools().map(|pool| PoolId::of(&pool.name));
             self.subset = pools.flat_map(|pool| subset(core, &view, pool)).collect();
             self.revision = view.revision();
-            self.chosen_at = now;
+            self.refreshed_at = now;
         }
         for link in core.links.all() {
-            if link.standing.running() > 0
-                && let Some(used_at) = self.extra.get_mut(&link.id)
+            if link.status.running() > 0
+                && let Some(used_at) = self.additional.get_mut(&link.id)
             {
                 *used_at = now;
             }
         }
-        self.extra
-            .retain(|_, used_at| now.saturating_sub(*used_at) < EXTRA_IDLE_MS);
+        self.additional
+            .retain(|_, used_at| now.saturating_sub(*used_at) < ADDITIONAL_IDLE_MS);
         for queue in core.queues.all() {
-            self.widen(core, queue.pool, now);
+            self.extend(core, queue.pool, now);
         }
     }
 
-    /// Adds idle servers of peers if requests have waited for [`WIDEN_MS`].
-    fn widen(&mut self, core: &Core, pool: PoolId, now: Millis) {
-        if core.queues.get(pool).is_empty() || has_free(core, pool) {
+    /// Adds idle servers of peers if requests have waited for [`EXTEND_AFTER_MS`].
+    fn extend(&mut self, core: &Core, pool: PoolId, now: Millis) {
+        if core.queues.get(pool).is_empty() || has_free_slot(core, pool) {
             self.starved_since.remove(&pool);
             return;
         }
         let since = *self.starved_since.entry(pool).or_insert(now);
-        if now.saturating_sub(since) < WIDEN_MS {
+        if now.saturating_sub(since) < EXTEND_AFTER_MS {
             return;
         }
-        let linked = core.links.of(pool, |links| {
+        let linked = core.links.with_pool(pool, |links| {
             links.iter().map(|link| link.id).collect::<Vec<_>>()
         });
-        for server in core.fleet.widen(pool, &linked, MAX_WIDEN) {
-            self.require(server, now);
+        for server in core.fleet.widen(pool, &linked, MAX_PEER_IDLE) {
+            self.record_use(server, now);
         }
     }
 }
@@ -111,13 +111,13 @@
     let draining = servers
         .iter()
         .filter(|server| server.state == State::Draining);
-    let linked = draining.filter(|server| all || keeps_draining_link(core, server));
+    let linked = draining.filter(|server| all || should_link_draining(core, server));
     let mut subset = core.fleet.subset(pool);
     subset.extend(linked.map(|server| ServerId::of(&server.name)));
     subset
 }
 
-fn keeps_draining_link(core: &Core, server: &Server) -> bool {
+fn should_link_draining(core: &Core, server: &Server) -> bool {
     let seed = u64::from(ServerId::of(&server.name).0);
     let weight = |router: &str| xxh3_64_with_seed(router.as_bytes(), seed);
     let own = weight(&core.settings.name);
@@ -126,10 +126,10 @@
     before.count() < DRAINING_LINKS
 }
 
-fn has_free(core: &Core, pool: PoolId) -> bool {
-    core.links.of(pool, |links| {
+fn has_free_slot(core: &Core, pool: PoolId) -> bool {
+    core.links.with_pool(pool, |links| {
         let mut links = links.iter();
-        links.any(|link| link.standing.is_open() && link.standing.free() > 0)
+        links.any(|link| link.status.is_eligible() && link.status.free_slots() > 0)
     })
 }
 
@@ -137,8 +137,8 @@
 pub(super) fn idle_servers(core: &Core) -> Vec<ServerId> {
     let links = core.links.all().into_iter();
     let mut idle: Vec<(u32, ServerId)> = links
-        .filter(|link| link.standing.is_open() && core.queues.get(link.pool).is_empty())
-        .map(|link| (link.standing.free(), link.id))
+        .filter(|link| link.status.is_eligible() && core.queues.get(link.pool).is_empty())
+        .map(|link| (link.status.free_slots(), link.id))
         .filter(|(free, _)| *free > 0)
         .collect();
     idle.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/daemon/src/router/pool_queue.rs
+++ b/crates/daemon/src/router/pool_queue.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use super::look::Look;
+use super::demand_selector::DemandSelector;
 use super::queued_request::QueuedRequest;
 
 #[derive(Debug, Default)]
@@ -63,17 +63,17 @@
         Some(entry)
     }
 
-    /// Removes the customer's next request for `server`, given the pool's open servers.
+    /// Removes the customer's next request for `server`, given the pool's eligible servers.
     pub(crate) fn pop(
         &self,
         customer: CustomerId,
         server: ServerId,
-        open: &[ServerId],
+        eligible: &[ServerId],
     ) -> Option<Entry<QueuedRequest>> {
         let prefers_server = |request: &QueuedRequest| {
             let preferred = request
                 .prefix
-                .and_then(|prefix| prefix.preferred_server(open.iter().copied()));
+                .and_then(|prefix| prefix.preferred_server(eligible.iter().copied()));
             preferred == Some(server)
         };
         let mut state = self.state.lock();
@@ -105,13 +105,17 @@
     }
 
     /// Returns the demand to declare to a sidecar: of every customer, or of those
-    /// changed since `seen`. Sets `seen` to the latest change.
-    pub(crate) fn interest(&self, seen: &mut u64, look: &Look<'_>) -> Vec<Interest> {
+    /// changed since `last_seen`. Sets `last_seen` to the latest change.
+    pub(crate) fn interest(
+        &self,
+        last_seen: &mut u64,
+        selector: &DemandSelector<'_>,
+    ) -> Vec<Interest> {
         let state = self.state.lock();
-        let since = std::mem::replace(seen, state.changes.latest());
-        let mut customers: Vec<CustomerId> = if look.all {
+        let since = std::mem::replace(last_seen, state.changes.latest());
+        let mut customers: Vec<CustomerId> = if selector.all {
             let waiting = state.queue.customers();
-            waiting.chain(look.declared.customers()).collect()
+            waiting.chain(selector.declared.customers()).collect()
         } else {
             state.changes.since(since).collect()
         };
@@ -119,7 +123,7 @@
         customers.dedup();
         let interest = customers.into_iter();
         interest
-            .map(|customer| look.interest(&state.queue, customer))
+            .map(|customer| selector.interest(&state.queue, customer))
             .collect()
     }
 
--- a/crates/daemon/src/router/running.rs
+++ b/crates/daemon/src/router/running.rs
@@ -44,7 +44,7 @@
         if let Some(key) = key {
             core.sent_keys.record(link.id, key, clock::now());
         }
-        link.standing.begin();
+        link.status.request_started();
         core.running_counts.increment(call.customer);
         Self {
             core: Arc::clone(core),
@@ -117,7 +117,7 @@
             self.end(&End::Disconnected);
         }
         let queue_is_empty = self.core.queues.get(self.link.pool).is_empty();
-        self.link.standing.end(queue_is_empty);
+        self.link.status.request_ended(queue_is_empty);
         self.core.running_counts.decrement(self.customer);
     }
 }
