--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -12,7 +12,7 @@
 
 /// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// Its request id.
     pub request: String,
     /// Name of its customer.
@@ -99,7 +99,7 @@
 
     /// Every request queued here.
     #[must_use]
-    pub fn waiting(&self) -> Vec<Waiting> {
+    pub fn waiting(&self) -> Vec<WaitingRequest> {
         let mut all = Vec::new();
         for pool_queue in self.core.queues.all() {
             pool_queue.read(|queue| {
@@ -107,7 +107,7 @@
                     let pinned = waiting.pinned_server;
                     let server = pinned.and_then(|server| self.core.links.get(server));
                     let server = server.map(|link| link.server.name.clone());
-                    all.push(Waiting {
+                    all.push(WaitingRequest {
                         request: waiting.payload.attempt.request_id(),
                         customer: self.customer_name(waiting.customer),
                         pool: self.pool_name(pool_queue.pool),
--- a/crates/daemon/src/router/link.rs
+++ b/crates/daemon/src/router/link.rs
@@ -2,7 +2,7 @@
 
 mod config_sync;
 mod control;
-mod data;
+mod data_connection;
 mod error;
 mod session;
 mod status;
@@ -19,7 +19,7 @@
 
 use super::core::Core;
 use crate::clock;
-use data::Data;
+use data_connection::DataConnection;
 pub(crate) use error::Error;
 use status::Status;
 
@@ -35,7 +35,7 @@
     /// Whether it is in the router's availability zone.
     pub(crate) same_zone: bool,
     pub(crate) status: Status,
-    pub(crate) data: Data,
+    pub(crate) data: DataConnection,
     heartbeat: Duration,
     control: ArcSwapOption<SidecarClient>,
     control_connected: watch::Sender<bool>,
@@ -53,7 +53,7 @@
             server: Arc::clone(server),
             same_zone: server.zone == core.settings.zone,
             status: Status::default(),
-            data: Data::new(server.data, heartbeat),
+            data: DataConnection::new(server.data, heartbeat),
             heartbeat,
             control: ArcSwapOption::empty(),
             control_connected: watch::Sender::new(false),
--- a/crates/daemon/src/router/link/data.rs
+++ b/crates/daemon/src/router/link/data_connection.rs
@@ -31,14 +31,14 @@
 
 /// An HTTP/2 connection that is re-established when it is lost.
 #[derive(Debug)]
-pub(crate) struct Data {
+pub(crate) struct DataConnection {
     address: SocketAddr,
     heartbeat: Duration,
     sender: ArcSwapOption<Sender>,
     connecting: Mutex<()>,
 }
 
-impl Data {
+impl DataConnection {
     pub(super) fn new(address: SocketAddr, heartbeat: Duration) -> Self {
         Self {
             address,
--- a/crates/daemon/src/router/operator_api/waiting.rs
+++ b/crates/daemon/src/router/operator_api/waiting.rs
@@ -16,7 +16,7 @@
     let requests = inspect.waiting();
     let servers = inspect.servers();
     let counters = counters(&inspect.customers(), &requests);
-    let mut matching: Vec<&inspect::Waiting> = requests
+    let mut matching: Vec<&inspect::WaitingRequest> = requests
         .iter()
         .filter(|request| matches_query(request, query, &servers))
         .collect();
@@ -41,7 +41,11 @@
     }
 }
 
-fn matches_query(request: &inspect::Waiting, query: &command::Waiting, servers: &[Server]) -> bool {
+fn matches_query(
+    request: &inspect::WaitingRequest,
+    query: &command::Waiting,
+    servers: &[Server],
+) -> bool {
     let customer = query.customer.as_ref();
     let id = query.request.as_ref();
     let of_customer = customer.is_none_or(|name| *name == request.customer);
@@ -56,7 +60,7 @@
 }
 
 /// Returns the customers with waiting requests in the order of service.
-fn counters(customers: &[Customer], requests: &[inspect::Waiting]) -> Vec<Counter> {
+fn counters(customers: &[Customer], requests: &[inspect::WaitingRequest]) -> Vec<Counter> {
     let mut waiting: BTreeMap<&str, ([u64; 3], u64)> = BTreeMap::new();
     for request in requests {
         let (classes, since) = waiting
@@ -85,7 +89,7 @@
 fn contenders<'a>(
     pool: &str,
     counters: &'a [Counter],
-    requests: &[inspect::Waiting],
+    requests: &[inspect::WaitingRequest],
 ) -> Vec<&'a str> {
     let names = counters.iter().map(|counter| counter.customer.as_str());
     let waits = |name: &&str| {
@@ -95,7 +99,7 @@
     names.filter(waits).collect()
 }
 
-fn waiter(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> Waiter {
+fn waiter(request: &inspect::WaitingRequest, contenders: &[&str], servers: &[Server]) -> Waiter {
     Waiter {
         request: request.request.clone(),
         customer: request.customer.clone(),
@@ -108,7 +112,7 @@
     }
 }
 
-fn reason(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> String {
+fn reason(request: &inspect::WaitingRequest, contenders: &[&str], servers: &[Server]) -> String {
     let pool = servers.iter().filter(|server| server.pool == request.pool);
     let pool: Vec<&Server> = pool.collect();
     if let Some(home) = &request.server {
@@ -143,7 +147,7 @@
 }
 
 /// Describes which requests and customers come before the request.
-fn queue_position(request: &inspect::Waiting, contenders: &[&str]) -> String {
+fn queue_position(request: &inspect::WaitingRequest, contenders: &[&str]) -> String {
     let first = match request.position {
         0 => "it is its customer's next".to_owned(),
         count => format!("{count} of its customer's are before it"),
