--- a/crates/daemon/tests/router/fake.rs
+++ b/crates/daemon/tests/router/fake_sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar that does as it is told.
+//! A fake sidecar whose responses are set by the test.
 
 mod control;
 mod data;
@@ -18,30 +18,30 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-/// What to do with a request.
+/// How the data port handles a request.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
-    /// Answers 200 with a text.
-    Answer(&'static str),
-    /// Sends a text with its length told, and ends only once it is released.
-    Told(&'static str),
-    /// Sends a text, and breaks off once it is released.
-    Break(&'static str),
-    /// Turns it away.
+pub(crate) enum Behavior {
+    /// Responds 200 with a text.
+    Respond(&'static str),
+    /// Sends a text with its `Content-Length`; ends the stream on release.
+    HoldEnd(&'static str),
+    /// Sends a text; aborts the stream on release.
+    Abort(&'static str),
+    /// Rejects the request with a verdict.
     Verdict(Verdict),
-    /// Names a length and sends a text, but does not end the stream.
-    Sized(u64, &'static str),
-    /// Answers with a text once it is released.
-    Hold(&'static str),
-    /// Sends a text again and again.
+    /// Sends a `Content-Length` and a text; aborts the stream on release.
+    AbortWithLength(u64, &'static str),
+    /// Responds 200 with a text on release.
+    Delay(&'static str),
+    /// Sends data until the stream is cancelled.
     Endless,
-    /// Never answers.
-    Silence,
+    /// Never responds.
+    NoResponse,
 }
 
-/// A request that came.
+/// A request received on the data port.
 #[derive(Clone, Debug)]
-pub(crate) struct Arrival {
+pub(crate) struct ReceivedRequest {
     pub(crate) ticket: Ticket,
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
@@ -52,10 +52,10 @@
 struct Shared {
     incarnation: Incarnation,
     id: ServerId,
-    acts: Mutex<VecDeque<Act>>,
+    behaviors: Mutex<VecDeque<Behavior>>,
     free: Mutex<u32>,
-    arrivals: mpsc::UnboundedSender<Arrival>,
-    interest: watch::Sender<BTreeMap<CustomerId, Interest>>,
+    received: mpsc::UnboundedSender<ReceivedRequest>,
+    declared: watch::Sender<BTreeMap<CustomerId, Interest>>,
     grants: Mutex<Vec<Grant>>,
     granted: Notify,
     declined: watch::Sender<Vec<u64>>,
@@ -64,21 +64,21 @@
     recalled: watch::Sender<Vec<KeyId>>,
     frozen: watch::Sender<bool>,
     released: Notify,
-    abandoned: Notify,
+    cancelled: Notify,
     revision: Mutex<Revision>,
 }
 
-/// A running fake.
-pub(crate) struct Fake {
+/// A running fake sidecar.
+pub(crate) struct FakeSidecar {
     pub(crate) server: Server,
     shared: Arc<Shared>,
-    arrivals: mpsc::UnboundedReceiver<Arrival>,
+    received: mpsc::UnboundedReceiver<ReceivedRequest>,
     cancel: CancellationToken,
     data_cancel: CancellationToken,
 }
 
-impl Fake {
-    /// Starts a sidecar of a pool with some free slots.
+impl FakeSidecar {
+    /// Starts a sidecar that reports `free` free slots.
     pub(crate) async fn bind(name: &str, pool: &str, free: u32) -> Self {
         let loopback = "127.0.0.1:0".parse().unwrap();
         let control_port = Listener::bind(loopback, Arc::default()).await.unwrap();
@@ -95,14 +95,14 @@
             added_at: 0,
             changed_at: 0,
         };
-        let (sender, arrivals) = mpsc::unbounded_channel();
+        let (sender, received) = mpsc::unbounded_channel();
         let shared = Arc::new(Shared {
             incarnation: Incarnation(rand::random()),
             id: ServerId::of(name),
-            acts: Mutex::default(),
+            behaviors: Mutex::default(),
             free: Mutex::new(free),
-            arrivals: sender,
-            interest: watch::Sender::default(),
+            received: sender,
+            declared: watch::Sender::default(),
             grants: Mutex::default(),
             granted: Notify::new(),
             declined: watch::Sender::default(),
@@ -114,7 +114,7 @@
             recalled: watch::Sender::default(),
             frozen: watch::Sender::new(false),
             released: Notify::new(),
-            abandoned: Notify::new(),
+            cancelled: Notify::new(),
             revision: Mutex::default(),
         });
         let cancel = CancellationToken::new();
@@ -126,42 +126,44 @@
         Self {
             server,
             shared,
-            arrivals,
+            received,
             cancel,
             data_cancel,
         }
     }
 
-    /// Does this with the next request; afterwards answers "ok".
-    pub(crate) fn then(&self, act: Act) -> &Self {
-        self.shared.acts.lock().push_back(act);
+    /// Appends a behavior for one request. Requests beyond those get the text "ok".
+    pub(crate) fn on_next_request(&self, behavior: Behavior) -> &Self {
+        self.shared.behaviors.lock().push_back(behavior);
         self
     }
 
-    /// The next request that comes.
-    pub(crate) async fn arrival(&mut self) -> Arrival {
-        self.arrivals.recv().await.unwrap()
+    /// Waits for the next request.
+    pub(crate) async fn next_request(&mut self) -> ReceivedRequest {
+        self.received.recv().await.unwrap()
     }
 
-    /// Requests that came and were not asked for.
-    pub(crate) fn unread(&mut self) -> usize {
-        std::iter::from_fn(|| self.arrivals.try_recv().ok()).count()
+    /// Discards the received requests and returns their number.
+    pub(crate) fn drain_requests(&mut self) -> usize {
+        std::iter::from_fn(|| self.received.try_recv().ok()).count()
     }
 
-    /// Waits until so much of a customer is declared.
-    pub(crate) async fn declared(&self, customer: CustomerId, waiting: [u16; 3]) {
-        let mut interest = self.shared.interest.subscribe();
-        let held = |interest: &BTreeMap<CustomerId, Interest>| {
-            interest.get(&customer).map_or([0; 3], |held| held.waiting) == waiting
+    /// Waits until the customer's declared demand, by class, is `waiting`.
+    pub(crate) async fn wait_declared(&self, customer: CustomerId, waiting: [u16; 3]) {
+        let mut declared = self.shared.declared.subscribe();
+        let is_declared = |declared: &BTreeMap<CustomerId, Interest>| {
+            let interest = declared.get(&customer);
+            interest.map_or([0; 3], |interest| interest.waiting) == waiting
         };
-        interest.wait_for(held).await.unwrap();
+        declared.wait_for(is_declared).await.unwrap();
     }
 
-    /// Reserves a slot, and counts one request of the best class less, as sidecars do.
+    /// Grants a slot and subtracts a request of the best class from the declared demand.
     pub(crate) fn grant(&self, id: u64, customer: CustomerId) {
-        self.shared.interest.send_modify(|interest| {
-            let held = interest.get_mut(&customer);
-            let best = held.and_then(|held| held.waiting.iter_mut().find(|count| **count > 0));
+        self.shared.declared.send_modify(|declared| {
+            let interest = declared.get_mut(&customer);
+            let waiting = interest.map(|interest| &mut interest.waiting);
+            let best = waiting.and_then(|waiting| waiting.iter_mut().find(|count| **count > 0));
             if let Some(best) = best {
                 *best -= 1;
             }
@@ -175,78 +177,78 @@
         self.shared.granted.notify_one();
     }
 
-    /// Forgets all that was declared.
-    pub(crate) fn forget(&self) {
-        self.shared.interest.send_modify(BTreeMap::clear);
+    /// Discards the declared demand.
+    pub(crate) fn clear_declarations(&self) {
+        self.shared.declared.send_modify(BTreeMap::clear);
     }
 
-    /// Tells of free slots from now on.
+    /// Sets the number of free slots that is reported.
     pub(crate) fn set_free(&self, free: u32) {
         *self.shared.free.lock() = free;
     }
 
-    /// Waits until a slot is given back.
-    pub(crate) async fn declined(&self, id: u64) {
+    /// Waits until a grant is declined.
+    pub(crate) async fn wait_declined(&self, id: u64) {
         let mut declined = self.shared.declined.subscribe();
         declined.wait_for(|ids| ids.contains(&id)).await.unwrap();
     }
 
-    /// What to answer to withdrawals.
+    /// Sets the response to withdrawals.
     pub(crate) fn set_withdrawal(&self, outcome: Outcome, doubtful: bool) {
         *self.shared.withdrawal.lock() = Withdrawal { outcome, doubtful };
     }
 
-    /// Waits for a withdrawal.
-    pub(crate) async fn withdrawn(&self) -> (Attempt, Option<KeyId>) {
+    /// Waits for a withdrawal and returns the first one.
+    pub(crate) async fn wait_withdrawn(&self) -> (Attempt, Option<KeyId>) {
         let mut withdrawn = self.shared.withdrawn.subscribe();
-        let held = withdrawn.wait_for(|held| !held.is_empty()).await.unwrap();
-        held[0]
+        let withdrawn = withdrawn.wait_for(|withdrawn| !withdrawn.is_empty());
+        withdrawn.await.unwrap()[0]
     }
 
-    /// Keys told by the router.
-    pub(crate) fn recalled(&self) -> Vec<KeyId> {
+    /// Keys in the router's latest recall.
+    pub(crate) fn recalled_keys(&self) -> Vec<KeyId> {
         self.shared.recalled.borrow().clone()
     }
 
-    /// Lets a held answer go, or break off.
+    /// Lets a response that waits for it continue.
     pub(crate) fn release(&self) {
         self.shared.released.notify_one();
     }
 
-    /// Waits until an endless answer is given up.
-    pub(crate) async fn abandoned(&self) {
-        self.shared.abandoned.notified().await;
+    /// Waits until the router cancels an endless response.
+    pub(crate) async fn wait_cancelled(&self) {
+        self.shared.cancelled.notified().await;
     }
 
-    /// Stops answering control calls, or begins again.
-    pub(crate) fn freeze(&self, frozen: bool) {
+    /// Sets whether control calls are suspended.
+    pub(crate) fn set_frozen(&self, frozen: bool) {
         self.shared.frozen.send_replace(frozen);
     }
 
     /// Closes the data port.
-    pub(crate) fn close_data(&self) {
+    pub(crate) fn close_data_port(&self) {
         self.data_cancel.cancel();
     }
 
-    /// Answers "ok" to all further requests.
-    pub(crate) fn clear(&self) {
-        self.shared.acts.lock().clear();
+    /// Removes the pending behaviors.
+    pub(crate) fn clear_behaviors(&self) {
+        self.shared.behaviors.lock().clear();
     }
 
-    /// Highest revision of the configuration that came.
+    /// Highest configuration revision received.
     pub(crate) fn revision(&self) -> Revision {
         *self.shared.revision.lock()
     }
 }
 
-impl Drop for Fake {
+impl Drop for FakeSidecar {
     fn drop(&mut self) {
         self.cancel.cancel();
     }
 }
 
 impl Shared {
-    async fn thaw(&self) {
+    async fn wait_unfrozen(&self) {
         let mut frozen = self.frozen.subscribe();
         frozen.wait_for(|frozen| !frozen).await.unwrap();
     }
--- a/crates/daemon/tests/router/fake/control.rs
+++ b/crates/daemon/tests/router/fake_sidecar/control.rs
@@ -12,39 +12,40 @@
 
 use super::Shared;
 
-/// Time after which a poll is answered with nothing to tell.
-const POLL: Duration = Duration::from_millis(50);
+/// Time after which a poll without a grant is answered.
+const POLL_TIMEOUT: Duration = Duration::from_millis(50);
 
 pub(super) async fn serve(listener: Listener, shared: Arc<Shared>, cancel: CancellationToken) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
         let channel = wire::sidecar_channel(stream, listener.bytes());
-        let calls = channel.execute(Link(Arc::clone(&shared)).serve());
+        let calls = channel.execute(Control(Arc::clone(&shared)).serve());
         let calls = wire::spawn_calls(calls.boxed());
         tokio::spawn(cancel.clone().run_until_cancelled_owned(calls));
     }
 }
 
 #[derive(Clone)]
-struct Link(Arc<Shared>);
+struct Control(Arc<Shared>);
 
-impl Sidecar for Link {
+impl Sidecar for Control {
     async fn declare(self, _: Context, _: Incarnation, full: bool, interest: Vec<Interest>) {
-        self.0.thaw().await;
-        self.0.interest.send_modify(|held| {
+        self.0.wait_unfrozen().await;
+        self.0.declared.send_modify(|declared| {
             if full {
-                held.clear();
+                declared.clear();
             }
-            held.extend(interest.into_iter().map(|one| (one.customer, one)));
+            let by_customer = interest.into_iter();
+            declared.extend(by_customer.map(|interest| (interest.customer, interest)));
         });
     }
 
     async fn poll(self, _: Context, poll: Poll) -> PollResponse {
         if poll.until > 0 {
-            // A poll without news ends as well as one with.
-            let _ = tokio::time::timeout(POLL, self.0.granted.notified()).await;
+            // A timeout is a response without grants.
+            let _ = tokio::time::timeout(POLL_TIMEOUT, self.0.granted.notified()).await;
         }
-        self.0.thaw().await;
+        self.0.wait_unfrozen().await;
         PollResponse {
             load: self.0.load(),
             grants: std::mem::take(&mut self.0.grants.lock()),
@@ -53,26 +54,28 @@
     }
 
     async fn decline(self, _: Context, grants: Vec<u64>) {
-        self.0.declined.send_modify(|held| held.extend(grants));
+        self.0
+            .declined
+            .send_modify(|declined| declined.extend(grants));
     }
 
     async fn withdraw(self, _: Context, attempt: Attempt, key: Option<KeyId>) -> Withdrawal {
-        self.0.thaw().await;
+        self.0.wait_unfrozen().await;
         self.0
             .withdrawn
-            .send_modify(|held| held.push((attempt, key)));
+            .send_modify(|withdrawn| withdrawn.push((attempt, key)));
         *self.0.withdrawal.lock()
     }
 
     async fn outcome(self, _: Context, _: Attempt, _: Option<KeyId>) -> Outcome {
-        self.0.thaw().await;
+        self.0.wait_unfrozen().await;
         self.0.withdrawal.lock().outcome
     }
 
     async fn configure(self, _: Context, changes: Vec<Change>) -> Revision {
-        let newest = changes.iter().map(|change| change.revision).max();
+        let latest = changes.iter().map(|change| change.revision).max();
         let mut revision = self.0.revision.lock();
-        *revision = newest.unwrap_or(0).max(*revision);
+        *revision = latest.unwrap_or(0).max(*revision);
         *revision
     }
 
--- a/crates/daemon/tests/router/fleet.rs
+++ b/crates/daemon/tests/router/fleet.rs
@@ -1,4 +1,4 @@
-//! A router with its platform and fake sidecars.
+//! A router with fake sidecars and a key-value service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use mulberryyoked::router::Router;
 use serde_json::{Value, json};
 
-use crate::fake::Fake;
+use crate::fake_sidecar::FakeSidecar;
 
-/// A port on which nothing listens.
-const DEAD: &str = "127.0.0.1:9";
+/// An address on which nothing listens.
+const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
-/// Name of the customer that the callers are.
+/// Name of the default customer of callers.
 pub(crate) const CUSTOMER: &str = "scouts";
 
 /// Another customer.
-pub(crate) const OTHER: &str = "school";
+pub(crate) const OTHER_CUSTOMER: &str = "school";
 
 /// Name of the model.
 pub(crate) const MODEL: &str = "hints";
@@ -30,18 +30,19 @@
 /// Name of the pool of plain services.
 pub(crate) const SERVICE: &str = "booking";
 
-/// A router with its platform.
+/// A router and its key-value service.
 pub(crate) struct Fleet {
     pub(crate) router: Router,
     kv: Handle,
 }
 
 impl Fleet {
-    /// Starts a router that knows these sidecars and is connected to them.
-    pub(crate) async fn spawn(fakes: &[&Fake], changes: &Value) -> Self {
+    /// Starts a router and waits until it is connected to the sidecars. `overrides` are
+    /// merged into its settings.
+    pub(crate) async fn spawn(sidecars: &[&FakeSidecar], overrides: &Value) -> Self {
         let kv = Store::bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
         let fleet = Self {
-            router: Router::spawn(settings(kv.address(), changes), logger())
+            router: Router::spawn(settings(kv.address(), overrides), logger())
                 .await
                 .unwrap(),
             kv,
@@ -49,10 +50,12 @@
         for object in objects() {
             fleet.configure(object).await;
         }
-        for fake in fakes {
-            fleet.configure(Object::Server(fake.server.clone())).await;
+        for sidecar in sidecars {
+            fleet
+                .configure(Object::Server(sidecar.server.clone()))
+                .await;
         }
-        fleet.connected(fakes.len()).await;
+        fleet.wait_connected(sidecars.len()).await;
         fleet
     }
 
@@ -60,7 +63,7 @@
         self.router.address()
     }
 
-    /// Accepts an object as operators do.
+    /// Writes an object to the configuration.
     pub(crate) async fn configure(&self, object: Object) {
         let kv = Etcd::new(vec![self.kv.address()], Options::default());
         let key = format!("/mulberryyoke/config/{}", object.key());
@@ -72,49 +75,49 @@
         kv.swap(&key, Expect::Any, Some(value), None).await.unwrap();
     }
 
-    /// Waits until so many sidecars are connected.
-    pub(crate) async fn connected(&self, count: usize) {
+    /// Waits until `count` sidecars are connected.
+    pub(crate) async fn wait_connected(&self, count: usize) {
         let inspect = self.router.inspect();
-        eventually(|| {
+        wait_until(|| {
             let servers = inspect.servers();
             servers.iter().filter(|server| server.up).count() == count
         })
         .await;
     }
 
-    /// Waits until so many requests wait.
-    pub(crate) async fn waiting(&self, count: usize) {
+    /// Waits until `count` requests are queued.
+    pub(crate) async fn wait_queued(&self, count: usize) {
         let inspect = self.router.inspect();
-        eventually(|| inspect.waiting().len() == count).await;
+        wait_until(|| inspect.waiting().len() == count).await;
     }
 }
 
-/// Waits for a state that nothing announces.
-pub(crate) async fn eventually(mut is_so: impl FnMut() -> bool) {
-    while !is_so() {
+/// Polls until a condition holds.
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-pub(crate) fn customer() -> CustomerId {
+pub(crate) fn customer_id() -> CustomerId {
     CustomerId::of(CUSTOMER)
 }
 
-pub(crate) fn other() -> CustomerId {
-    CustomerId::of(OTHER)
+pub(crate) fn other_customer_id() -> CustomerId {
+    CustomerId::of(OTHER_CUSTOMER)
 }
 
 fn logger() -> Logger {
     Logger::root(Discard, o!())
 }
 
-fn settings(kv: SocketAddr, changes: &Value) -> settings::Router {
+fn settings(kv: SocketAddr, overrides: &Value) -> settings::Router {
     let mut settings = json!({
         "name": "r1", "zone": "a", "callers": "127.0.0.1:0", "operators": "127.0.0.1:0",
-        "control": "127.0.0.1:0", "kv": [kv], "vms": DEAD, "heartbeat_ms": 60,
+        "control": "127.0.0.1:0", "kv": [kv], "vms": UNUSED_ADDRESS, "heartbeat_ms": 60,
     });
-    let changes = changes.as_object().unwrap().clone();
-    settings.as_object_mut().unwrap().extend(changes);
+    let overrides = overrides.as_object().unwrap().clone();
+    settings.as_object_mut().unwrap().extend(overrides);
     serde_json::from_value(settings).unwrap()
 }
 
@@ -136,7 +139,7 @@
     };
     vec![
         customer(CUSTOMER),
-        customer(OTHER),
+        customer(OTHER_CUSTOMER),
         Object::Pool(Pool {
             name: MODEL.to_owned(),
             kind: Kind::Model,
@@ -150,8 +153,8 @@
     ]
 }
 
-/// A server as it is once it leaves.
-pub(crate) fn draining(server: &Server, at: u64) -> Object {
+/// Configuration object of the server in state `Draining`.
+pub(crate) fn draining_server(server: &Server, at: u64) -> Object {
     Object::Server(Server {
         state: mulberryyoke_model::State::Draining,
         changed_at: at,
--- a/crates/daemon/tests/router/input.rs
+++ b/crates/daemon/tests/router/input.rs
@@ -12,14 +12,14 @@
 use tokio::net::TcpStream;
 
 use crate::caller::{completion, post, raw, read, send, with};
-use crate::fake::{Act, Fake};
-use crate::fleet::{Fleet, MODEL, SERVICE, customer};
+use crate::fake_sidecar::{Behavior, FakeSidecar};
+use crate::fleet::{Fleet, MODEL, SERVICE, customer_id};
 
 const HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nhost: router\r\n\
                     authorization: Bearer key-scouts\r\n";
 
-async fn one() -> (Fake, Fleet) {
-    let fake = Fake::bind("s1", MODEL, 4).await;
+async fn one() -> (FakeSidecar, Fleet) {
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let limits = json!({"limits": {"body_bytes": 1000, "head_ms": 200, "connections": 8}});
     let fleet = Fleet::spawn(&[&fake], &limits).await;
     (fake, fleet)
@@ -109,7 +109,7 @@
         );
         expect_that!(reply.header("x-request-id"), not(eq("")), "{row}");
     }
-    expect_that!(fake.unread(), eq(0));
+    expect_that!(fake.drain_requests(), eq(0));
 }
 
 #[gtest]
@@ -178,7 +178,7 @@
     let reply = send(fleet.address(), request).await;
     let text = reply.text.as_deref().unwrap();
     expect_that!((reply.status.as_u16(), text), eq((200, "ok")));
-    let arrival = fake.arrival().await;
+    let arrival = fake.next_request().await;
     expect_that!(arrival.path, eq("/v1/chat/completions?a=b"));
     expect_that!(arrival.headers.get("x-own"), some(anything()));
     for gone in ["x-hop", "authorization", "connection"] {
@@ -187,7 +187,7 @@
     let body: serde_json::Value = serde_json::from_slice(&arrival.body).unwrap();
     expect_that!(body["model"], eq(MODEL));
     let ticket = arrival.ticket;
-    expect_that!(ticket.customer, eq(customer()));
+    expect_that!(ticket.customer, eq(customer_id()));
     expect_that!(ticket.class, eq(Class::Urgent));
     expect_that!(
         (ticket.deadline, ticket.hint, ticket.cost),
@@ -210,7 +210,7 @@
     let earliest = now() + RETENTION;
     let far = with(completion(), "x-deadline", "99999999999999");
     send(fleet.address(), far).await;
-    let deadline = fake.arrival().await.ticket.deadline;
+    let deadline = fake.next_request().await.ticket.deadline;
     expect_that!(deadline, all![ge(earliest), le(now() + RETENTION)]);
 }
 
@@ -223,14 +223,14 @@
 #[gtest]
 #[tokio::test]
 async fn plain_services_are_reached_by_route() {
-    let mut fake = Fake::bind("b1", SERVICE, 4).await;
+    let mut fake = FakeSidecar::bind("b1", SERVICE, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let mut get = post("/slots/friday?room=2", "");
     *get.method_mut() = hyper::Method::GET;
     for (request, keyed) in [(get, false), (post("/slots/friday?room=2", "book"), true)] {
         let reply = send(fleet.address(), request).await;
         expect_that!(reply.status.as_u16(), eq(200));
-        let arrival = fake.arrival().await;
+        let arrival = fake.next_request().await;
         expect_that!(arrival.path, eq("/slots/friday?room=2"));
         expect_that!(arrival.ticket.key.is_some(), eq(keyed));
         expect_that!(arrival.ticket.cost, eq(5));
@@ -274,7 +274,7 @@
     let reply = read(open_http2(fleet.address()).await).await;
     expect_that!(reply.status.as_u16(), eq(200));
     expect_that!(reply.text, ok(eq("ok")));
-    fake.then(Act::Break("data: 1\n\n"));
+    fake.on_next_request(Behavior::Abort("data: 1\n\n"));
     let response = open_http2(fleet.address()).await;
     fake.release();
     // The stream is reset, so that the answer does not look whole.
@@ -284,12 +284,12 @@
 #[gtest]
 #[tokio::test]
 async fn a_caller_that_does_not_read_loses_its_answer_and_frees_its_server() {
-    let fake = Fake::bind("s1", MODEL, 4).await;
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let limits = json!({"limits": {"stall_ms": 100}});
     let fleet = Fleet::spawn(&[&fake], &limits).await;
-    fake.then(Act::Endless);
+    fake.on_next_request(Behavior::Endless);
     let response = crate::caller::open(fleet.address(), completion()).await;
-    fake.abandoned().await;
+    fake.wait_cancelled().await;
     let reply = read(response).await;
     expect_that!(reply.text, err(anything()));
 }
--- a/crates/daemon/tests/router/main.rs
+++ b/crates/daemon/tests/router/main.rs
@@ -1,7 +1,7 @@
 //! The router role against sidecars that do as a test tells them.
 
 mod caller;
-mod fake;
+mod fake_sidecar;
 mod fleet;
 
 mod input;
--- a/crates/daemon/tests/router/stop.rs
+++ b/crates/daemon/tests/router/stop.rs
@@ -4,19 +4,19 @@
 use serde_json::json;
 
 use crate::caller::{completion, connect, read, spawn};
-use crate::fake::{Act, Fake};
-use crate::fleet::{Fleet, MODEL, customer, eventually};
+use crate::fake_sidecar::{Behavior, FakeSidecar};
+use crate::fleet::{Fleet, MODEL, customer_id, wait_until};
 
 #[gtest]
 #[tokio::test]
 async fn a_stop_refuses_what_waits_and_lets_answers_end() {
-    let mut fake = Fake::bind("s1", MODEL, 1).await;
+    let mut fake = FakeSidecar::bind("s1", MODEL, 1).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"drain_ms": 1000})).await;
-    fake.then(Act::Hold("whole"));
+    fake.on_next_request(Behavior::Delay("whole"));
     let running = spawn(fleet.address(), completion());
-    fake.arrival().await;
+    fake.next_request().await;
     let waiting = spawn(fleet.address(), completion());
-    fake.declared(customer(), [0, 1, 0]).await;
+    fake.wait_declared(customer_id(), [0, 1, 0]).await;
     let address = fleet.address();
     let stopped = tokio::spawn(fleet.router.stop());
     let refused = waiting.await.unwrap();
@@ -36,13 +36,13 @@
 #[gtest]
 #[tokio::test]
 async fn waiting_requests_may_still_start_while_it_stops() {
-    let mut fake = Fake::bind("s1", MODEL, 0).await;
+    let mut fake = FakeSidecar::bind("s1", MODEL, 0).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"drain_ms": 60_000})).await;
     let waiting = spawn(fleet.address(), completion());
-    fake.declared(customer(), [0, 1, 0]).await;
+    fake.wait_declared(customer_id(), [0, 1, 0]).await;
     let stopped = tokio::spawn(fleet.router.stop());
-    fake.grant(1, customer());
-    fake.arrival().await;
+    fake.grant(1, customer_id());
+    fake.next_request().await;
     expect_that!(waiting.await.unwrap().status.as_u16(), eq(200));
     stopped.await.unwrap();
 }
@@ -50,11 +50,11 @@
 #[gtest]
 #[tokio::test]
 async fn what_remains_at_the_deadline_is_told_the_truth() {
-    let mut fake = Fake::bind("s1", MODEL, 1).await;
+    let mut fake = FakeSidecar::bind("s1", MODEL, 1).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"drain_ms": 400})).await;
-    fake.then(Act::Silence);
+    fake.on_next_request(Behavior::NoResponse);
     let running = spawn(fleet.address(), completion());
-    fake.arrival().await;
+    fake.next_request().await;
     fleet.router.stop().await;
     let refusal = (503, "stopping".to_owned(), "unknown");
     expect_that!(running.await.unwrap().refusal(), eq(&refusal));
@@ -63,7 +63,7 @@
 #[gtest]
 #[tokio::test]
 async fn open_connections_are_told_before_they_close() {
-    let fake = Fake::bind("s1", MODEL, 1).await;
+    let fake = FakeSidecar::bind("s1", MODEL, 1).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let address = fleet.address();
     let mut connection = connect(address).await;
@@ -71,7 +71,7 @@
     expect_that!(before.header("connection"), eq(""));
     let inspect = fleet.router.inspect();
     let stopped = tokio::spawn(fleet.router.stop());
-    eventually(|| !inspect.is_ready()).await;
+    wait_until(|| !inspect.is_ready()).await;
     let after = read(connection.send_request(completion()).await.unwrap()).await;
     expect_that!(
         after.refusal(),
