--- a/crates/daemon/tests/router/main.rs
+++ b/crates/daemon/tests/router/main.rs
@@ -3,10 +3,9 @@
 mod caller;
 mod fake_sidecar;
 mod fleet;
-
 mod input;
 mod key;
 mod limit;
 mod outcome;
+mod queueing;
 mod stop;
-mod waiting;
--- a/crates/daemon/tests/router/waiting.rs
+++ b/crates/daemon/tests/router/queueing.rs
@@ -1,4 +1,4 @@
-//! Waiting for a server, late binding.
+//! Queueing of requests until a server has a free slot.
 
 use googletest::prelude::*;
 use mulberryyoke_wire::Verdict;
@@ -6,9 +6,9 @@
 
 use crate::caller::{completion, send, spawn, with};
 use crate::fake_sidecar::{Behavior, FakeSidecar};
-use crate::fleet::{Fleet, MODEL, customer_id, other_customer_id};
+use crate::fleet::{Fleet, MODEL, customer_id, draining_server, other_customer_id, wait_until};
 
-async fn busy() -> (FakeSidecar, Fleet) {
+async fn start_without_free_slots() -> (FakeSidecar, Fleet) {
     let fake = FakeSidecar::bind("s1", MODEL, 0).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     (fake, fleet)
@@ -16,8 +16,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_request_waits_until_a_slot_is_granted() {
-    let (mut fake, fleet) = busy().await;
+async fn a_request_is_queued_until_a_slot_is_granted() {
+    let (mut fake, fleet) = start_without_free_slots().await;
     let caller = spawn(fleet.address(), completion());
     fake.wait_declared(customer_id(), [0, 1, 0]).await;
     let waiting = fleet.router.inspect().waiting();
@@ -34,15 +34,15 @@
 
 #[gtest]
 #[tokio::test]
-async fn the_most_urgent_goes_first() {
-    let (mut fake, fleet) = busy().await;
+async fn requests_are_sent_in_order_of_class() {
+    let (mut fake, fleet) = start_without_free_slots().await;
     let mut callers = Vec::new();
-    for (number, class) in ["deferrable", "normal", "urgent"].into_iter().enumerate() {
+    for (index, class) in ["deferrable", "normal", "urgent"].into_iter().enumerate() {
         let request = with(completion(), "x-urgency", class);
-        // Far off, so that the deferrable one does not rise.
+        // A distant deadline, so that the deferrable request is not promoted.
         let request = with(request, "x-deadline", "99999999999999");
         callers.push(spawn(fleet.address(), request));
-        fleet.wait_queued(number + 1).await;
+        fleet.wait_queued(index + 1).await;
     }
     fake.wait_declared(customer_id(), [1, 1, 1]).await;
     for (grant, class) in (1..).zip(["urgent", "normal", "deferrable"]) {
@@ -56,13 +56,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_grant_that_finds_no_request_is_given_back() {
-    let (fake, fleet) = busy().await;
+async fn a_grant_without_a_queued_request_is_declined() {
+    let (fake, fleet) = start_without_free_slots().await;
     fake.grant(3, other_customer_id());
     fake.wait_declined(3).await;
     let caller = spawn(fleet.address(), completion());
     fake.wait_declared(customer_id(), [0, 1, 0]).await;
-    // The caller hangs up.
+    // The caller disconnects.
     caller.abort();
     fake.wait_declared(customer_id(), [0, 0, 0]).await;
     expect_that!(fleet.router.inspect().waiting(), is_empty());
@@ -72,7 +72,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_busy_server_proves_nothing_ran_and_the_request_waits() {
+async fn a_request_rejected_as_busy_is_queued_and_sent_again() {
     let mut fake = FakeSidecar::bind("s1", MODEL, 1).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     fake.on_next_request(Behavior::Verdict(Verdict::Busy));
@@ -89,7 +89,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_deadline_that_passes_in_the_queue_is_told_at_once() {
+async fn a_request_is_refused_when_its_deadline_passes_in_the_queue() {
     let fake = FakeSidecar::bind("s1", MODEL, 0).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"limits": {"deadline_ms": 100}})).await;
     let reply = send(fleet.address(), completion()).await;
@@ -101,18 +101,18 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_free_server_gets_the_body_at_once() {
-    let mut near = FakeSidecar::bind("s1", MODEL, 1).await;
+async fn a_server_with_a_free_slot_gets_the_request_without_a_grant() {
+    let mut free = FakeSidecar::bind("s1", MODEL, 1).await;
     let busy = FakeSidecar::bind("s2", MODEL, 0).await;
-    let fleet = Fleet::spawn(&[&near, &busy], &json!({})).await;
+    let fleet = Fleet::spawn(&[&free, &busy], &json!({})).await;
     let reply = send(fleet.address(), completion()).await;
     expect_that!(reply.status.as_u16(), eq(200));
-    expect_that!(near.next_request().await.ticket.grant, none());
+    expect_that!(free.next_request().await.ticket.grant, none());
 }
 
 #[gtest]
 #[tokio::test]
-async fn the_baseline_sends_at_once_whatever_the_load() {
+async fn the_baseline_policy_does_not_queue() {
     let mut fake = FakeSidecar::bind("s1", MODEL, 0).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"policy": "baseline"})).await;
     let reply = send(fleet.address(), completion()).await;
@@ -122,47 +122,43 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_draining_server_gets_nothing_new() {
-    let mut leaving = FakeSidecar::bind("s1", MODEL, 4).await;
-    let mut staying = FakeSidecar::bind("s2", MODEL, 4).await;
-    let fleet = Fleet::spawn(&[&leaving, &staying], &json!({})).await;
-    fleet
-        .configure(crate::fleet::draining_server(&leaving.server, 1))
-        .await;
+async fn a_draining_server_gets_no_new_requests() {
+    let mut draining = FakeSidecar::bind("s1", MODEL, 4).await;
+    let mut active = FakeSidecar::bind("s2", MODEL, 4).await;
+    let fleet = Fleet::spawn(&[&draining, &active], &json!({})).await;
+    fleet.configure(draining_server(&draining.server, 1)).await;
     let inspect = fleet.router.inspect();
-    crate::fleet::wait_until(|| inspect.servers().iter().any(|server| server.closed)).await;
+    wait_until(|| inspect.servers().iter().any(|server| server.closed)).await;
     for _ in 0..8 {
         let reply = send(fleet.address(), completion()).await;
         expect_that!(reply.status.as_u16(), eq(200));
-        staying.next_request().await;
+        active.next_request().await;
     }
-    expect_that!(leaving.drain_requests(), eq(0));
-    leaving.grant(1, customer_id());
-    leaving.wait_declined(1).await;
+    expect_that!(draining.drain_requests(), eq(0));
+    draining.grant(1, customer_id());
+    draining.wait_declined(1).await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_sidecar_is_told_the_configuration_that_it_lacks() {
+async fn a_sidecar_gets_configuration_changes() {
     let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-    crate::fleet::wait_until(|| fake.revision() > 0).await;
-    let known = fake.revision();
-    fleet
-        .configure(crate::fleet::draining_server(&fake.server, 1))
-        .await;
-    crate::fleet::wait_until(|| fake.revision() > known).await;
+    wait_until(|| fake.revision() > 0).await;
+    let revision = fake.revision();
+    fleet.configure(draining_server(&fake.server, 1)).await;
+    wait_until(|| fake.revision() > revision).await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_may_wait_longer_than_keys_are_remembered() {
+async fn a_request_may_be_queued_longer_than_the_retention_time() {
     let mut fake = FakeSidecar::bind("s1", MODEL, 0).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"retention_ms": 1})).await;
     let caller = spawn(fleet.address(), completion());
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     fake.wait_declared(customer_id(), [0, 1, 0]).await;
-    crate::fleet::wait_until(|| began.elapsed().as_millis() > 5).await;
+    wait_until(|| started_at.elapsed().as_millis() > 5).await;
     fake.grant(1, customer_id());
     expect_that!(caller.await.unwrap().status.as_u16(), eq(200));
     expect_that!(fake.next_request().await.ticket.grant, some(eq(1)));
@@ -170,13 +166,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_sidecar_that_has_forgotten_what_waits_is_told_again() {
+async fn demand_is_declared_again_to_a_sidecar_that_has_lost_it() {
     let fake = FakeSidecar::bind("s1", MODEL, 0).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let caller = spawn(fleet.address(), completion());
     fake.wait_declared(customer_id(), [0, 1, 0]).await;
     fake.clear_declarations();
-    // A free slot beside what it was told of shows that it does not know of it.
+    // A free slot despite declared demand shows the router that it was lost.
     fake.set_free(1);
     fake.wait_declared(customer_id(), [0, 1, 0]).await;
     fake.grant(1, customer_id());
