--- a/crates/daemon/src/router/operator_api/nodes.rs
+++ b/crates/daemon/src/router/operator_api/nodes.rs
@@ -46,44 +46,44 @@
     }
 }
 
-/// Returns the configured servers that are linked to this router or should be.
+/// Returns the configured servers that this router is linked or assigned to.
 pub(crate) fn sidecars(core: &Core, linked: &[Server]) -> Vec<Node> {
     let config = core.fleet.config();
-    let expected = expected(core, &config);
-    let nodes = present(&config).filter_map(|server| {
+    let assigned = assigned(core, &config);
+    let nodes = configured(&config).filter_map(|server| {
         let link = linked.iter().find(|link| link.name == server.name);
-        let expected = expected.contains(&ServerId::of(&server.name));
-        (link.is_some() || expected).then(|| sidecar(core, server, link))
+        let is_assigned = assigned.contains(&ServerId::of(&server.name));
+        (link.is_some() || is_assigned).then(|| sidecar(core, server, link))
     });
     nodes.collect()
 }
 
 /// Returns the number of configured servers that [`sidecars`] does not list.
 pub(crate) fn unseen(core: &Core, linked: &[Server]) -> usize {
-    let all = present(&core.fleet.config()).count();
+    let all = configured(&core.fleet.config()).count();
     all.saturating_sub(sidecars(core, linked).len())
 }
 
-fn present(config: &Config) -> impl Iterator<Item = &model::Server> {
+fn configured(config: &Config) -> impl Iterator<Item = &model::Server> {
     let servers = config.servers();
     servers.filter(|server| server.state != State::Removed)
 }
 
 /// Returns the router's subset of each pool, or the whole pool if it is no larger.
-fn expected(core: &Core, config: &Config) -> HashSet<ServerId> {
+fn assigned(core: &Core, config: &Config) -> HashSet<ServerId> {
     let subset = usize::try_from(core.settings.limits.subset).unwrap_or(usize::MAX);
     let mut pools: BTreeMap<&str, Vec<ServerId>> = BTreeMap::new();
-    for server in present(config) {
+    for server in configured(config) {
         let pool = pools.entry(server.pool.as_str()).or_default();
         pool.push(ServerId::of(&server.name));
     }
-    let expected = pools.into_iter().flat_map(|(pool, servers)| {
+    let assigned = pools.into_iter().flat_map(|(pool, servers)| {
         if servers.len() <= subset {
             return servers;
         }
         core.fleet.subset(PoolId::of(pool))
     });
-    expected.collect()
+    assigned.collect()
 }
 
 fn sidecar(core: &Core, server: &model::Server, link: Option<&Server>) -> Node {
--- a/crates/daemon/src/router/operator_api/waiting.rs
+++ b/crates/daemon/src/router/operator_api/waiting.rs
@@ -28,9 +28,9 @@
         router: router.to_owned(),
         requests: listed
             .map(|request| {
-                waiter(
+                describe(
                     request,
-                    &contenders(&request.pool, &counters, &requests),
+                    &service_order(&request.pool, &counters, &requests),
                     &servers,
                 )
             })
@@ -86,7 +86,7 @@
 }
 
 /// Returns the customers with waiting requests for a pool in the order of service.
-fn contenders<'a>(
+fn service_order<'a>(
     pool: &str,
     counters: &'a [Counter],
     requests: &[inspect::WaitingRequest],
@@ -99,7 +99,11 @@
     names.filter(waits).collect()
 }
 
-fn waiter(request: &inspect::WaitingRequest, contenders: &[&str], servers: &[Server]) -> Waiter {
+fn describe(
+    request: &inspect::WaitingRequest,
+    service_order: &[&str],
+    servers: &[Server],
+) -> Waiter {
     Waiter {
         request: request.request.clone(),
         customer: request.customer.clone(),
@@ -108,11 +112,11 @@
         position: u64::try_from(request.position).unwrap_or(u64::MAX) + 1,
         since: request.since,
         deadline: request.deadline,
-        reason: reason(request, contenders, servers),
+        reason: reason(request, service_order, servers),
     }
 }
 
-fn reason(request: &inspect::WaitingRequest, contenders: &[&str], servers: &[Server]) -> String {
+fn reason(request: &inspect::WaitingRequest, service_order: &[&str], servers: &[Server]) -> String {
     let pool = servers.iter().filter(|server| server.pool == request.pool);
     let pool: Vec<&Server> = pool.collect();
     if let Some(home) = &request.server {
@@ -136,7 +140,7 @@
     format!(
         "a free slot ({}); {}",
         slots(&open),
-        queue_position(request, contenders)
+        queue_position(request, service_order)
     )
 }
 
@@ -147,16 +151,18 @@
 }
 
 /// Describes which requests and customers come before the request.
-fn queue_position(request: &inspect::WaitingRequest, contenders: &[&str]) -> String {
+fn queue_position(request: &inspect::WaitingRequest, service_order: &[&str]) -> String {
     let first = match request.position {
         0 => "it is its customer's next".to_owned(),
         count => format!("{count} of its customer's are before it"),
     };
-    if contenders.len() < 2 {
+    if service_order.len() < 2 {
         return format!("{first}; no other customer waits");
     }
-    let own = contenders.iter().position(|name| *name == request.customer);
-    let before = &contenders[..own.unwrap_or(0)];
+    let own = service_order
+        .iter()
+        .position(|name| *name == request.customer);
+    let before = &service_order[..own.unwrap_or(0)];
     if before.is_empty() {
         return format!("{first}; its customer has the least service per share");
     }
