--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -33,11 +33,11 @@
         core,
         call,
         may_have_run: false,
-        waited: false,
-        avoid: None,
+        was_queued: false,
+        failed_server: None,
     };
     let answer = dispatch.run().await;
-    answer.map_err(|refusal| dispatch.refuse(refusal))
+    answer.map_err(|refusal| dispatch.record_refusal(refusal))
 }
 
 struct Dispatch<'a> {
@@ -46,9 +46,9 @@
     /// Whether an attempt may have run.
     may_have_run: bool,
     /// Whether the request has already been admitted to the queue.
-    waited: bool,
+    was_queued: bool,
     /// Server of the last failed attempt.
-    avoid: Option<ServerId>,
+    failed_server: Option<ServerId>,
 }
 
 impl Dispatch<'_> {
@@ -56,25 +56,27 @@
         if self.call.is_late(clock::now()) {
             return Err(queueing::deadline_passed(self.core, &self.call));
         }
-        let mut at_once = true;
+        let mut try_direct = true;
         loop {
-            let place = self.place(at_once).await?;
+            let place = self.place(try_direct).await?;
             let link = Arc::clone(&place.link);
             let sent = attempt::send(self.core, &self.call, place).await;
             if self.call.attempt.number >= MAX_ATTEMPTS {
                 return Err(unreachable("too many attempts failed"));
             }
-            self.avoid = Some(link.id);
+            self.failed_server = Some(link.id);
             // A server without a free slot rejected the request: queue it instead.
-            at_once = !matches!(sent, Sent::Verdict(Verdict::Busy | Verdict::Draining, _));
+            try_direct = !matches!(sent, Sent::Verdict(Verdict::Busy | Verdict::Draining, _));
             match sent {
                 Sent::Answer(response) => return Ok(response),
-                Sent::Verdict(verdict, after) => self.handle_verdict(verdict, after, &link)?,
+                Sent::Verdict(verdict, retry_after) => {
+                    self.handle_verdict(verdict, retry_after, &link)?;
+                }
                 Sent::Unsent(cause) => {
                     link.status.clear_free_slots();
-                    self.retry(&cause)?;
+                    self.withdraw_retry(&cause)?;
                 }
-                Sent::Lost(cause) => self.lost(&cause)?,
+                Sent::Lost(cause) => self.handle_lost(&cause)?,
                 Sent::Late => {
                     self.may_have_run = true;
                     return Err(too_late());
@@ -89,27 +91,28 @@
     }
 
     /// Selects a server, without queueing if one is expected to have a free slot.
-    async fn place(&mut self, at_once: bool) -> Result<Place, Refusal> {
+    async fn place(&mut self, try_direct: bool) -> Result<Place, Refusal> {
         if let Some(key) = self.call.key {
-            let place = home::place(self.core, &self.call, key, at_once, self.waited).await?;
-            self.waited = true;
+            let place =
+                home::place(self.core, &self.call, key, try_direct, self.was_queued).await?;
+            self.was_queued = true;
             return Ok(place);
         }
         if self.core.settings.policy == Policy::Baseline {
             return self.baseline().ok_or_else(no_server);
         }
-        if at_once && let Some(place) = self.direct() {
+        if try_direct && let Some(place) = self.direct() {
             return Ok(place);
         }
-        if !has_server(self.core, self.call.pool) {
+        if !has_active_server(self.core, self.call.pool) {
             return Err(no_server());
         }
-        let waited = std::mem::replace(&mut self.waited, true);
-        if waited {
+        let readmit = std::mem::replace(&mut self.was_queued, true);
+        if readmit {
             self.core.requests.record_queued(self.call.attempt.request);
         }
         let never = std::future::pending();
-        match queueing::wait_for_slot(self.core, &self.call, None, waited, never).await? {
+        match queueing::wait_for_slot(self.core, &self.call, None, readmit, never).await? {
             WaitResult::Place(place) => Ok(place),
             WaitResult::HomeChanged => Err(no_server()),
         }
@@ -122,7 +125,7 @@
             return None;
         }
         let mut candidates = candidates(self.core, self.call.pool);
-        candidates.retain(|candidate| Some(candidate.server) != self.avoid);
+        candidates.retain(|candidate| Some(candidate.server) != self.failed_server);
         let server = decide::choose(&candidates, self.call.prefix)?;
         let link = self.core.links.get(server)?;
         link.status.take_free_slot().then(|| Place::direct(&link))
@@ -139,7 +142,7 @@
     fn handle_verdict(
         &mut self,
         verdict: Verdict,
-        after: Option<u32>,
+        retry_after: Option<u32>,
         link: &Arc<Link>,
     ) -> Result<(), Refusal> {
         match verdict {
@@ -150,28 +153,28 @@
             }
             Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
             Verdict::Malformed => Err(malformed()),
-            Verdict::Full => Err(keys_full(after)),
-            Verdict::Doubtful => Err(doubtful(after)),
+            Verdict::Full => Err(keys_full(retry_after)),
+            Verdict::Doubtful => Err(doubtful(retry_after)),
             Verdict::Running => Err(repeated(Outcome::Running)),
             Verdict::Ran => Err(repeated(Outcome::Ran)),
-            Verdict::Broken => self.lost("the server failed"),
+            Verdict::Broken => self.handle_lost("the server failed"),
             Verdict::NotHome | Verdict::Tombstone | Verdict::Unreachable => {
-                self.retry(verdict.as_str())
+                self.withdraw_retry(verdict.as_str())
             }
         }
     }
 
-    /// Handles an attempt that may have run: only idempotent requests are retried.
-    fn lost(&mut self, cause: &str) -> Result<(), Refusal> {
+    /// Handles an attempt that may have run. Only idempotent requests are retried.
+    fn handle_lost(&mut self, cause: &str) -> Result<(), Refusal> {
         self.may_have_run = true;
         if self.call.key.is_some() {
             return Err(unknown(cause));
         }
-        self.retry(cause)
+        self.withdraw_retry(cause)
     }
 
-    /// Takes a retry from the budget.
-    fn retry(&self, cause: &str) -> Result<(), Refusal> {
+    /// Withdraws a retry from the budget, or refuses the request.
+    fn withdraw_retry(&self, cause: &str) -> Result<(), Refusal> {
         if !self.core.budget.lock().try_withdraw() {
             return Err(unreachable(cause));
         }
@@ -183,8 +186,8 @@
         Ok(())
     }
 
-    /// Sets the refusal's outcome for all attempts of the request, and records it.
-    fn refuse(&self, mut refusal: Refusal) -> Refusal {
+    /// Records a refusal, after setting its outcome for all attempts of the request.
+    fn record_refusal(&self, mut refusal: Refusal) -> Refusal {
         let given = self.call.key.is_some_and(|key| key.given);
         if refusal.outcome == Outcome::NotRun && (self.may_have_run || given) {
             refusal.outcome = Outcome::Unknown;
@@ -193,11 +196,11 @@
             .requests
             .set_outcome(self.call.attempt.request, refusal.outcome);
         metrics::counter!("refused_total", "code" => refusal.code).increment(1);
-        self.log(&refusal);
+        self.log_refusal(&refusal);
         refusal
     }
 
-    fn log(&self, refusal: &Refusal) {
+    fn log_refusal(&self, refusal: &Refusal) {
         let request = self.call.attempt.request_id();
         let customer = self.call.customer.0;
         let code = refusal.code;
@@ -230,7 +233,7 @@
 }
 
 /// Whether the pool has a server that accepts new requests.
-fn has_server(core: &Core, pool: PoolId) -> bool {
+fn has_active_server(core: &Core, pool: PoolId) -> bool {
     let view = core.fleet.view();
     let mut servers = view.servers(pool).iter();
     servers.any(|server| server.state == State::Active && !core.fleet.is_leaving(&server.name))
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -22,8 +22,8 @@
     core: &Arc<Core>,
     call: &Call,
     key: Key,
-    mut at_once: bool,
-    mut again: bool,
+    mut try_direct: bool,
+    mut readmit: bool,
 ) -> Result<Place, Refusal> {
     loop {
         let homes = homes(core, call, key);
@@ -35,20 +35,20 @@
         let current = homes.current.ok_or_else(no_server)?;
         let link = link(core, current).ok_or_else(no_server)?;
         let baseline = core.settings.policy == Policy::Baseline;
-        if baseline || at_once && take_free(core, call, &link) {
+        if baseline || try_direct && take_free_slot(core, call, &link) {
             return Ok(Place::direct(&link));
         }
-        let home_lost = home_lost(core, call, key, &link);
-        match queueing::wait_for_slot(core, call, Some(current), again, home_lost).await? {
+        let home_changed = wait_home_change(core, call, key, &link);
+        match queueing::wait_for_slot(core, call, Some(current), readmit, home_changed).await? {
             WaitResult::Place(place) => return Ok(place),
-            WaitResult::HomeChanged => (at_once, again) = (true, true),
+            WaitResult::HomeChanged => (try_direct, readmit) = (true, true),
         }
     }
 }
 
-/// Takes a slot that should be free, unless other requests are queued. The baseline
-/// policy has no queue in the router.
-fn take_free(core: &Core, call: &Call, link: &Link) -> bool {
+/// Takes a slot that is expected to be free, unless other requests are queued. The
+/// baseline policy does not queue in the router.
+fn take_free_slot(core: &Core, call: &Call, link: &Link) -> bool {
     if core.settings.policy == Policy::Baseline {
         return link.status.is_eligible();
     }
@@ -57,7 +57,7 @@
 }
 
 /// Resolves when the key's home has changed or its sidecar no longer responds.
-async fn home_lost(
+async fn wait_home_change(
     core: &Arc<Core>,
     call: &Call,
     key: Key,
@@ -103,7 +103,7 @@
     former: ServerId,
 ) -> Result<(), Refusal> {
     let link = link(core, former).ok_or_else(|| doubtful(None))?;
-    link.wait_control().await;
+    link.wait_connected().await;
     core.sent_keys.record(former, key.id, clock::now());
     let withdrawal = link.withdraw(call.attempt, Some(key.id)).await;
     let withdrawal = withdrawal.map_err(|_| doubtful(None))?;
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -102,7 +102,7 @@
     pub fn waiting(&self) -> Vec<WaitingRequest> {
         let mut all = Vec::new();
         for pool_queue in self.core.queues.all() {
-            pool_queue.read(|queue| {
+            pool_queue.with_queue(|queue| {
                 for (_, waiting) in queue.iter() {
                     let pinned = waiting.pinned_server;
                     let server = pinned.and_then(|server| self.core.links.get(server));
--- a/crates/daemon/src/router/link.rs
+++ b/crates/daemon/src/router/link.rs
@@ -37,8 +37,9 @@
     pub(crate) status: Status,
     pub(crate) data: DataConnection,
     heartbeat: Duration,
-    control: ArcSwapOption<SidecarClient>,
-    control_connected: watch::Sender<bool>,
+    client: ArcSwapOption<SidecarClient>,
+    connected: watch::Sender<bool>,
+    /// Triggers an evaluation of which demand to declare.
     reevaluate: Notify,
     cancel: CancellationToken,
 }
@@ -55,8 +56,8 @@
             status: Status::default(),
             data: DataConnection::new(server.data, heartbeat),
             heartbeat,
-            control: ArcSwapOption::empty(),
-            control_connected: watch::Sender::new(false),
+            client: ArcSwapOption::empty(),
+            connected: watch::Sender::new(false),
             reevaluate: Notify::new(),
             cancel: CancellationToken::new(),
         });
@@ -70,7 +71,7 @@
         self.cancel.cancel();
     }
 
-    /// Sets whether the server is closed to new work by configuration or VM list.
+    /// Sets whether configuration or VM list exclude the server from new requests.
     pub(crate) fn set_excluded(&self, excluded: bool) {
         if self.status.excluded.swap(excluded, Ordering::Relaxed) != excluded {
             self.reevaluate.notify_one();
@@ -78,10 +79,10 @@
     }
 
     /// Waits until the control link is connected or the sidecar is unresponsive.
-    pub(crate) async fn wait_control(&self) {
-        let mut control_connected = self.control_connected.subscribe();
+    pub(crate) async fn wait_connected(&self) {
+        let mut connected = self.connected.subscribe();
         tokio::select! {
-            _ = control_connected.wait_for(|control_connected| *control_connected) => {}
+            _ = connected.wait_for(|connected| *connected) => {}
             () = self.wait_unresponsive() => {}
         }
     }
@@ -104,13 +105,13 @@
         }
     }
 
-    fn set_control(&self, client: Option<SidecarClient>) {
-        let is_linked = client.is_some();
-        self.control.store(client.map(Arc::new));
-        self.control_connected.send_replace(is_linked);
+    fn set_client(&self, client: Option<SidecarClient>) {
+        let is_connected = client.is_some();
+        self.client.store(client.map(Arc::new));
+        self.connected.send_replace(is_connected);
     }
 
-    fn set_up(&self, up: bool) {
+    fn set_is_up(&self, up: bool) {
         self.status.up.store(up, Ordering::Relaxed);
     }
 }
--- a/crates/daemon/src/router/link/config_sync.rs
+++ b/crates/daemon/src/router/link/config_sync.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::control::with_timeout;
+use super::control::context_with_timeout;
 use super::{Link, MAX_MISSED_HEARTBEATS};
 use crate::router::core::Core;
 
@@ -85,10 +85,10 @@
         let weight = |router: Incarnation| xxh3_64_with_seed(&router.0.to_le_bytes(), sidecar.0);
         let own = weight(self.core.origin());
         let members = self.core.fleet.members();
-        let before = members
+        let higher = members
             .iter()
             .filter(|member| weight(member.incarnation) > own);
-        u32::try_from(before.count()).unwrap_or(u32::MAX)
+        u32::try_from(higher.count()).unwrap_or(u32::MAX)
     }
 
     /// Time to wait for a sent revision to appear in the sidecar's load.
@@ -100,19 +100,21 @@
         self.sent = Some((current, Instant::now()));
         let changes = self.core.fleet.config().since(since);
         let client = self.client.clone();
-        let limit = self.link.heartbeat * MAX_MISSED_HEARTBEATS;
+        let timeout = self.link.heartbeat * MAX_MISSED_HEARTBEATS;
         tokio::spawn(async move {
-            let _ = client.configure(with_timeout(limit), changes).await;
+            let _ = client
+                .configure(context_with_timeout(timeout), changes)
+                .await;
         });
     }
 
     fn fetch(&self, since: Revision) {
         let client = self.client.clone();
         let core = Arc::clone(self.core);
-        let limit = self.link.heartbeat * MAX_MISSED_HEARTBEATS;
+        let timeout = self.link.heartbeat * MAX_MISSED_HEARTBEATS;
         tokio::spawn(async move {
             // The next load triggers a retry after a failure.
-            if let Ok(changes) = client.changes(with_timeout(limit), since).await {
+            if let Ok(changes) = client.changes(context_with_timeout(timeout), since).await {
                 core.fleet.merge(changes);
             }
         });
--- a/crates/daemon/src/router/link/control.rs
+++ b/crates/daemon/src/router/link/control.rs
@@ -17,7 +17,7 @@
         attempt: Attempt,
         key: Option<KeyId>,
     ) -> Result<Withdrawal, Error> {
-        let (client, context) = self.call()?;
+        let (client, context) = self.client_with_context()?;
         client
             .withdraw(context, attempt, key)
             .await
@@ -30,7 +30,7 @@
         attempt: Attempt,
         key: Option<KeyId>,
     ) -> Result<Outcome, Error> {
-        let (client, context) = self.call()?;
+        let (client, context) = self.client_with_context()?;
         client
             .outcome(context, attempt, key)
             .await
@@ -42,7 +42,7 @@
         if grants.is_empty() {
             return;
         }
-        let Ok((client, context)) = self.call() else {
+        let Ok((client, context)) = self.client_with_context() else {
             return;
         };
         metrics::counter!("grants_declined_total").increment(grants.len() as u64);
@@ -52,18 +52,18 @@
         });
     }
 
-    fn call(&self) -> Result<(SidecarClient, Context), Error> {
-        let client = self.control.load();
+    fn client_with_context(&self) -> Result<(SidecarClient, Context), Error> {
+        let client = self.client.load();
         let client = client.as_ref().ok_or(Error::Timeout)?;
         let timeout = self.heartbeat * MAX_MISSED_HEARTBEATS;
-        Ok((client.as_ref().clone(), with_timeout(timeout)))
+        Ok((client.as_ref().clone(), context_with_timeout(timeout)))
     }
 }
 
-/// Creates a call context with a deadline.
-pub(super) fn with_timeout(limit: Duration) -> Context {
+/// Creates the context of a call with a timeout.
+pub(super) fn context_with_timeout(timeout: Duration) -> Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + limit;
+    context.deadline = Instant::now() + timeout;
     context
 }
 
--- a/crates/daemon/src/router/link/data_connection.rs
+++ b/crates/daemon/src/router/link/data_connection.rs
@@ -17,9 +17,9 @@
 /// Flow-control window of a stream, in bytes.
 const STREAM_WINDOW: u32 = 64 << 10;
 
-/// Full stream windows that fit into the connection window, so that slow readers do
-/// not block other responses.
-const SLOW_CALLERS: u32 = 256;
+/// Number of stalled streams whose windows fit into the connection window, so that slow
+/// callers do not block other responses.
+const STALLED_STREAMS: u32 = 256;
 
 /// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -57,8 +57,8 @@
         if let Some(sender) = self.open_sender() {
             return Ok(sender);
         }
-        let connect = timeout(CONNECT_TIMEOUT, self.connect()).await;
-        let sender = connect.map_err(|_| Error::Timeout)??;
+        let connected = timeout(CONNECT_TIMEOUT, self.connect()).await;
+        let sender = connected.map_err(|_| Error::Timeout)??;
         self.sender.store(Some(sender.clone().into()));
         Ok(sender)
     }
@@ -81,7 +81,7 @@
         let (sender, connection) = Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
             .initial_stream_window_size(STREAM_WINDOW)
-            .initial_connection_window_size(STREAM_WINDOW * SLOW_CALLERS)
+            .initial_connection_window_size(STREAM_WINDOW * STALLED_STREAMS)
             .keep_alive_interval(self.heartbeat)
             .keep_alive_timeout(self.heartbeat * KEEP_ALIVE_TIMEOUT_INTERVALS)
             .handshake(TokioIo::new(stream))
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::config_sync::ConfigSync;
-use super::control::{call_error, with_timeout};
+use super::control::{call_error, context_with_timeout};
 use super::{Error, Link, MAX_MISSED_HEARTBEATS};
 use crate::clock;
 use crate::router::core::Core;
@@ -26,12 +26,12 @@
 /// Minimum interval between declarations, so that changes are batched.
 const DECLARE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Deadline of a poll on the wire. An unresponsive sidecar is detected long before.
-pub(super) const POLL_LIMIT: Duration = Duration::from_hours(1);
+/// RPC timeout of a poll. An unresponsive sidecar is detected long before.
+const POLL_TIMEOUT: Duration = Duration::from_hours(1);
 
 /// Consecutive polls reporting a free slot despite declared demand, after which all
 /// demand is declared again.
-const IDLE_POLLS: u32 = 3;
+const MAX_IDLE_POLLS: u32 = 3;
 
 /// Keeps a link connected until it is stopped.
 pub(super) async fn run(core: Arc<Core>, link: Arc<Link>) {
@@ -57,8 +57,8 @@
 }
 
 fn close(link: &Link) {
-    link.set_up(false);
-    link.set_control(None);
+    link.set_is_up(false);
+    link.set_client(None);
     link.data.reset();
 }
 
@@ -79,7 +79,7 @@
             Ok(Err(error)) => return Error::Control(error),
             Err(_) => return Error::Timeout,
         };
-        link.set_control(Some(client.clone()));
+        link.set_client(Some(client.clone()));
         let session = Self {
             core,
             link,
@@ -105,7 +105,7 @@
     async fn recall(&self) -> Result<(), Error> {
         let since = clock::now().saturating_sub(self.core.settings.retention_ms);
         let (complete, keys) = self.core.sent_keys.for_sidecar(self.link.id, since);
-        let context = with_timeout(self.link.heartbeat * MAX_MISSED_HEARTBEATS);
+        let context = context_with_timeout(self.link.heartbeat * MAX_MISSED_HEARTBEATS);
         let call = self
             .client
             .recall(context, self.core.origin(), complete, keys);
@@ -118,7 +118,7 @@
         let mut changed = queue.subscribe();
         let mut last_seen = 0;
         let mut full = true;
-        let mut all = true;
+        let mut all_customers = true;
         loop {
             changed.mark_unchanged();
             let updates = {
@@ -126,21 +126,23 @@
                 if full {
                     declared.clear();
                 }
-                let interest =
-                    queue.interest(&mut last_seen, &self.demand_selector(&declared, all));
+                let interest = queue.interest(
+                    &mut last_seen,
+                    &self.demand_selector(&declared, all_customers),
+                );
                 declared.update(interest)
             };
             if full || !updates.is_empty() {
                 let count = u64::try_from(updates.len()).unwrap_or(u64::MAX);
                 metrics::counter!("declarations_total").increment(1);
                 metrics::counter!("declared_customers_total").increment(count);
-                let context = with_timeout(POLL_LIMIT);
+                let context = context_with_timeout(POLL_TIMEOUT);
                 let origin = self.core.origin();
                 let call = self.client.declare(context, origin, full, updates);
                 call.await.map_err(call_error)?;
                 sleep(DECLARE_INTERVAL).await;
             }
-            (full, all) = tokio::select! {
+            (full, all_customers) = tokio::select! {
                 _ = changed.changed() => (false, false),
                 () = self.link.reevaluate.notified() => (false, true),
                 () = self.redeclare.notified() => (true, true),
@@ -150,31 +152,36 @@
 
     /// Declares all demand again if the sidecar keeps reporting a free slot despite
     /// declared demand, because its state then differs from the router's.
-    fn check(&self, polled: &PollResponse, idle: &mut u32) {
-        let is_idle = polled.load.free > 0 && !polled.load.draining && polled.grants.is_empty();
+    fn check_declared(&self, response: &PollResponse, idle_polls: &mut u32) {
+        let is_idle =
+            response.load.free > 0 && !response.load.draining && response.grants.is_empty();
         if !is_idle || self.declared.lock().is_empty() {
-            *idle = 0;
+            *idle_polls = 0;
             return;
         }
-        *idle += 1;
-        if *idle == IDLE_POLLS {
-            *idle = 0;
+        *idle_polls += 1;
+        if *idle_polls == MAX_IDLE_POLLS {
+            *idle_polls = 0;
             metrics::counter!("declarations_repeated_total").increment(1);
             self.redeclare.notify_one();
         }
     }
 
     /// Collects the inputs for the next declaration.
-    fn demand_selector<'t>(&self, declared: &'t DeclaredDemand, all: bool) -> DemandSelector<'t> {
+    fn demand_selector<'d>(
+        &self,
+        declared: &'d DeclaredDemand,
+        all_customers: bool,
+    ) -> DemandSelector<'d> {
         let status = &self.link.status;
         DemandSelector {
             server: self.link.id,
-            has_free: status.free_slots() > 0,
+            has_free_slot: status.free_slots() > 0,
             excluded: status.is_excluded(),
             eligible: self.core.links.eligible(self.link.pool),
             now: clock::now(),
             declared,
-            all,
+            all_customers,
         }
     }
 
@@ -190,55 +197,57 @@
             fleet_as_of: 0,
         };
         let mut last_load = None;
-        let mut idle = 0;
+        let mut idle_polls = 0;
         loop {
             poll.revision = self.core.fleet.view().revision();
             let started_at = Instant::now();
-            let polled = self.call_poll(&poll).await?;
-            self.receive(polled.load);
-            self.grant(&polled);
-            self.check(&polled, &mut idle);
-            if let Some(report) = &polled.report {
-                poll.acknowledged = self.core.fleet.collect(polled.load.incarnation, report);
+            let response = self.call_poll(&poll).await?;
+            self.update_status(response.load);
+            self.process_grants(&response);
+            self.check_declared(&response, &mut idle_polls);
+            if let Some(report) = &response.report {
+                poll.acknowledged = self.core.fleet.collect(response.load.incarnation, report);
                 poll.fleet = self
                     .core
                     .fleet
-                    .totals_for_sidecar(polled.load.incarnation, &mut cursor);
+                    .totals_for_sidecar(response.load.incarnation, &mut cursor);
                 poll.fleet_as_of = self.core.fleet.totals_as_of();
             } else {
                 poll.fleet = Vec::new();
             }
-            self.pace(started_at, &polled, &mut last_load).await;
+            self.throttle(started_at, &response, &mut last_load).await;
             poll.until = clock::now() + self.core.settings.heartbeat_ms;
         }
     }
 
     /// Polls the sidecar and marks the link as down if it does not respond in time.
     async fn call_poll(&self, poll: &Poll) -> Result<PollResponse, Error> {
-        let limit = self.link.heartbeat * (MAX_MISSED_HEARTBEATS + 1);
+        let response_timeout = self.link.heartbeat * (MAX_MISSED_HEARTBEATS + 1);
         metrics::counter!("polls_total").increment(1);
-        let call = self.client.poll(with_timeout(POLL_LIMIT), poll.clone());
+        let call = self
+            .client
+            .poll(context_with_timeout(POLL_TIMEOUT), poll.clone());
         let mut call = std::pin::pin!(call);
-        if let Ok(polled) = timeout(limit, &mut call).await {
-            return polled.map_err(call_error);
+        if let Ok(response) = timeout(response_timeout, &mut call).await {
+            return response.map_err(call_error);
         }
         if self.link.status.is_up() {
             log!(self.core.logger, Event::LinkDown,
-                "server" => &self.link.server.name, "cause" => "silent");
+                "server" => &self.link.server.name, "cause" => "no response");
         }
-        self.link.set_up(false);
-        let polled = timeout(limit, call).await;
-        polled.map_err(|_| Error::Timeout)?.map_err(call_error)
+        self.link.set_is_up(false);
+        let response = timeout(response_timeout, call).await;
+        response.map_err(|_| Error::Timeout)?.map_err(call_error)
     }
 
-    fn receive(&self, load: Load) {
-        self.link.status.receive(load, clock::now());
+    fn update_status(&self, load: Load) {
+        self.link.status.update(load, clock::now());
         if load.free > 0 {
             // All demand is declared to a server with a free slot.
             self.link.reevaluate.notify_one();
         }
         if !self.link.status.is_up() {
-            self.link.set_up(true);
+            self.link.set_is_up(true);
             log!(self.core.logger, Event::LinkUp,
                 "server" => &self.link.server.name,
                 "incarnation" => load.incarnation.0,
@@ -246,9 +255,9 @@
         }
     }
 
-    fn grant(&self, polled: &PollResponse) {
+    fn process_grants(&self, response: &PollResponse) {
         let mut declined = Vec::new();
-        for grant in &polled.grants {
+        for grant in &response.grants {
             // Must precede the removal from the queue, which triggers a declaration.
             self.declared.lock().record_grant(grant.customer);
             if !self.core.grant(self.link, grant) {
@@ -260,9 +269,14 @@
 
     /// Delays the next poll of a sidecar that responds immediately without changes,
     /// such as one whose clock is ahead.
-    async fn pace(&self, started_at: Instant, polled: &PollResponse, last_load: &mut Option<Load>) {
-        let load_changed = last_load.replace(polled.load) != Some(polled.load);
-        let has_changes = load_changed || !polled.grants.is_empty() || polled.report.is_some();
+    async fn throttle(
+        &self,
+        started_at: Instant,
+        response: &PollResponse,
+        last_load: &mut Option<Load>,
+    ) {
+        let load_changed = last_load.replace(response.load) != Some(response.load);
+        let has_changes = load_changed || !response.grants.is_empty() || response.report.is_some();
         if !has_changes && started_at.elapsed() < self.link.heartbeat / 2 {
             sleep(self.link.heartbeat / 4).await;
         }
--- a/crates/daemon/src/router/link/status.rs
+++ b/crates/daemon/src/router/link/status.rs
@@ -10,7 +10,7 @@
 pub(crate) struct Status {
     /// Whether the control link has received a load and is responsive.
     pub(super) up: AtomicBool,
-    /// Whether configuration or VM list close the server to new work.
+    /// Whether configuration or VM list exclude the server from new requests.
     pub(super) excluded: AtomicBool,
     free_slots: AtomicU32,
     slots: AtomicU32,
@@ -26,7 +26,7 @@
     }
 
     /// Updates the state from a load that the sidecar reported.
-    pub(super) fn receive(&self, load: Load, now: Millis) {
+    pub(super) fn update(&self, load: Load, now: Millis) {
         self.free_slots.store(load.free, Ordering::Relaxed);
         self.slots.store(load.slots, Ordering::Relaxed);
         self.last_response_at.store(now, Ordering::Relaxed);
@@ -43,7 +43,7 @@
         self.last_response_at.load(Ordering::Relaxed)
     }
 
-    /// Whether the server may get new work.
+    /// Whether the server may get new requests.
     pub(crate) fn is_eligible(&self) -> bool {
         let excluded = self.excluded.load(Ordering::Relaxed);
         let draining = self.load().is_some_and(|load| load.draining);
@@ -55,7 +55,7 @@
         self.up.load(Ordering::Relaxed)
     }
 
-    /// Whether configuration or VM list close the server to new work.
+    /// Whether configuration or VM list exclude the server from new requests.
     pub(crate) fn is_excluded(&self) -> bool {
         self.excluded.load(Ordering::Relaxed)
     }
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -39,13 +39,13 @@
         self.table.load().by_server.get(&server).cloned()
     }
 
-    /// Calls `read` with the links of a pool.
-    pub(crate) fn with_pool<T>(&self, pool: PoolId, read: impl FnOnce(&[Arc<Link>]) -> T) -> T {
+    /// Calls `f` with the links of a pool.
+    pub(crate) fn with_pool<T>(&self, pool: PoolId, f: impl FnOnce(&[Arc<Link>]) -> T) -> T {
         let table = self.table.load();
-        read(table.by_pool.get(&pool).map_or(&[], Vec::as_slice))
+        f(table.by_pool.get(&pool).map_or(&[], Vec::as_slice))
     }
 
-    /// Returns the servers of a pool that may get new work.
+    /// Returns the servers of a pool that may get new requests.
     pub(crate) fn eligible(&self, pool: PoolId) -> Vec<ServerId> {
         self.with_pool(pool, |links| {
             let eligible = links.iter().filter(|link| link.status.is_eligible());
@@ -103,15 +103,15 @@
     fn publish(&self, links: Vec<Arc<Link>>) {
         let mut table = Table::default();
         for link in links {
-            let of_pool = table.by_pool.entry(link.pool).or_default();
-            of_pool.push(Arc::clone(&link));
+            let pool_links = table.by_pool.entry(link.pool).or_default();
+            pool_links.push(Arc::clone(&link));
             table.by_server.insert(link.id, link);
         }
         self.table.store(Arc::new(table));
     }
 }
 
-/// Whether to keep a link: while it is wanted or requests run on it. The link to a
+/// Whether to keep a link: while it is selected or requests run on it. The link to a
 /// removed server is also kept until its sidecar has received the current revision.
 fn should_keep(view: &View, selection: &Selection, link: &Link) -> bool {
     let server = view.server(link.id);
@@ -119,15 +119,15 @@
         return false;
     }
     let state = server.map(|server| server.state);
-    let wanted = match state {
+    let selected = match state {
         Some(State::Active) => selection.contains(link.id),
         Some(State::Draining) => true,
-        Some(State::Removed) | None => selection.contains(link.id) || is_behind(view, link),
+        Some(State::Removed) | None => selection.contains(link.id) || lacks_revision(view, link),
     };
-    wanted || link.status.running() > 0
+    selected || link.status.running() > 0
 }
 
-fn is_behind(view: &View, link: &Link) -> bool {
+fn lacks_revision(view: &View, link: &Link) -> bool {
     let load = link.status.load();
     link.status.is_up() && load.is_some_and(|load| load.revision < view.revision())
 }
@@ -139,15 +139,15 @@
 /// Updates links and queues when configuration or VM list change, and periodically.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut revision = core.fleet.watch();
-    let mut before = clock::now();
+    let mut last_run = clock::now();
     loop {
         core.links.reconcile(&core);
         let now = clock::now();
         for queue in core.queues.all() {
             queue.promote(now);
-            queue.record_fanout_growth(before, now);
+            queue.record_fanout_growth(last_run, now);
         }
-        before = now;
+        last_run = now;
         let stall_ms = core.settings.limits.stall_ms;
         core.stalls.release(now.saturating_sub(stall_ms));
         tokio::select! {
--- a/crates/daemon/src/router/links/selection.rs
+++ b/crates/daemon/src/router/links/selection.rs
@@ -9,7 +9,7 @@
 use crate::router::core::Core;
 
 /// Idle timeout of a link outside the router's subset, in milliseconds.
-const ADDITIONAL_IDLE_MS: Millis = 60_000;
+const ADDITIONAL_IDLE_TIMEOUT_MS: Millis = 60_000;
 
 /// Interval at which the subset is recomputed even if configuration is unchanged,
 /// because the set of routers may have changed, in milliseconds.
@@ -23,10 +23,10 @@
 const EXTEND_AFTER_MS: Millis = 500;
 
 /// Maximum number of peers' idle servers to connect to at a time.
-const MAX_PEER_IDLE: usize = 4;
+const MAX_PEER_SERVERS: usize = 4;
 
 /// Number of routers that keep a link to a draining server.
-const DRAINING_LINKS: usize = 2;
+const ROUTERS_PER_DRAINING_SERVER: usize = 2;
 
 /// Maximum number of idle servers announced to peers.
 const MAX_IDLE_SERVERS: usize = 8;
@@ -44,12 +44,12 @@
 }
 
 impl Selection {
-    /// Whether a link to the server is wanted.
+    /// Whether the router should be linked to the server.
     pub(super) fn contains(&self, server: ServerId) -> bool {
         self.subset.contains(&server) || self.additional.contains_key(&server)
     }
 
-    /// Returns the servers to which links are wanted.
+    /// Returns the servers to which the router should be linked.
     pub(super) fn servers(&self) -> impl Iterator<Item = ServerId> {
         self.subset.iter().chain(self.additional.keys()).copied()
     }
@@ -78,7 +78,7 @@
             }
         }
         self.additional
-            .retain(|_, used_at| now.saturating_sub(*used_at) < ADDITIONAL_IDLE_MS);
+            .retain(|_, used_at| now.saturating_sub(*used_at) < ADDITIONAL_IDLE_TIMEOUT_MS);
         for queue in core.queues.all() {
             self.extend(core, queue.pool, now);
         }
@@ -97,7 +97,7 @@
         let linked = core.links.with_pool(pool, |links| {
             links.iter().map(|link| link.id).collect::<Vec<_>>()
         });
-        for server in core.fleet.widen(pool, &linked, MAX_PEER_IDLE) {
+        for server in core.fleet.widen(pool, &linked, MAX_PEER_SERVERS) {
             self.record_use(server, now);
         }
     }
@@ -122,8 +122,8 @@
     let weight = |router: &str| xxh3_64_with_seed(router.as_bytes(), seed);
     let own = weight(&core.settings.name);
     let members = core.fleet.members();
-    let before = members.iter().filter(|member| weight(&member.name) > own);
-    before.count() < DRAINING_LINKS
+    let higher = members.iter().filter(|member| weight(&member.name) > own);
+    higher.count() < ROUTERS_PER_DRAINING_SERVER
 }
 
 fn has_free_slot(core: &Core, pool: PoolId) -> bool {
--- a/crates/daemon/src/router/pool_queue.rs
+++ b/crates/daemon/src/router/pool_queue.rs
@@ -113,7 +113,7 @@
     ) -> Vec<Interest> {
         let state = self.state.lock();
         let since = std::mem::replace(last_seen, state.changes.latest());
-        let mut customers: Vec<CustomerId> = if selector.all {
+        let mut customers: Vec<CustomerId> = if selector.all_customers {
             let waiting = state.queue.customers();
             waiting.chain(selector.declared.customers()).collect()
         } else {
@@ -127,27 +127,27 @@
             .collect()
     }
 
-    /// Records a change for customers whose demand has to be declared to more sidecars,
-    /// because a request has waited for another doubling interval since `before`.
+    /// Records a change for customers whose fan-out has doubled since `before`, because
+    /// of the time that a request has waited.
     pub(crate) fn record_fanout_growth(&self, before: Millis, now: Millis) {
         let mut state = self.state.lock();
-        let steps = |since: Millis, at: Millis| at.saturating_sub(since) / FANOUT_DOUBLING_MS;
+        let doublings = |since: Millis, at: Millis| at.saturating_sub(since) / FANOUT_DOUBLING_MS;
         let entries = state.queue.iter().map(|(_, entry)| entry);
-        let due =
-            entries.filter(|entry| steps(entry.arrived_at, before) < steps(entry.arrived_at, now));
+        let due = entries
+            .filter(|entry| doublings(entry.arrived_at, before) < doublings(entry.arrived_at, now));
         let customers: HashSet<CustomerId> = due.map(|entry| entry.customer).collect();
-        let marked = customers
+        let numbers = customers
             .into_iter()
             .map(|customer| state.changes.record(customer));
-        let Some(number) = marked.last() else {
+        let Some(number) = numbers.last() else {
             return;
         };
         drop(state);
         self.changed.send_replace(number);
     }
 
-    /// Calls `read` with the queue locked.
-    pub(crate) fn read<T>(&self, read: impl FnOnce(&Queue<QueuedRequest>) -> T) -> T {
-        read(&self.state.lock().queue)
+    /// Calls `f` with the queue locked.
+    pub(crate) fn with_queue<T>(&self, f: impl FnOnce(&Queue<QueuedRequest>) -> T) -> T {
+        f(&self.state.lock().queue)
     }
 }
