--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -47,7 +47,7 @@
     /// Service over the whole fleet, as far as known, in tokens.
     pub served: u64,
     /// Service per share, by which customers are compared.
-    pub weighted: f64,
+    pub served_per_share: f64,
 }
 
 /// A sidecar as seen by this router.
@@ -60,7 +60,7 @@
     /// Whether its sidecar responds.
     pub up: bool,
     /// Whether it gets no new requests, by configuration or VM list.
-    pub closed: bool,
+    pub excluded: bool,
     /// Whether its sidecar refuses new requests.
     pub draining: bool,
     /// Slots expected to be free.
@@ -74,7 +74,7 @@
     /// Instance of its sidecar.
     pub incarnation: Option<Incarnation>,
     /// When a message was last received from it.
-    pub heard_at: Millis,
+    pub last_response_at: Millis,
 }
 
 /// A handle for inspecting a running router.
@@ -99,7 +99,7 @@
 
     /// Every request queued here.
     #[must_use]
-    pub fn waiting(&self) -> Vec<WaitingRequest> {
+    pub fn waiting_requests(&self) -> Vec<WaitingRequest> {
         let mut all = Vec::new();
         for pool_queue in self.core.queues.all() {
             pool_queue.with_queue(|queue| {
@@ -143,7 +143,7 @@
                 running: self.core.running_counts.get(id),
                 served,
                 #[expect(clippy::cast_precision_loss, reason = "for people to compare")]
-                weighted: served as f64 / f64::from(customer.share.max(1)),
+                served_per_share: served as f64 / f64::from(customer.share.max(1)),
             }
         });
         let mut customers: Vec<Customer> = customers.collect();
@@ -186,13 +186,13 @@
         name: link.server.name.clone(),
         pool: link.server.pool.clone(),
         up: link.status.is_up(),
-        closed: link.status.is_excluded(),
+        excluded: link.status.is_excluded(),
         draining: load.is_some_and(|load| load.draining),
         free: link.status.free_slots(),
         slots: link.status.slots(),
         running: link.status.running(),
         revision: load.map_or(0, |load| load.revision),
         incarnation: load.map(|load| load.incarnation),
-        heard_at: link.status.last_response_at(),
+        last_response_at: link.status.last_response_at(),
     }
 }
--- a/crates/daemon/src/router/operator_api/waiting.rs
+++ b/crates/daemon/src/router/operator_api/waiting.rs
@@ -13,7 +13,7 @@
 
 /// Answers a query on waiting requests.
 pub(crate) fn answer(router: &str, inspect: &Inspector, query: &command::Waiting) -> Waiting {
-    let requests = inspect.waiting();
+    let requests = inspect.waiting_requests();
     let servers = inspect.servers();
     let counters = counters(&inspect.customers(), &requests);
     let mut matching: Vec<&inspect::WaitingRequest> = requests
@@ -76,7 +76,7 @@
             share: customer.share,
             waiting: *classes,
             service: customer.served,
-            per_share: customer.weighted,
+            per_share: customer.served_per_share,
             since: *since,
         })
     });
@@ -121,7 +121,7 @@
     let pool: Vec<&Server> = pool.collect();
     if let Some(home) = &request.server {
         return match pool.iter().find(|server| server.name == *home) {
-            Some(server) if server.up && !server.closed => {
+            Some(server) if server.up && !server.excluded => {
                 format!(
                     "a free slot at {home}, the home of its key ({})",
                     slots(&[*server])
@@ -132,7 +132,7 @@
     }
     let open = pool
         .into_iter()
-        .filter(|server| server.up && !server.closed);
+        .filter(|server| server.up && !server.excluded);
     let open: Vec<&Server> = open.collect();
     if open.is_empty() {
         return format!("a server of pool {} to take work", request.pool);
--- a/crates/daemon/tests/router/fleet.rs
+++ b/crates/daemon/tests/router/fleet.rs
@@ -88,7 +88,7 @@
     /// Waits until `count` requests are queued.
     pub(crate) async fn wait_queued(&self, count: usize) {
         let inspect = self.router.inspect();
-        wait_until(|| inspect.waiting().len() == count).await;
+        wait_until(|| inspect.waiting_requests().len() == count).await;
     }
 }
 
--- a/crates/daemon/tests/router/key.rs
+++ b/crates/daemon/tests/router/key.rs
@@ -98,7 +98,7 @@
     let draining = draining_server(&former.server, u64::try_from(now).unwrap());
     fleet.configure(draining).await;
     let inspect = fleet.router.inspect();
-    wait_until(|| inspect.servers().iter().any(|server| server.closed)).await;
+    wait_until(|| inspect.servers().iter().any(|server| server.excluded)).await;
     for (outcome, doubtful, status, reported) in rows {
         former.set_withdrawal(outcome, doubtful);
         let reply = send(fleet.address(), request_with_key("k")).await;
@@ -125,7 +125,7 @@
         () = first.wait_declared(customer_id(), [0, 1, 0]) => &mut first,
         () = second.wait_declared(customer_id(), [0, 1, 0]) => &mut second,
     };
-    let waiting = fleet.router.inspect().waiting();
+    let waiting = fleet.router.inspect().waiting_requests();
     expect_that!(waiting[0].server, some(eq(&home.server.name)));
     home.grant(1, customer_id());
     expect_that!(caller.await.unwrap().status.as_u16(), eq(200));
@@ -160,7 +160,7 @@
     let now = u64::try_from(now.as_millis()).unwrap();
     fleet.configure(draining_server(&former.server, now)).await;
     let inspect = fleet.router.inspect();
-    wait_until(|| inspect.servers().iter().any(|server| server.closed)).await;
+    wait_until(|| inspect.servers().iter().any(|server| server.excluded)).await;
     former.set_withdrawal(Outcome::NotRun, false);
     // About half of the keys had their home at the draining server.
     for key in 0..32 {
--- a/crates/daemon/tests/router/queueing.rs
+++ b/crates/daemon/tests/router/queueing.rs
@@ -20,7 +20,7 @@
     let (mut fake, fleet) = start_without_free_slots().await;
     let caller = spawn(fleet.address(), completion());
     fake.wait_declared(customer_id(), [0, 1, 0]).await;
-    let waiting = fleet.router.inspect().waiting();
+    let waiting = fleet.router.inspect().waiting_requests();
     expect_that!(waiting.len(), eq(1));
     expect_that!(waiting[0].customer, eq("scouts"));
     expect_that!(fake.drain_requests(), eq(0));
@@ -29,7 +29,7 @@
     expect_that!(reply.status.as_u16(), eq(200));
     expect_that!(fake.next_request().await.ticket.grant, some(eq(7)));
     fake.wait_declared(customer_id(), [0, 0, 0]).await;
-    expect_that!(fleet.router.inspect().waiting(), is_empty());
+    expect_that!(fleet.router.inspect().waiting_requests(), is_empty());
 }
 
 #[gtest]
@@ -65,7 +65,7 @@
     // The caller disconnects.
     caller.abort();
     fake.wait_declared(customer_id(), [0, 0, 0]).await;
-    expect_that!(fleet.router.inspect().waiting(), is_empty());
+    expect_that!(fleet.router.inspect().waiting_requests(), is_empty());
     fake.grant(4, customer_id());
     fake.wait_declined(4).await;
 }
@@ -128,7 +128,7 @@
     let fleet = Fleet::spawn(&[&draining, &active], &json!({})).await;
     fleet.configure(draining_server(&draining.server, 1)).await;
     let inspect = fleet.router.inspect();
-    wait_until(|| inspect.servers().iter().any(|server| server.closed)).await;
+    wait_until(|| inspect.servers().iter().any(|server| server.excluded)).await;
     for _ in 0..8 {
         let reply = send(fleet.address(), completion()).await;
         expect_that!(reply.status.as_u16(), eq(200));
