--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -58,7 +58,7 @@
         }
         let mut try_direct = true;
         loop {
-            let place = self.place(try_direct).await?;
+            let place = self.find_slot(try_direct).await?;
             let link = Arc::clone(&place.link);
             let sent = attempt::send(self.core, &self.call, place).await;
             if self.call.attempt.number >= MAX_ATTEMPTS {
@@ -90,18 +90,18 @@
         }
     }
 
-    /// Selects a server, without queueing if one is expected to have a free slot.
-    async fn place(&mut self, try_direct: bool) -> Result<Place, Refusal> {
+    /// Finds a slot, without queueing if a server is expected to have a free one.
+    async fn find_slot(&mut self, try_direct: bool) -> Result<Place, Refusal> {
         if let Some(key) = self.call.key {
             let place =
-                home::place(self.core, &self.call, key, try_direct, self.was_queued).await?;
+                home::find_slot(self.core, &self.call, key, try_direct, self.was_queued).await?;
             self.was_queued = true;
             return Ok(place);
         }
         if self.core.settings.policy == Policy::Baseline {
-            return self.baseline().ok_or_else(no_server);
+            return self.baseline_slot().ok_or_else(no_server);
         }
-        if try_direct && let Some(place) = self.direct() {
+        if try_direct && let Some(place) = self.take_free_slot() {
             return Ok(place);
         }
         if !has_active_server(self.core, self.call.pool) {
@@ -113,13 +113,13 @@
         }
         let never = std::future::pending();
         match queueing::wait_for_slot(self.core, &self.call, None, readmit, never).await? {
-            WaitResult::Place(place) => Ok(place),
+            WaitResult::Granted(place) => Ok(place),
             WaitResult::HomeChanged => Err(no_server()),
         }
     }
 
-    /// Selects a server expected to have a free slot, unless other requests are queued.
-    fn direct(&self) -> Option<Place> {
+    /// Takes a slot that is expected to be free, unless other requests are queued.
+    fn take_free_slot(&self) -> Option<Place> {
         let queue = self.core.queues.get(self.call.pool);
         if !queue.is_empty() {
             return None;
@@ -131,7 +131,7 @@
         link.status.take_free_slot().then(|| Place::direct(&link))
     }
 
-    fn baseline(&self) -> Option<Place> {
+    fn baseline_slot(&self) -> Option<Place> {
         let candidates = candidates(self.core, self.call.pool);
         let server = decide::two_random_choices(&candidates, &mut rand::rng())?;
         let link = self.core.links.get(server)?;
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -18,7 +18,7 @@
 
 /// Finds a slot on the key's home server, after every former home has confirmed a
 /// withdrawal of the key.
-pub(crate) async fn place(
+pub(crate) async fn find_slot(
     core: &Arc<Core>,
     call: &Call,
     key: Key,
@@ -28,19 +28,19 @@
     loop {
         let homes = homes(core, call, key);
         if key.given {
-            for former in &homes.former {
-                withdraw(core, call, key, *former).await?;
+            for former_home in &homes.former {
+                withdraw(core, call, key, *former_home).await?;
             }
         }
-        let current = homes.current.ok_or_else(no_server)?;
-        let link = link(core, current).ok_or_else(no_server)?;
+        let home = homes.current.ok_or_else(no_server)?;
+        let link = open_link(core, home).ok_or_else(no_server)?;
         let baseline = core.settings.policy == Policy::Baseline;
         if baseline || try_direct && take_free_slot(core, call, &link) {
             return Ok(Place::direct(&link));
         }
         let home_changed = wait_home_change(core, call, key, &link);
-        match queueing::wait_for_slot(core, call, Some(current), readmit, home_changed).await? {
-            WaitResult::Place(place) => return Ok(place),
+        match queueing::wait_for_slot(core, call, Some(home), readmit, home_changed).await? {
+            WaitResult::Granted(place) => return Ok(place),
             WaitResult::HomeChanged => (try_direct, readmit) = (true, true),
         }
     }
@@ -88,7 +88,7 @@
     home::find(servers, key.id, clock::now(), core.settings.retention_ms)
 }
 
-fn link(core: &Arc<Core>, server: ServerId) -> Option<Arc<Link>> {
+fn open_link(core: &Arc<Core>, server: ServerId) -> Option<Arc<Link>> {
     let view = core.fleet.view();
     let server = view.server(server)?;
     Some(core.links.get_or_open(core, server))
@@ -100,11 +100,11 @@
     core: &Arc<Core>,
     call: &Call,
     key: Key,
-    former: ServerId,
+    former_home: ServerId,
 ) -> Result<(), Refusal> {
-    let link = link(core, former).ok_or_else(|| doubtful(None))?;
+    let link = open_link(core, former_home).ok_or_else(|| doubtful(None))?;
     link.wait_connected().await;
-    core.sent_keys.record(former, key.id, clock::now());
+    core.sent_keys.record(former_home, key.id, clock::now());
     let withdrawal = link.withdraw(call.attempt, Some(key.id)).await;
     let withdrawal = withdrawal.map_err(|_| doubtful(None))?;
     match withdrawal.outcome {
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -25,7 +25,7 @@
     pub deadline: Millis,
     /// When it arrived.
     pub since: Millis,
-    /// Requests of the same customer and pool that go before it at this router.
+    /// Requests ahead of it in its subqueue at this router.
     pub position: usize,
     /// The server it is pinned to, if any.
     pub server: Option<String>,
@@ -40,7 +40,7 @@
     pub name: String,
     /// Its weight.
     pub share: u32,
-    /// Requests queued here.
+    /// Requests queued at this router.
     pub waiting: u32,
     /// Running requests sent by this router.
     pub running: u32,
@@ -97,31 +97,31 @@
         !stopping && self.core.fleet.view().revision() > 0
     }
 
-    /// Every request queued here.
+    /// Every request queued at this router.
     #[must_use]
     pub fn waiting_requests(&self) -> Vec<WaitingRequest> {
-        let mut all = Vec::new();
+        let mut requests = Vec::new();
         for pool_queue in self.core.queues.all() {
             pool_queue.with_queue(|queue| {
-                for (_, waiting) in queue.iter() {
-                    let pinned = waiting.pinned_server;
+                for (_, entry) in queue.iter() {
+                    let pinned = entry.pinned_server;
                     let server = pinned.and_then(|server| self.core.links.get(server));
                     let server = server.map(|link| link.server.name.clone());
-                    all.push(WaitingRequest {
-                        request: waiting.payload.attempt.request_id(),
-                        customer: self.customer_name(waiting.customer),
+                    requests.push(WaitingRequest {
+                        request: entry.payload.attempt.request_id(),
+                        customer: self.customer_name(entry.customer),
                         pool: self.pool_name(pool_queue.pool),
-                        class: waiting.class,
-                        deadline: waiting.deadline,
-                        since: waiting.arrived_at,
-                        position: queue.position(waiting),
+                        class: entry.class,
+                        deadline: entry.deadline,
+                        since: entry.arrived_at,
+                        position: queue.position(entry),
                         waits_for: waits_for(server.as_deref()),
                         server,
                     });
                 }
             });
         }
-        all
+        requests
     }
 
     /// Every configured customer.
@@ -133,21 +133,21 @@
         for usage in totals {
             *served.entry(usage.customer).or_default() += usage.tokens;
         }
-        let limit = self.core.limit.lock();
+        let limiter = self.core.limit.lock();
         let customers = view.customers().map(|(id, customer)| {
             let served = served.get(&id).copied().unwrap_or(0);
             Customer {
                 name: customer.name.clone(),
                 share: customer.share,
-                waiting: limit.waiting(id),
+                waiting: limiter.waiting(id),
                 running: self.core.running_counts.get(id),
                 served,
-                #[expect(clippy::cast_precision_loss, reason = "for people to compare")]
+                #[expect(clippy::cast_precision_loss, reason = "shown to operators only")]
                 served_per_share: served as f64 / f64::from(customer.share.max(1)),
             }
         });
         let mut customers: Vec<Customer> = customers.collect();
-        customers.sort_by(|one, other| one.name.cmp(&other.name));
+        customers.sort_by(|a, b| a.name.cmp(&b.name));
         customers
     }
 
@@ -156,7 +156,7 @@
     pub fn servers(&self) -> Vec<Server> {
         let links = self.core.links.all();
         let mut servers: Vec<Server> = links.iter().map(|link| server(link)).collect();
-        servers.sort_by(|one, other| one.name.cmp(&other.name));
+        servers.sort_by(|a, b| a.name.cmp(&b.name));
         servers
     }
 
--- a/crates/daemon/src/router/link.rs
+++ b/crates/daemon/src/router/link.rs
@@ -39,7 +39,7 @@
     heartbeat: Duration,
     client: ArcSwapOption<SidecarClient>,
     connected: watch::Sender<bool>,
-    /// Triggers an evaluation of which demand to declare.
+    /// Triggers a declaration that considers all customers.
     reevaluate: Notify,
     cancel: CancellationToken,
 }
--- a/crates/daemon/src/router/link/session.rs
+++ b/crates/daemon/src/router/link/session.rs
@@ -26,8 +26,8 @@
 /// Minimum interval between declarations, so that changes are batched.
 const DECLARE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// RPC timeout of a poll. An unresponsive sidecar is detected long before.
-const POLL_TIMEOUT: Duration = Duration::from_hours(1);
+/// Timeout of polls and declarations. An unresponsive sidecar is detected earlier.
+const RPC_TIMEOUT: Duration = Duration::from_hours(1);
 
 /// Consecutive polls reporting a free slot despite declared demand, after which all
 /// demand is declared again.
@@ -136,7 +136,7 @@
                 let count = u64::try_from(updates.len()).unwrap_or(u64::MAX);
                 metrics::counter!("declarations_total").increment(1);
                 metrics::counter!("declared_customers_total").increment(count);
-                let context = context_with_timeout(POLL_TIMEOUT);
+                let context = context_with_timeout(RPC_TIMEOUT);
                 let origin = self.core.origin();
                 let call = self.client.declare(context, origin, full, updates);
                 call.await.map_err(call_error)?;
@@ -226,7 +226,7 @@
         metrics::counter!("polls_total").increment(1);
         let call = self
             .client
-            .poll(context_with_timeout(POLL_TIMEOUT), poll.clone());
+            .poll(context_with_timeout(RPC_TIMEOUT), poll.clone());
         let mut call = std::pin::pin!(call);
         if let Ok(response) = timeout(response_timeout, &mut call).await {
             return response.map_err(call_error);
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -21,7 +21,7 @@
 
 /// Links by server and by pool.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct LinkTable {
     by_server: HashMap<ServerId, Arc<Link>>,
     by_pool: HashMap<PoolId, Vec<Arc<Link>>>,
 }
@@ -29,7 +29,7 @@
 /// The links of a router, readable without locking.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
-    table: ArcSwap<Table>,
+    table: ArcSwap<LinkTable>,
     selection: Mutex<Selection>,
 }
 
@@ -77,14 +77,13 @@
         let view = core.fleet.view();
         let mut selection = self.selection.lock();
         selection.refresh(core, clock::now());
-        let (kept, dropped): (Vec<_>, Vec<_>) = self
+        let (mut links, removed): (Vec<_>, Vec<_>) = self
             .all()
             .into_iter()
             .partition(|link| should_keep(&view, &selection, link));
-        for link in dropped {
+        for link in removed {
             link.stop();
         }
-        let mut links = kept;
         let linked: HashSet<ServerId> = links.iter().map(|link| link.id).collect();
         let missing = selection
             .servers()
@@ -101,7 +100,7 @@
     }
 
     fn publish(&self, links: Vec<Arc<Link>>) {
-        let mut table = Table::default();
+        let mut table = LinkTable::default();
         for link in links {
             let pool_links = table.by_pool.entry(link.pool).or_default();
             pool_links.push(Arc::clone(&link));
--- a/crates/daemon/src/router/operator_api.rs
+++ b/crates/daemon/src/router/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operator port of a router.
+//! The operator API of a router.
 
 mod nodes;
 mod waiting;
@@ -28,17 +28,17 @@
         kv: Arc::new(kv),
         router: Arc::new(RouterSource {
             core: Arc::clone(core),
-            inspect: Inspector::new(core),
+            inspector: Inspector::new(core),
         }),
         logger: core.logger.clone(),
     };
     Api::bind(options).await.map_err(Error::Operators)
 }
 
-/// Exposes the router's state on the operator port.
+/// Exposes the router's state through the operator API.
 struct RouterSource {
     core: Arc<Core>,
-    inspect: Inspector,
+    inspector: Inspector,
 }
 
 impl RouterState for RouterSource {
@@ -47,7 +47,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.inspect.is_ready()
+        self.inspector.is_ready()
     }
 
     fn is_kv_up(&self) -> bool {
@@ -60,12 +60,12 @@
 
     fn nodes(&self) -> Vec<Node> {
         let mut nodes = nodes::routers(&self.core);
-        nodes.extend(nodes::sidecars(&self.core, &self.inspect.servers()));
+        nodes.extend(nodes::sidecars(&self.core, &self.inspector.servers()));
         nodes
     }
 
     fn unseen(&self) -> usize {
-        nodes::unseen(&self.core, &self.inspect.servers())
+        nodes::unseen(&self.core, &self.inspector.servers())
     }
 
     fn control_bytes(&self) -> (u64, u64) {
@@ -74,7 +74,7 @@
     }
 
     fn tally(&self) -> Tally {
-        let customers = self.inspect.customers();
+        let customers = self.inspector.customers();
         Tally {
             customers: customers.len(),
             waiting: customers
@@ -86,7 +86,7 @@
     }
 
     fn waiting(&self, query: &command::Waiting) -> Waiting {
-        waiting::answer(self.name(), &self.inspect, query)
+        waiting::answer(self.name(), &self.inspector, query)
     }
 
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
--- a/crates/daemon/src/router/operator_api/waiting.rs
+++ b/crates/daemon/src/router/operator_api/waiting.rs
@@ -12,10 +12,10 @@
 const MAX_NAMED: usize = 3;
 
 /// Answers a query on waiting requests.
-pub(crate) fn answer(router: &str, inspect: &Inspector, query: &command::Waiting) -> Waiting {
-    let requests = inspect.waiting_requests();
-    let servers = inspect.servers();
-    let counters = counters(&inspect.customers(), &requests);
+pub(crate) fn answer(router: &str, inspector: &Inspector, query: &command::Waiting) -> Waiting {
+    let requests = inspector.waiting_requests();
+    let servers = inspector.servers();
+    let counters = counters(&inspector.customers(), &requests);
     let mut matching: Vec<&inspect::WaitingRequest> = requests
         .iter()
         .filter(|request| matches_query(request, query, &servers))
@@ -48,15 +48,15 @@
 ) -> bool {
     let customer = query.customer.as_ref();
     let id = query.request.as_ref();
-    let of_customer = customer.is_none_or(|name| *name == request.customer);
-    let of_id = id.is_none_or(|id| *id == request.request);
-    let of_server = query.server.as_ref().is_none_or(|name| {
+    let customer_matches = customer.is_none_or(|name| *name == request.customer);
+    let id_matches = id.is_none_or(|id| *id == request.request);
+    let server_matches = query.server.as_ref().is_none_or(|name| {
         let server = servers.iter().find(|server| server.name == *name);
         let pinned = request.server.as_ref();
         server.is_some_and(|server| server.pool == request.pool)
             && pinned.is_none_or(|pinned| pinned == name)
     });
-    of_customer && of_id && of_server
+    customer_matches && id_matches && server_matches
 }
 
 /// Returns the customers with waiting requests in the order of service.
@@ -93,8 +93,8 @@
 ) -> Vec<&'a str> {
     let names = counters.iter().map(|counter| counter.customer.as_str());
     let waits = |name: &&str| {
-        let mut of_pool = requests.iter().filter(|request| request.pool == pool);
-        of_pool.any(|request| request.customer == *name)
+        let mut pool_requests = requests.iter().filter(|request| request.pool == pool);
+        pool_requests.any(|request| request.customer == *name)
     };
     names.filter(waits).collect()
 }
@@ -124,27 +124,27 @@
             Some(server) if server.up && !server.excluded => {
                 format!(
                     "a free slot at {home}, the home of its key ({})",
-                    slots(&[*server])
+                    slot_usage(&[*server])
                 )
             }
             _ => format!("{home}, the home of its key, to take work again"),
         };
     }
-    let open = pool
+    let eligible = pool
         .into_iter()
         .filter(|server| server.up && !server.excluded);
-    let open: Vec<&Server> = open.collect();
-    if open.is_empty() {
+    let eligible: Vec<&Server> = eligible.collect();
+    if eligible.is_empty() {
         return format!("a server of pool {} to take work", request.pool);
     }
     format!(
         "a free slot ({}); {}",
-        slots(&open),
+        slot_usage(&eligible),
         queue_position(request, service_order)
     )
 }
 
-fn slots(servers: &[&Server]) -> String {
+fn slot_usage(servers: &[&Server]) -> String {
     let all: u32 = servers.iter().map(|server| server.slots).sum();
     let free: u32 = servers.iter().map(|server| server.free).sum();
     format!("{} of {all} busy", all.saturating_sub(free))
--- a/crates/daemon/src/router/pool_queue.rs
+++ b/crates/daemon/src/router/pool_queue.rs
@@ -70,14 +70,14 @@
         server: ServerId,
         eligible: &[ServerId],
     ) -> Option<Entry<QueuedRequest>> {
-        let prefers_server = |request: &QueuedRequest| {
+        let is_cached = |request: &QueuedRequest| {
             let preferred = request
                 .prefix
                 .and_then(|prefix| prefix.preferred_server(eligible.iter().copied()));
             preferred == Some(server)
         };
         let mut state = self.state.lock();
-        let entry = state.queue.pop(customer, server, prefers_server)?;
+        let entry = state.queue.pop(customer, server, is_cached)?;
         let number = state.changes.record(customer);
         drop(state);
         self.changed.send_replace(number);
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -37,13 +37,13 @@
 /// Result of a wait that was not refused.
 #[derive(Debug)]
 pub(crate) enum WaitResult {
-    /// A server has a free slot.
-    Place(Place),
+    /// A sidecar has granted a slot.
+    Granted(Place),
     /// The server to which the request is pinned is no longer its key's home.
     HomeChanged,
 }
 
-/// Waits until a server has a free slot for the request. With `readmit`, the
+/// Queues the request until a sidecar grants it a slot. With `readmit`, the
 /// request was queued before and is not subject to the queue limits. `home_changed`
 /// ends the wait of a request pinned to its key's home server.
 pub(crate) async fn wait_for_slot(
@@ -84,7 +84,7 @@
     tokio::select! {
         biased;
         result = &mut woken => match result {
-            Ok(Wakeup::Granted(place)) => Ok(WaitResult::Place(place)),
+            Ok(Wakeup::Granted(place)) => Ok(WaitResult::Granted(place)),
             Ok(Wakeup::Displaced) | Err(_) => Err(displaced(core, call)),
         },
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => Err(deadline_passed(core, call)),
@@ -130,8 +130,7 @@
     core.limit.lock().retry_after(call.customer, clock::now())
 }
 
-/// The customer has reached its limit of queued requests.
-pub(crate) fn queue_full(core: &Core, call: &Call) -> Refusal {
+fn queue_full(core: &Core, call: &Call) -> Refusal {
     let message = "too many requests of this customer wait here";
     Refusal::new(StatusCode::TOO_MANY_REQUESTS, "queue_full", message)
         .retry_after(retry_after(core, call))
--- a/crates/daemon/src/router/request_table.rs
+++ b/crates/daemon/src/router/request_table.rs
@@ -25,13 +25,13 @@
 #[derive(Debug, Default)]
 struct State {
     /// Sequence number of the oldest record.
-    first: u64,
+    first_request: u64,
     records: VecDeque<Record>,
 }
 
 impl State {
     fn get_mut(&mut self, request: u64) -> Option<&mut Record> {
-        let index = request.checked_sub(self.first)?;
+        let index = request.checked_sub(self.first_request)?;
         self.records.get_mut(usize::try_from(index).ok()?)
     }
 }
@@ -48,7 +48,7 @@
         let mut state = self.state.lock();
         if state.records.len() == MAX_RECORDS {
             state.records.pop_front();
-            state.first += 1;
+            state.first_request += 1;
         }
         state.records.push_back(Record {
             outcome: Outcome::Waiting,
@@ -57,7 +57,7 @@
             key: None,
             unresolved: 0,
         });
-        state.first + state.records.len() as u64 - 1
+        state.first_request + state.records.len() as u64 - 1
     }
 
     /// Records that an attempt is about to be sent. It counts as unresolved until
--- a/crates/daemon/src/router/running_counts.rs
+++ b/crates/daemon/src/router/running_counts.rs
@@ -1,11 +1,11 @@
-//! Running requests by customer.
+//! Number of running requests by customer.
 
 use std::collections::HashMap;
 
 use mulberryyoke_model::CustomerId;
 use parking_lot::Mutex;
 
-/// Requests of this router that were sent and have not ended.
+/// Number of this router's requests in flight, by customer.
 #[derive(Debug, Default)]
 pub(crate) struct RunningCounts {
     by_customer: Mutex<HashMap<CustomerId, u32>>,
