--- a/crates/daemon/src/router/abandoned_attempt.rs
+++ b/crates/daemon/src/router/abandoned_attempt.rs
@@ -43,7 +43,10 @@
         };
         match outcome {
             Outcome::NotRun => self.record_not_run(),
-            outcome => self.core.memory.learn(self.attempt, outcome),
+            outcome => self
+                .core
+                .requests
+                .record_late_outcome(self.attempt, outcome),
         }
     }
 
@@ -73,9 +76,9 @@
     }
 
     fn record_not_run(&self) {
-        self.core.memory.prove(self.attempt.request);
+        self.core.requests.record_not_run(self.attempt.request);
         if let Some(key) = self.key {
-            self.core.keys.forget(self.link.id, key);
+            self.core.sent_keys.remove(self.link.id, key);
         }
     }
 }
--- a/crates/daemon/src/router/attempt.rs
+++ b/crates/daemon/src/router/attempt.rs
@@ -64,7 +64,7 @@
     tokio::select! {
         biased;
         result = &mut response => handle_result(core, call, in_flight, result),
-        () = link.wait_silent() => {
+        () = link.wait_unresponsive() => {
             in_flight.record_unknown();
             abandoned_attempt::watch(core, &link, call, response);
             AttemptResult::Unknown("server is silent".to_owned())
--- a/crates/daemon/src/router/core.rs
+++ b/crates/daemon/src/router/core.rs
@@ -11,13 +11,13 @@
 use parking_lot::Mutex;
 use tokio::sync::Semaphore;
 
-use super::counts::Counts;
-use super::keys::Keys;
 use super::link::Link;
 use super::links::Links;
-use super::memory::Memory;
 use super::pool_queues::PoolQueues;
 use super::queued_request::Wakeup;
+use super::request_table::RequestTable;
+use super::running_counts::RunningCounts;
+use super::sent_keys::SentKeys;
 use super::shutdown::Shutdown;
 use super::slot::Slot;
 use super::stall_monitor::StallMonitor;
@@ -36,10 +36,10 @@
     pub(crate) links: Links,
     pub(crate) limiter: Mutex<Limiter>,
     pub(crate) retry_budget: Mutex<Budget>,
-    pub(crate) memory: Memory,
-    pub(crate) keys: Keys,
+    pub(crate) requests: RequestTable,
+    pub(crate) sent_keys: SentKeys,
     pub(crate) body_memory: Arc<Semaphore>,
-    pub(crate) counts: Counts,
+    pub(crate) running_counts: RunningCounts,
     pub(crate) stall_monitor: StallMonitor,
     pub(crate) shutdown: Shutdown,
 }
@@ -49,7 +49,7 @@
         let limits = &settings.limits;
         let limiter = Limiter::new(limits.queue_per_customer, limits.queue_total);
         let retry_budget = Budget::new(limits.retry_percent);
-        let keys = Keys::new(fleet.member().started_at, settings.retention_ms);
+        let sent_keys = SentKeys::new(fleet.member().started_at, settings.retention_ms);
         Self {
             settings,
             logger,
@@ -58,10 +58,10 @@
             links: Links::default(),
             limiter: Mutex::new(limiter),
             retry_budget: Mutex::new(retry_budget),
-            memory: Memory::default(),
-            keys,
+            requests: RequestTable::default(),
+            sent_keys,
             body_memory: Arc::new(Semaphore::new(BODY_MEMORY_KIB)),
-            counts: Counts::default(),
+            running_counts: RunningCounts::default(),
             stall_monitor: StallMonitor::default(),
             shutdown: Shutdown::default(),
         }
@@ -74,12 +74,12 @@
 
     /// Assigns a reserved slot to the customer's next request; `false` if none is queued.
     pub(crate) fn assign_grant(&self, link: &Arc<Link>, grant: &Grant) -> bool {
-        if link.standing.is_closed() {
+        if link.status.is_excluded() {
             return false;
         }
         let queue = self.queues.get(link.pool);
-        let open = self.links.open(link.pool);
-        while let Some(entry) = queue.pop(grant.customer, link.id, &open) {
+        let eligible = self.links.eligible(link.pool);
+        while let Some(entry) = queue.pop(grant.customer, link.id, &eligible) {
             let now = clock::now();
             self.limiter.lock().remove(entry.customer, true, now);
             let wakeup = Wakeup::Granted(Slot::granted(link, grant.id));
--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -37,11 +37,11 @@
         core,
         call,
         may_have_run: false,
-        waited: false,
-        avoid: None,
+        was_queued: false,
+        failed_server: None,
     };
     let answer = dispatch.run().await;
-    answer.map_err(|refusal| dispatch.refuse(refusal))
+    answer.map_err(|refusal| dispatch.record_refusal(refusal))
 }
 
 struct Dispatch<'a> {
@@ -50,9 +50,9 @@
     /// Whether an attempt may have run.
     may_have_run: bool,
     /// Whether the request has already been admitted to the queue.
-    waited: bool,
+    was_queued: bool,
     /// Server of the last failed attempt.
-    avoid: Option<ServerId>,
+    failed_server: Option<ServerId>,
 }
 
 impl Dispatch<'_> {
@@ -60,30 +60,30 @@
         if self.call.is_expired(clock::now()) {
             return Err(queueing::deadline_passed(self.core, &self.call));
         }
-        let mut at_once = true;
+        let mut try_direct = true;
         loop {
-            let place = self.place(at_once).await?;
+            let place = self.find_slot(try_direct).await?;
             let link = Arc::clone(&place.link);
             let sent = attempt::send(self.core, &self.call, place).await;
             if self.call.attempt.number >= MAX_ATTEMPTS {
                 return Err(unreachable("too many attempts failed"));
             }
-            self.avoid = Some(link.id);
+            self.failed_server = Some(link.id);
             // A server without a free slot rejected the request: queue it instead.
-            at_once = !matches!(
+            try_direct = !matches!(
                 sent,
                 AttemptResult::Rejected(Verdict::Busy | Verdict::Draining, _)
             );
             match sent {
                 AttemptResult::Response(response) => return Ok(response),
-                AttemptResult::Rejected(verdict, after) => {
-                    self.handle_verdict(verdict, after, &link)?;
+                AttemptResult::Rejected(verdict, retry_after) => {
+                    self.handle_verdict(verdict, retry_after, &link)?;
                 }
                 AttemptResult::NotSent(cause) => {
-                    link.standing.exhaust();
-                    self.retry(&cause)?;
+                    link.status.clear_free_slots();
+                    self.withdraw_retry(&cause)?;
                 }
-                AttemptResult::Unknown(cause) => self.lost(&cause)?,
+                AttemptResult::Unknown(cause) => self.handle_lost(&cause)?,
                 AttemptResult::TimedOut => {
                     self.may_have_run = true;
                     return Err(timed_out());
@@ -97,47 +97,50 @@
         }
     }
 
-    /// Selects a server, without queueing if one is expected to have a free slot.
-    async fn place(&mut self, at_once: bool) -> Result<Slot, Refusal> {
+    /// Finds a slot, without queueing if a server is expected to have a free one.
+    async fn find_slot(&mut self, try_direct: bool) -> Result<Slot, Refusal> {
         if let Some(key) = self.call.key {
-            let place = home::place(self.core, &self.call, key, at_once, self.waited).await?;
-            self.waited = true;
+            let place =
+                home::find_slot(self.core, &self.call, key, try_direct, self.was_queued).await?;
+            self.was_queued = true;
             return Ok(place);
         }
         if self.core.settings.policy == Policy::Baseline {
-            return self.baseline().ok_or_else(no_server);
+            return self.baseline_slot().ok_or_else(no_server);
         }
-        if at_once && let Some(place) = self.direct() {
+        if try_direct && let Some(place) = self.take_free_slot() {
             return Ok(place);
         }
-        if !has_server(self.core, self.call.pool) {
+        if !has_active_server(self.core, self.call.pool) {
             return Err(no_server());
         }
-        let waited = std::mem::replace(&mut self.waited, true);
-        if waited {
-            self.core.memory.wait(self.call.attempt.request);
+        let readmit = std::mem::replace(&mut self.was_queued, true);
+        if readmit {
+            self.core.requests.record_queued(self.call.attempt.request);
         }
         let never = std::future::pending();
-        match queueing::wait_for_slot(self.core, &self.call, None, waited, never).await? {
-            WaitResult::Place(place) => Ok(place),
+        match queueing::wait_for_slot(self.core, &self.call, None, readmit, never).await? {
+            WaitResult::Granted(place) => Ok(place),
             WaitResult::HomeChanged => Err(no_server()),
         }
     }
 
-    /// Selects a server expected to have a free slot, unless other requests are queued.
-    fn direct(&self) -> Option<Slot> {
+    /// Takes a slot that is expected to be free, unless other requests are queued.
+    fn take_free_slot(&self) -> Option<Slot> {
         let queue = self.core.queues.get(self.call.pool);
         if !queue.is_empty() {
             return None;
         }
         let mut candidates = candidates(self.core, self.call.pool);
-        candidates.retain(|candidate| Some(candidate.server) != self.avoid);
+        candidates.retain(|candidate| Some(candidate.server) != self.failed_server);
         let server = decide::choose(&candidates, self.call.prompt_prefix)?;
         let link = self.core.links.get(server)?;
-        link.standing.take_free().then(|| Slot::unreserved(&link))
+        link.status
+            .take_free_slot()
+            .then(|| Slot::unreserved(&link))
     }
 
-    fn baseline(&self) -> Option<Slot> {
+    fn baseline_slot(&self) -> Option<Slot> {
         let candidates = candidates(self.core, self.call.pool);
         let server = decide::two_random_choices(&candidates, &mut rand::rng())?;
         let link = self.core.links.get(server)?;
@@ -148,39 +151,39 @@
     fn handle_verdict(
         &mut self,
         verdict: Verdict,
-        after: Option<u32>,
+        retry_after: Option<u32>,
         link: &Arc<Link>,
     ) -> Result<(), Refusal> {
         match verdict {
             // No retry is charged: the request did no work and is queued again.
             Verdict::Busy | Verdict::Draining => {
-                link.standing.exhaust();
+                link.status.clear_free_slots();
                 Ok(())
             }
             Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
             Verdict::Malformed => Err(malformed()),
-            Verdict::Full => Err(keys_full(after)),
-            Verdict::Doubtful => Err(key_doubtful(after)),
+            Verdict::Full => Err(keys_full(retry_after)),
+            Verdict::Doubtful => Err(key_doubtful(retry_after)),
             Verdict::Running => Err(key_used(Outcome::Running)),
             Verdict::Ran => Err(key_used(Outcome::Ran)),
-            Verdict::Broken => self.lost("the server failed"),
+            Verdict::Broken => self.handle_lost("the server failed"),
             Verdict::NotHome | Verdict::Tombstone | Verdict::Unreachable => {
-                self.retry(verdict.as_str())
+                self.withdraw_retry(verdict.as_str())
             }
         }
     }
 
-    /// Handles an attempt that may have run: only idempotent requests are retried.
-    fn lost(&mut self, cause: &str) -> Result<(), Refusal> {
+    /// Handles an attempt that may have run. Only idempotent requests are retried.
+    fn handle_lost(&mut self, cause: &str) -> Result<(), Refusal> {
         self.may_have_run = true;
         if self.call.key.is_some() {
             return Err(outcome_unknown(cause));
         }
-        self.retry(cause)
+        self.withdraw_retry(cause)
     }
 
-    /// Takes a retry from the budget.
-    fn retry(&self, cause: &str) -> Result<(), Refusal> {
+    /// Withdraws a retry from the budget, or refuses the request.
+    fn withdraw_retry(&self, cause: &str) -> Result<(), Refusal> {
         if !self.core.retry_budget.lock().try_withdraw() {
             return Err(unreachable(cause));
         }
@@ -192,21 +195,21 @@
         Ok(())
     }
 
-    /// Sets the refusal's outcome for all attempts of the request, and records it.
-    fn refuse(&self, mut refusal: Refusal) -> Refusal {
+    /// Records a refusal, after setting its outcome for all attempts of the request.
+    fn record_refusal(&self, mut refusal: Refusal) -> Refusal {
         let given = self.call.key.is_some_and(|key| key.from_caller);
         if refusal.outcome == Outcome::NotRun && (self.may_have_run || given) {
             refusal.outcome = Outcome::Unknown;
         }
         self.core
-            .memory
-            .settle(self.call.attempt.request, refusal.outcome);
+            .requests
+            .set_outcome(self.call.attempt.request, refusal.outcome);
         metrics::counter!("refused_total", "code" => refusal.code).increment(1);
-        self.log(&refusal);
+        self.log_refusal(&refusal);
         refusal
     }
 
-    fn log(&self, refusal: &Refusal) {
+    fn log_refusal(&self, refusal: &Refusal) {
         let request = self.call.attempt.request_id();
         let customer = self.call.customer.0;
         let code = refusal.code;
@@ -224,21 +227,22 @@
 }
 
 fn candidates(core: &Core, pool: PoolId) -> Vec<Candidate> {
-    core.links.of(pool, |links| {
-        let open = links.iter().filter(|link| link.standing.is_open());
-        open.map(|link| Candidate {
-            server: link.id,
-            same_zone: link.near,
-            free_slots: link.standing.free(),
-            slots: link.standing.slots(),
-            running: link.standing.running(),
-        })
-        .collect()
+    core.links.with_pool(pool, |links| {
+        let eligible = links.iter().filter(|link| link.status.is_eligible());
+        eligible
+            .map(|link| Candidate {
+                server: link.id,
+                same_zone: link.same_zone,
+                free_slots: link.status.free_slots(),
+                slots: link.status.slots(),
+                running: link.status.running(),
+            })
+            .collect()
     })
 }
 
 /// Whether the pool has a server that accepts new requests.
-fn has_server(core: &Core, pool: PoolId) -> bool {
+fn has_active_server(core: &Core, pool: PoolId) -> bool {
     let view = core.fleet.view();
     let mut servers = view.servers(pool).iter();
     servers.any(|server| server.state == State::Active && !core.fleet.is_leaving(&server.name))
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -18,46 +18,46 @@
 
 /// Finds a slot on the key's home server, after every former home has confirmed a
 /// withdrawal of the key.
-pub(crate) async fn place(
+pub(crate) async fn find_slot(
     core: &Arc<Core>,
     call: &Call,
     key: IdempotencyKey,
-    mut at_once: bool,
-    mut again: bool,
+    mut try_direct: bool,
+    mut readmit: bool,
 ) -> Result<Slot, Refusal> {
     loop {
         let homes = homes(core, call, key);
         if key.from_caller {
-            for former in &homes.former {
-                withdraw(core, call, key, *former).await?;
+            for former_home in &homes.former {
+                withdraw(core, call, key, *former_home).await?;
             }
         }
-        let current = homes.current.ok_or_else(no_server)?;
-        let link = link(core, current).ok_or_else(no_server)?;
+        let home = homes.current.ok_or_else(no_server)?;
+        let link = open_link(core, home).ok_or_else(no_server)?;
         let baseline = core.settings.policy == Policy::Baseline;
-        if baseline || at_once && take_free(core, call, &link) {
+        if baseline || try_direct && take_free_slot(core, call, &link) {
             return Ok(Slot::unreserved(&link));
         }
-        let home_lost = home_lost(core, call, key, &link);
-        match queueing::wait_for_slot(core, call, Some(current), again, home_lost).await? {
-            WaitResult::Place(place) => return Ok(place),
-            WaitResult::HomeChanged => (at_once, again) = (true, true),
+        let home_changed = wait_home_change(core, call, key, &link);
+        match queueing::wait_for_slot(core, call, Some(home), readmit, home_changed).await? {
+            WaitResult::Granted(place) => return Ok(place),
+            WaitResult::HomeChanged => (try_direct, readmit) = (true, true),
         }
     }
 }
 
-/// Takes a slot that should be free, unless other requests are queued. The baseline
-/// policy has no queue in the router.
-fn take_free(core: &Core, call: &Call, link: &Link) -> bool {
+/// Takes a slot that is expected to be free, unless other requests are queued. The
+/// baseline policy does not queue in the router.
+fn take_free_slot(core: &Core, call: &Call, link: &Link) -> bool {
     if core.settings.policy == Policy::Baseline {
-        return link.standing.is_open();
+        return link.status.is_eligible();
     }
     let queue_is_empty = core.queues.get(call.pool).is_empty();
-    queue_is_empty && link.standing.is_open() && link.standing.take_free()
+    queue_is_empty && link.status.is_eligible() && link.status.take_free_slot()
 }
 
 /// Resolves when the key's home has changed or its sidecar no longer responds.
-async fn home_lost(
+async fn wait_home_change(
     core: &Arc<Core>,
     call: &Call,
     key: IdempotencyKey,
@@ -66,7 +66,7 @@
     let mut revision = core.fleet.watch();
     loop {
         tokio::select! {
-            () = link.wait_silent() => return Err(home_unresponsive()),
+            () = link.wait_unresponsive() => return Err(home_unresponsive()),
             changed = revision.changed() => if changed.is_err() {
                 return Err(home_unresponsive());
             }
@@ -88,10 +88,10 @@
     home::find(servers, key.id, clock::now(), core.settings.retention_ms)
 }
 
-fn link(core: &Arc<Core>, server: ServerId) -> Option<Arc<Link>> {
+fn open_link(core: &Arc<Core>, server: ServerId) -> Option<Arc<Link>> {
     let view = core.fleet.view();
     let server = view.server(server)?;
-    Some(core.links.require(core, server))
+    Some(core.links.get_or_open(core, server))
 }
 
 /// Prevents the key from starting on a former home. The key is recorded as sent
@@ -100,11 +100,11 @@
     core: &Arc<Core>,
     call: &Call,
     key: IdempotencyKey,
-    former: ServerId,
+    former_home: ServerId,
 ) -> Result<(), Refusal> {
-    let link = link(core, former).ok_or_else(|| key_doubtful(None))?;
-    link.wait_control().await;
-    core.keys.remember(former, key.id, clock::now());
+    let link = open_link(core, former_home).ok_or_else(|| key_doubtful(None))?;
+    link.wait_connected().await;
+    core.sent_keys.record(former_home, key.id, clock::now());
     let withdrawal = link.withdraw(call.attempt, Some(key.id)).await;
     let withdrawal = withdrawal.map_err(|_| key_doubtful(None))?;
     match withdrawal.outcome {
--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -12,7 +12,7 @@
 
 /// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// Its request id.
     pub request: String,
     /// Name of its customer.
@@ -25,7 +25,7 @@
     pub deadline: Millis,
     /// When it arrived.
     pub since: Millis,
-    /// Requests of the same customer and pool that go before it at this router.
+    /// Requests ahead of it in its subqueue at this router.
     pub position: usize,
     /// The server it is pinned to, if any.
     pub server: Option<String>,
@@ -40,14 +40,14 @@
     pub name: String,
     /// Its weight.
     pub share: u32,
-    /// Requests queued here.
+    /// Requests queued at this router.
     pub waiting: u32,
     /// Running requests sent by this router.
     pub running: u32,
     /// Service over the whole fleet, as far as known, in tokens.
     pub served: u64,
     /// Service per share, by which customers are compared.
-    pub weighted: f64,
+    pub served_per_share: f64,
 }
 
 /// A sidecar as seen by this router.
@@ -60,7 +60,7 @@
     /// Whether its sidecar responds.
     pub up: bool,
     /// Whether it gets no new requests, by configuration or VM list.
-    pub closed: bool,
+    pub excluded: bool,
     /// Whether its sidecar refuses new requests.
     pub draining: bool,
     /// Slots expected to be free.
@@ -74,7 +74,7 @@
     /// Instance of its sidecar.
     pub incarnation: Option<Incarnation>,
     /// When a message was last received from it.
-    pub heard_at: Millis,
+    pub last_response_at: Millis,
 }
 
 /// A handle for inspecting a running router.
@@ -97,31 +97,31 @@
         !stopping && self.core.fleet.view().revision() > 0
     }
 
-    /// Every request queued here.
+    /// Every request queued at this router.
     #[must_use]
-    pub fn waiting(&self) -> Vec<Waiting> {
-        let mut all = Vec::new();
+    pub fn waiting_requests(&self) -> Vec<WaitingRequest> {
+        let mut requests = Vec::new();
         for pool_queue in self.core.queues.all() {
-            pool_queue.read(|queue| {
-                for (_, waiting) in queue.iter() {
-                    let pinned = waiting.pinned_server;
+            pool_queue.with_queue(|queue| {
+                for (_, entry) in queue.iter() {
+                    let pinned = entry.pinned_server;
                     let server = pinned.and_then(|server| self.core.links.get(server));
                     let server = server.map(|link| link.server.name.clone());
-                    all.push(Waiting {
-                        request: waiting.payload.attempt.request_id(),
-                        customer: self.customer_name(waiting.customer),
+                    requests.push(WaitingRequest {
+                        request: entry.payload.attempt.request_id(),
+                        customer: self.customer_name(entry.customer),
                         pool: self.pool_name(pool_queue.pool),
-                        class: waiting.class,
-                        deadline: waiting.deadline,
-                        since: waiting.arrived_at,
-                        position: queue.position(waiting),
+                        class: entry.class,
+                        deadline: entry.deadline,
+                        since: entry.arrived_at,
+                        position: queue.position(entry),
                         waits_for: waits_for(server.as_deref()),
                         server,
                     });
                 }
             });
         }
-        all
+        requests
     }
 
     /// Every configured customer.
@@ -133,21 +133,21 @@
         for usage in totals {
             *served.entry(usage.customer).or_default() += usage.tokens;
         }
-        let limit = self.core.limiter.lock();
+        let limiter = self.core.limiter.lock();
         let customers = view.customers().map(|(id, customer)| {
             let served = served.get(&id).copied().unwrap_or(0);
             Customer {
                 name: customer.name.clone(),
                 share: customer.share,
-                waiting: limit.waiting(id),
-                running: self.core.counts.running(id),
+                waiting: limiter.waiting(id),
+                running: self.core.running_counts.get(id),
                 served,
-                #[expect(clippy::cast_precision_loss, reason = "for people to compare")]
-                weighted: served as f64 / f64::from(customer.share.max(1)),
+                #[expect(clippy::cast_precision_loss, reason = "shown to operators only")]
+                served_per_share: served as f64 / f64::from(customer.share.max(1)),
             }
         });
         let mut customers: Vec<Customer> = customers.collect();
-        customers.sort_by(|one, other| one.name.cmp(&other.name));
+        customers.sort_by(|a, b| a.name.cmp(&b.name));
         customers
     }
 
@@ -156,7 +156,7 @@
     pub fn servers(&self) -> Vec<Server> {
         let links = self.core.links.all();
         let mut servers: Vec<Server> = links.iter().map(|link| server(link)).collect();
-        servers.sort_by(|one, other| one.name.cmp(&other.name));
+        servers.sort_by(|a, b| a.name.cmp(&b.name));
         servers
     }
 
@@ -181,18 +181,18 @@
 }
 
 fn server(link: &Link) -> Server {
-    let load = link.standing.load();
+    let load = link.status.load();
     Server {
         name: link.server.name.clone(),
         pool: link.server.pool.clone(),
-        up: link.standing.is_up(),
-        closed: link.standing.is_closed(),
+        up: link.status.is_up(),
+        excluded: link.status.is_excluded(),
         draining: load.is_some_and(|load| load.draining),
-        free: link.standing.free(),
-        slots: link.standing.slots(),
-        running: link.standing.running(),
+        free: link.status.free_slots(),
+        slots: link.status.slots(),
+        running: link.status.running(),
         revision: load.map_or(0, |load| load.revision),
         incarnation: load.map(|load| load.incarnation),
-        heard_at: link.standing.heard_at(),
+        last_response_at: link.status.last_response_at(),
     }
 }
--- a/crates/daemon/src/router/link.rs
+++ b/crates/daemon/src/router/link.rs
@@ -2,10 +2,10 @@
 
 mod config_sync;
 mod control;
-mod data;
+mod data_connection;
 mod error;
 mod session;
-mod standing;
+mod status;
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,12 +19,12 @@
 
 use super::core::Core;
 use crate::clock;
-use data::Data;
+use data_connection::DataConnection;
 pub(crate) use error::Error;
-use standing::Standing;
+use status::Status;
 
 /// Missed heartbeats after which a sidecar counts as unresponsive.
-const SILENT_HEARTBEATS: u32 = 3;
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
 /// A sidecar that the router is connected or connecting to.
 #[derive(Debug)]
@@ -33,13 +33,14 @@
     pub(crate) pool: PoolId,
     pub(crate) server: Arc<Server>,
     /// Whether it is in the router's availability zone.
-    pub(crate) near: bool,
-    pub(crate) standing: Standing,
-    pub(crate) data: Data,
+    pub(crate) same_zone: bool,
+    pub(crate) status: Status,
+    pub(crate) data: DataConnection,
     heartbeat: Duration,
-    control: ArcSwapOption<SidecarClient>,
-    linked: watch::Sender<bool>,
-    reconsider: Notify,
+    client: ArcSwapOption<SidecarClient>,
+    connected: watch::Sender<bool>,
+    /// Triggers a declaration that considers all customers.
+    reevaluate: Notify,
     cancel: CancellationToken,
 }
 
@@ -51,16 +52,16 @@
             id: ServerId::of(&server.name),
             pool: PoolId::of(&server.pool),
             server: Arc::clone(server),
-            near: server.zone == core.settings.zone,
-            standing: Standing::default(),
-            data: Data::new(server.data, heartbeat),
+            same_zone: server.zone == core.settings.zone,
+            status: Status::default(),
+            data: DataConnection::new(server.data, heartbeat),
             heartbeat,
-            control: ArcSwapOption::empty(),
-            linked: watch::Sender::new(false),
-            reconsider: Notify::new(),
+            client: ArcSwapOption::empty(),
+            connected: watch::Sender::new(false),
+            reevaluate: Notify::new(),
             cancel: CancellationToken::new(),
         });
-        link.standing.start_timeout(clock::now());
+        link.status.start_timeout(clock::now());
         tokio::spawn(session::run(Arc::clone(core), Arc::clone(&link)));
         link
     }
@@ -70,47 +71,47 @@
         self.cancel.cancel();
     }
 
-    /// Sets whether the server is closed to new work by configuration or VM list.
-    pub(crate) fn set_closed(&self, closed: bool) {
-        if self.standing.closed.swap(closed, Ordering::Relaxed) != closed {
-            self.reconsider.notify_one();
+    /// Sets whether configuration or VM list exclude the server from new requests.
+    pub(crate) fn set_excluded(&self, excluded: bool) {
+        if self.status.excluded.swap(excluded, Ordering::Relaxed) != excluded {
+            self.reevaluate.notify_one();
         }
     }
 
     /// Waits until the control link is connected or the sidecar is unresponsive.
-    pub(crate) async fn wait_control(&self) {
-        let mut linked = self.linked.subscribe();
+    pub(crate) async fn wait_connected(&self) {
+        let mut connected = self.connected.subscribe();
         tokio::select! {
-            _ = linked.wait_for(|linked| *linked) => {}
-            () = self.wait_silent() => {}
+            _ = connected.wait_for(|connected| *connected) => {}
+            () = self.wait_unresponsive() => {}
         }
     }
 
     /// Waits until the sidecar is unresponsive. It may be frozen or partitioned, and
     /// its requests may still be running.
-    pub(crate) async fn wait_silent(&self) {
-        let timeout = self.heartbeat * (SILENT_HEARTBEATS + 1);
+    pub(crate) async fn wait_unresponsive(&self) {
+        let timeout = self.heartbeat * (MAX_MISSED_HEARTBEATS + 1);
         let timeout = u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX);
         loop {
-            let heard_at = self.standing.heard_at();
-            let expires_at = heard_at.saturating_add(timeout);
+            let last_response_at = self.status.last_response_at();
+            let expires_at = last_response_at.saturating_add(timeout);
             tokio::time::sleep_until(clock::instant(expires_at)).await;
             // This process may itself have been suspended: allow time to read
             // responses that have arrived meanwhile.
             tokio::time::sleep(self.heartbeat / 4).await;
-            if self.standing.heard_at() == heard_at {
+            if self.status.last_response_at() == last_response_at {
                 return;
             }
         }
     }
 
-    fn set_control(&self, client: Option<SidecarClient>) {
-        let is_linked = client.is_some();
-        self.control.store(client.map(Arc::new));
-        self.linked.send_replace(is_linked);
+    fn set_client(&self, client: Option<SidecarClient>) {
+        let is_connected = client.is_some();
+        self.client.store(client.map(Arc::new));
+        self.connected.send_replace(is_connected);
     }
 
-    fn set_up(&self, up: bool) {
-        self.standing.up.store(up, Ordering::Relaxed);
+    fn set_is_up(&self, up: bool) {
+        self.status.up.store(up, Ordering::Relaxed);
     }
 }
--- a/crates/daemon/src/router/operators/waiting.rs
+++ b/crates/daemon/src/router/operator_api/waiting.rs
@@ -12,11 +12,11 @@
 const MAX_NAMED: usize = 3;
 
 /// Answers a query on waiting requests.
-pub(crate) fn answer(router: &str, inspect: &Inspector, query: &command::Waiting) -> WaitingList {
-    let requests = inspect.waiting();
-    let servers = inspect.servers();
-    let counters = counters(&inspect.customers(), &requests);
-    let mut matching: Vec<&inspect::Waiting> = requests
+pub(crate) fn answer(router: &str, inspector: &Inspector, query: &command::Waiting) -> WaitingList {
+    let requests = inspector.waiting_requests();
+    let servers = inspector.servers();
+    let counters = counters(&inspector.customers(), &requests);
+    let mut matching: Vec<&inspect::WaitingRequest> = requests
         .iter()
         .filter(|request| matches_query(request, query, &servers))
         .collect();
@@ -28,9 +28,9 @@
         router: router.to_owned(),
         requests: listed
             .map(|request| {
-                waiter(
+                describe(
                     request,
-                    &contenders(&request.pool, &counters, &requests),
+                    &service_order(&request.pool, &counters, &requests),
                     &servers,
                 )
             })
@@ -41,22 +41,26 @@
     }
 }
 
-fn matches_query(request: &inspect::Waiting, query: &command::Waiting, servers: &[Server]) -> bool {
+fn matches_query(
+    request: &inspect::WaitingRequest,
+    query: &command::Waiting,
+    servers: &[Server],
+) -> bool {
     let customer = query.customer.as_ref();
     let id = query.request.as_ref();
-    let of_customer = customer.is_none_or(|name| *name == request.customer);
-    let of_id = id.is_none_or(|id| *id == request.request);
-    let of_server = query.server.as_ref().is_none_or(|name| {
+    let customer_matches = customer.is_none_or(|name| *name == request.customer);
+    let id_matches = id.is_none_or(|id| *id == request.request);
+    let server_matches = query.server.as_ref().is_none_or(|name| {
         let server = servers.iter().find(|server| server.name == *name);
         let pinned = request.server.as_ref();
         server.is_some_and(|server| server.pool == request.pool)
             && pinned.is_none_or(|pinned| pinned == name)
     });
-    of_customer && of_id && of_server
+    customer_matches && id_matches && server_matches
 }
 
 /// Returns the customers with waiting requests in the order of service.
-fn counters(customers: &[Customer], requests: &[inspect::Waiting]) -> Vec<CustomerQueue> {
+fn counters(customers: &[Customer], requests: &[inspect::WaitingRequest]) -> Vec<CustomerQueue> {
     let mut waiting: BTreeMap<&str, ([u64; 3], u64)> = BTreeMap::new();
     for request in requests {
         let (classes, since) = waiting
@@ -72,7 +76,7 @@
             share: customer.share,
             waiting: *classes,
             service: customer.served,
-            per_share: customer.weighted,
+            per_share: customer.served_per_share,
             since: *since,
         })
     });
@@ -82,20 +86,24 @@
 }
 
 /// Returns the customers with waiting requests for a pool in the order of service.
-fn contenders<'a>(
+fn service_order<'a>(
     pool: &str,
     counters: &'a [CustomerQueue],
-    requests: &[inspect::Waiting],
+    requests: &[inspect::WaitingRequest],
 ) -> Vec<&'a str> {
     let names = counters.iter().map(|counter| counter.customer.as_str());
     let waits = |name: &&str| {
-        let mut of_pool = requests.iter().filter(|request| request.pool == pool);
-        of_pool.any(|request| request.customer == *name)
+        let mut pool_requests = requests.iter().filter(|request| request.pool == pool);
+        pool_requests.any(|request| request.customer == *name)
     };
     names.filter(waits).collect()
 }
 
-fn waiter(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> WaitingRequest {
+fn describe(
+    request: &inspect::WaitingRequest,
+    service_order: &[&str],
+    servers: &[Server],
+) -> WaitingRequest {
     WaitingRequest {
         request: request.request.clone(),
         customer: request.customer.clone(),
@@ -104,55 +112,57 @@
         position: u64::try_from(request.position).unwrap_or(u64::MAX) + 1,
         since: request.since,
         deadline: request.deadline,
-        reason: reason(request, contenders, servers),
+        reason: reason(request, service_order, servers),
     }
 }
 
-fn reason(request: &inspect::Waiting, contenders: &[&str], servers: &[Server]) -> String {
+fn reason(request: &inspect::WaitingRequest, service_order: &[&str], servers: &[Server]) -> String {
     let pool = servers.iter().filter(|server| server.pool == request.pool);
     let pool: Vec<&Server> = pool.collect();
     if let Some(home) = &request.server {
         return match pool.iter().find(|server| server.name == *home) {
-            Some(server) if server.up && !server.closed => {
+            Some(server) if server.up && !server.excluded => {
                 format!(
                     "a free slot at {home}, the home of its key ({})",
-                    slots(&[*server])
+                    slot_usage(&[*server])
                 )
             }
             _ => format!("{home}, the home of its key, to take work again"),
         };
     }
-    let open = pool
+    let eligible = pool
         .into_iter()
-        .filter(|server| server.up && !server.closed);
-    let open: Vec<&Server> = open.collect();
-    if open.is_empty() {
+        .filter(|server| server.up && !server.excluded);
+    let eligible: Vec<&Server> = eligible.collect();
+    if eligible.is_empty() {
         return format!("a server of pool {} to take work", request.pool);
     }
     format!(
         "a free slot ({}); {}",
-        slots(&open),
-        queue_position(request, contenders)
+        slot_usage(&eligible),
+        queue_position(request, service_order)
     )
 }
 
-fn slots(servers: &[&Server]) -> String {
+fn slot_usage(servers: &[&Server]) -> String {
     let all: u32 = servers.iter().map(|server| server.slots).sum();
     let free: u32 = servers.iter().map(|server| server.free).sum();
     format!("{} of {all} busy", all.saturating_sub(free))
 }
 
 /// Describes which requests and customers come before the request.
-fn queue_position(request: &inspect::Waiting, contenders: &[&str]) -> String {
+fn queue_position(request: &inspect::WaitingRequest, service_order: &[&str]) -> String {
     let first = match request.position {
         0 => "it is its customer's next".to_owned(),
         count => format!("{count} of its customer's are before it"),
     };
-    if contenders.len() < 2 {
+    if service_order.len() < 2 {
         return format!("{first}; no other customer waits");
     }
-    let own = contenders.iter().position(|name| *name == request.customer);
-    let before = &contenders[..own.unwrap_or(0)];
+    let own = service_order
+        .iter()
+        .position(|name| *name == request.customer);
+    let before = &service_order[..own.unwrap_or(0)];
     if before.is_empty() {
         return format!("{first}; its customer has the least service per share");
     }
--- a/crates/daemon/src/router/pool_queue.rs
+++ b/crates/daemon/src/router/pool_queue.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use super::look::Look;
+use super::demand_selector::DemandSelector;
 use super::queued_request::QueuedRequest;
 
 #[derive(Debug, Default)]
@@ -63,21 +63,21 @@
         Some(entry)
     }
 
-    /// Removes the customer's next request for `server`, given the pool's open servers.
+    /// Removes the customer's next request for `server`, given the pool's eligible servers.
     pub(crate) fn pop(
         &self,
         customer: CustomerId,
         server: ServerId,
-        open: &[ServerId],
+        eligible: &[ServerId],
     ) -> Option<Entry<QueuedRequest>> {
-        let prefers_server = |request: &QueuedRequest| {
+        let is_cached = |request: &QueuedRequest| {
             let preferred = request
                 .prefix
-                .and_then(|prefix| prefix.preferred_server(open.iter().copied()));
+                .and_then(|prefix| prefix.preferred_server(eligible.iter().copied()));
             preferred == Some(server)
         };
         let mut state = self.state.lock();
-        let entry = state.queue.pop(customer, server, prefers_server)?;
+        let entry = state.queue.pop(customer, server, is_cached)?;
         let number = state.changes.record(customer);
         drop(state);
         self.changed.send_replace(number);
@@ -105,13 +105,17 @@
     }
 
     /// Returns the demand to declare to a sidecar: of every customer, or of those
-    /// changed since `seen`. Sets `seen` to the latest change.
-    pub(crate) fn interest(&self, seen: &mut u64, look: &Look<'_>) -> Vec<Interest> {
+    /// changed since `last_seen`. Sets `last_seen` to the latest change.
+    pub(crate) fn interest(
+        &self,
+        last_seen: &mut u64,
+        selector: &DemandSelector<'_>,
+    ) -> Vec<Interest> {
         let state = self.state.lock();
-        let since = std::mem::replace(seen, state.changes.latest());
-        let mut customers: Vec<CustomerId> = if look.all {
+        let since = std::mem::replace(last_seen, state.changes.latest());
+        let mut customers: Vec<CustomerId> = if selector.all_customers {
             let waiting = state.queue.customers();
-            waiting.chain(look.declared.customers()).collect()
+            waiting.chain(selector.declared.customers()).collect()
         } else {
             state.changes.since(since).collect()
         };
@@ -119,31 +123,31 @@
         customers.dedup();
         let interest = customers.into_iter();
         interest
-            .map(|customer| look.interest(&state.queue, customer))
+            .map(|customer| selector.interest(&state.queue, customer))
             .collect()
     }
 
-    /// Records a change for customers whose demand has to be declared to more sidecars,
-    /// because a request has waited for another doubling interval since `before`.
+    /// Records a change for customers whose fan-out has doubled since `before`, because
+    /// of the time that a request has waited.
     pub(crate) fn record_fanout_growth(&self, before: Millis, now: Millis) {
         let mut state = self.state.lock();
-        let steps = |since: Millis, at: Millis| at.saturating_sub(since) / FANOUT_DOUBLING_MS;
+        let doublings = |since: Millis, at: Millis| at.saturating_sub(since) / FANOUT_DOUBLING_MS;
         let entries = state.queue.iter().map(|(_, entry)| entry);
-        let due =
-            entries.filter(|entry| steps(entry.arrived_at, before) < steps(entry.arrived_at, now));
+        let due = entries
+            .filter(|entry| doublings(entry.arrived_at, before) < doublings(entry.arrived_at, now));
         let customers: HashSet<CustomerId> = due.map(|entry| entry.customer).collect();
-        let marked = customers
+        let numbers = customers
             .into_iter()
             .map(|customer| state.changes.record(customer));
-        let Some(number) = marked.last() else {
+        let Some(number) = numbers.last() else {
             return;
         };
         drop(state);
         self.changed.send_replace(number);
     }
 
-    /// Calls `read` with the queue locked.
-    pub(crate) fn read<T>(&self, read: impl FnOnce(&Queue<QueuedRequest>) -> T) -> T {
-        read(&self.state.lock().queue)
+    /// Calls `f` with the queue locked.
+    pub(crate) fn with_queue<T>(&self, f: impl FnOnce(&Queue<QueuedRequest>) -> T) -> T {
+        f(&self.state.lock().queue)
     }
 }
--- a/crates/daemon/src/router/role.rs
+++ b/crates/daemon/src/router/role.rs
@@ -16,7 +16,7 @@
 use super::error::Error;
 use super::inspect::Inspector;
 use super::listener::Listener;
-use super::{links, operators, outcome};
+use super::{links, operator_api, outcome};
 use crate::fleet::{Fleet, LocalRequests};
 use crate::operator::Api;
 
@@ -57,8 +57,8 @@
             .set_local_requests(Arc::new(RouterRequests(Arc::clone(&core))));
         let listener = Listener::bind(&core).await?;
         let address = listener.address()?;
-        let operators = operators::bind(&core).await?;
-        let links_task = tokio::spawn(links::keep(Arc::clone(&core)));
+        let operators = operator_api::bind(&core).await?;
+        let links_task = tokio::spawn(links::run(Arc::clone(&core)));
         let listener_task = tokio::spawn(listener.run());
         log!(core.logger, Event::Ready,
             "role" => "router", "callers" => address.to_string());
@@ -103,7 +103,7 @@
         let drain = Duration::from_millis(core.settings.drain_ms);
         let started_at = Instant::now();
         let deadline = started_at + drain;
-        log!(core.logger, Event::Stopping, "running" => core.counts.total());
+        log!(core.logger, Event::Stopping, "running" => core.running_counts.total());
         shutdown.refuse.cancel();
         let refuse_period = REFUSE_PERIOD.min(drain / REFUSE_DIVISOR);
         sleep_until(started_at + refuse_period).await;
@@ -126,7 +126,7 @@
         let _ = self.links_task.await;
         self.operators.stop().await;
         core.fleet.stop().await;
-        log!(core.logger, Event::Stopped, "cut" => core.counts.total());
+        log!(core.logger, Event::Stopped, "cut" => core.running_counts.total());
     }
 }
 
@@ -140,6 +140,6 @@
     }
 
     fn keys(&self, server: ServerId, since: Millis) -> (Millis, Vec<KeyId>) {
-        self.0.keys.since(server, since)
+        self.0.sent_keys.for_peer(server, since)
     }
 }
--- a/crates/daemon/src/router/service.rs
+++ b/crates/daemon/src/router/service.rs
@@ -56,7 +56,7 @@
 async fn forward(core: &Arc<Core>, request: Request<Incoming>) -> Response<ResponseBody> {
     let attempt = Attempt {
         origin: core.incarnation(),
-        request: core.memory.open(),
+        request: core.requests.insert(),
         number: 0,
     };
     metrics::counter!("requests_total").increment(1);
@@ -81,7 +81,7 @@
 
 /// Records a refusal of a request that failed validation.
 fn record_refusal(core: &Core, attempt: Attempt, refusal: Refusal) -> Refusal {
-    core.memory.settle(attempt.request, Outcome::NotRun);
+    core.requests.set_outcome(attempt.request, Outcome::NotRun);
     metrics::counter!("refused_total", "code" => refusal.code).increment(1);
     log!(core.logger, Event::Refused,
         "request" => attempt.request_id(),
--- a/crates/daemon/tests/router/main.rs
+++ b/crates/daemon/tests/router/main.rs
@@ -1,12 +1,11 @@
 //! The router role against scripted sidecars.
 
 mod caller;
-mod fake;
+mod fake_sidecar;
 mod fleet;
-
 mod key;
 mod outcome;
 mod queue_limit;
+mod queueing;
 mod request;
 mod shutdown;
-mod waiting;
--- a/crates/daemon/tests/router/outcome.rs
+++ b/crates/daemon/tests/router/outcome.rs
@@ -8,12 +8,12 @@
 use serde_json::{Value, json};
 
 use crate::caller::{FullResponse, completion, post, read_response, receive_head, send, spawn};
-use crate::fake::{Act, Fake};
+use crate::fake_sidecar::{Behavior, FakeSidecar};
 use crate::fleet::{Fleet, MODEL, SERVICE};
 
-async fn spawn_pair(pool: &str, changes: &Value) -> (Fake, Fake, Fleet) {
-    let first = Fake::bind("s1", pool, 4).await;
-    let second = Fake::bind("s2", pool, 4).await;
+async fn spawn_pair(pool: &str, changes: &Value) -> (FakeSidecar, FakeSidecar, Fleet) {
+    let first = FakeSidecar::bind("s1", pool, 4).await;
+    let second = FakeSidecar::bind("s2", pool, 4).await;
     let fleet = Fleet::spawn(&[&first, &second], changes).await;
     (first, second, fleet)
 }
@@ -35,9 +35,9 @@
 #[gtest]
 #[tokio::test]
 async fn truncated_response_ends_with_an_error() {
-    let fake = Fake::bind("s1", MODEL, 4).await;
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-    fake.then(Act::Break("data: 1\n\n"));
+    fake.on_next_request(Behavior::Abort("data: 1\n\n"));
     let response = receive_head(fleet.address(), completion()).await;
     fake.release();
     let response = read_response(response).await;
@@ -51,9 +51,9 @@
 #[gtest]
 #[tokio::test]
 async fn response_of_known_length_completes_before_the_stream_ends() {
-    let fake = Fake::bind("s1", MODEL, 4).await;
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-    fake.then(Act::Told("whole"));
+    fake.on_next_request(Behavior::HoldEnd("whole"));
     let response = send(fleet.address(), completion()).await;
     expect_that!(response.body.as_deref(), ok(eq("whole")));
     expect_that!(outcome(&fleet, &response).await, eq("ran"));
@@ -64,17 +64,18 @@
 #[tokio::test]
 async fn idempotent_requests_are_retried() {
     let rows = [
-        Act::Verdict(Verdict::Unreachable),
-        Act::Verdict(Verdict::Tombstone),
-        Act::Verdict(Verdict::Broken),
+        Behavior::Verdict(Verdict::Unreachable),
+        Behavior::Verdict(Verdict::Tombstone),
+        Behavior::Verdict(Verdict::Broken),
     ];
     for act in rows {
-        let fake = Fake::bind("s1", MODEL, 4).await;
+        let fake = FakeSidecar::bind("s1", MODEL, 4).await;
         let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-        fake.then(act.clone());
+        fake.on_next_request(act.clone());
         let caller = spawn(fleet.address(), completion());
-        fake.declared(crate::fleet::customer(), [0, 1, 0]).await;
-        fake.grant(1, crate::fleet::customer());
+        fake.wait_declared(crate::fleet::customer_id(), [0, 1, 0])
+            .await;
+        fake.grant(1, crate::fleet::customer_id());
         let response = caller.await.unwrap();
         expect_that!(response.status.as_u16(), eq(200), "{act:?}");
         expect_that!(outcome(&fleet, &response).await, eq("ran"), "{act:?}");
@@ -89,10 +90,10 @@
         (Verdict::Tombstone, "not-run"),
         (Verdict::Broken, "unknown"),
     ];
-    let fake = Fake::bind("s1", MODEL, 4).await;
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"limits": {"retry_percent": 0}})).await;
     for (verdict, expected) in rows {
-        fake.then(Act::Verdict(verdict));
+        fake.on_next_request(Behavior::Verdict(verdict));
         let response = send(fleet.address(), completion()).await;
         let refusal = (503, "unreachable".to_owned(), expected);
         expect_that!(response.refusal(), eq(&refusal), "{verdict:?}");
@@ -103,50 +104,53 @@
 #[tokio::test]
 async fn idempotent_request_on_an_unresponsive_server_is_retried_and_withdrawn() {
     let (mut first, mut second, fleet) = spawn_pair(MODEL, &json!({})).await;
-    first.then(Act::Silence);
-    second.then(Act::Silence);
+    first.on_next_request(Behavior::NoResponse);
+    second.on_next_request(Behavior::NoResponse);
     let caller = spawn(fleet.address(), completion());
     let (frozen, other, first_ticket) = tokio::select! {
-        arrival = first.arrival() => (&first, &mut second, arrival.ticket),
-        arrival = second.arrival() => (&second, &mut first, arrival.ticket),
+        arrival = first.next_request() => (&first, &mut second, arrival.ticket),
+        arrival = second.next_request() => (&second, &mut first, arrival.ticket),
     };
-    other.clear();
-    frozen.freeze(true);
+    other.clear_behaviors();
+    frozen.set_frozen(true);
     let response = caller.await.unwrap();
     expect_that!(response.body, ok(eq("ok")));
-    let second_ticket = other.arrival().await.ticket;
+    let second_ticket = other.next_request().await.ticket;
     expect_that!(second_ticket.attempt, eq(first_ticket.attempt.next()));
     // The first attempt is withdrawn once its server responds again.
-    frozen.freeze(false);
-    expect_that!(frozen.withdrawn().await, eq((first_ticket.attempt, None)));
+    frozen.set_frozen(false);
+    expect_that!(
+        frozen.wait_withdrawn().await,
+        eq((first_ticket.attempt, None))
+    );
 }
 
 #[gtest]
 #[tokio::test]
 async fn non_idempotent_request_on_an_unresponsive_server_has_unknown_outcome() {
-    let mut fake = Fake::bind("b1", SERVICE, 4).await;
+    let mut fake = FakeSidecar::bind("b1", SERVICE, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-    fake.then(Act::Silence);
+    fake.on_next_request(Behavior::NoResponse);
     let caller = spawn(fleet.address(), post("/slots", "book"));
-    fake.arrival().await;
-    fake.freeze(true);
+    fake.next_request().await;
+    fake.set_frozen(true);
     let response = caller.await.unwrap();
     let refusal = (502, "outcome_unknown".to_owned(), "unknown");
     expect_that!(response.refusal(), eq(&refusal));
-    expect_that!(fake.unread(), eq(0));
+    expect_that!(fake.drain_requests(), eq(0));
     // Once the server responds again, the withdrawal settles the outcome.
     fake.set_withdrawal(Outcome::NotRun, false);
-    fake.freeze(false);
-    fake.withdrawn().await;
-    fleet.connected(1).await;
+    fake.set_frozen(false);
+    fake.wait_withdrawn().await;
+    fleet.wait_connected(1).await;
     expect_that!(outcome(&fleet, &response).await, eq("not-run"));
 }
 
 #[gtest]
 #[tokio::test]
 async fn connect_failure_is_reported_as_not_run() {
-    let fake = Fake::bind("s1", MODEL, 4).await;
-    fake.close_data();
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
+    fake.close_data_port();
     let fleet = Fleet::spawn(&[&fake], &json!({"limits": {"retry_percent": 0}})).await;
     let response = send(fleet.address(), completion()).await;
     let refusal = (503, "unreachable".to_owned(), "not-run");
@@ -156,7 +160,7 @@
 #[gtest]
 #[tokio::test]
 async fn unknown_request_ids_have_no_known_outcome() {
-    let fake = Fake::bind("s1", MODEL, 4).await;
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let response = send(fleet.address(), completion()).await;
     let id = response.header("x-request-id").to_owned();
@@ -174,15 +178,15 @@
 #[tokio::test]
 async fn disconnect_after_the_last_frame_counts_as_completed() {
     let rows = [
-        (Act::Break("data: 1\n\ndata: [DONE]\n\n"), "ran"),
-        (Act::Break("data: 1\n\n"), "unknown"),
-        (Act::Sized(6, "answer"), "ran"),
-        (Act::Sized(7, "answer"), "unknown"),
+        (Behavior::Abort("data: 1\n\ndata: [DONE]\n\n"), "ran"),
+        (Behavior::Abort("data: 1\n\n"), "unknown"),
+        (Behavior::AbortWithLength(6, "answer"), "ran"),
+        (Behavior::AbortWithLength(7, "answer"), "unknown"),
     ];
     for (act, expected) in rows {
-        let mut fake = Fake::bind("s1", MODEL, 4).await;
+        let mut fake = FakeSidecar::bind("s1", MODEL, 4).await;
         let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-        fake.then(act.clone());
+        fake.on_next_request(act.clone());
         let response = receive_head(fleet.address(), completion()).await;
         let id = response.headers()["x-request-id"]
             .to_str()
@@ -192,9 +196,9 @@
         body.frame().await.unwrap().unwrap();
         drop(body);
         fake.set_withdrawal(Outcome::Unknown, false);
-        fake.arrival().await;
+        fake.next_request().await;
         let inspect = fleet.router.inspect();
-        crate::fleet::eventually(|| inspect.servers()[0].running == 0).await;
+        crate::fleet::wait_until(|| inspect.servers()[0].running == 0).await;
         expect_that!(outcome_of(&fleet, &id).await, eq(expected), "{act:?}");
     }
 }
--- a/crates/daemon/tests/router/request.rs
+++ b/crates/daemon/tests/router/request.rs
@@ -12,14 +12,14 @@
 use tokio::net::TcpStream;
 
 use crate::caller::{completion, post, read_response, send, send_raw, with_header};
-use crate::fake::{Act, Fake};
-use crate::fleet::{Fleet, MODEL, SERVICE, customer};
+use crate::fake_sidecar::{Behavior, FakeSidecar};
+use crate::fleet::{Fleet, MODEL, SERVICE, customer_id};
 
 const HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nhost: router\r\n\
                     authorization: Bearer key-scouts\r\n";
 
-async fn spawn_single() -> (Fake, Fleet) {
-    let fake = Fake::bind("s1", MODEL, 4).await;
+async fn spawn_single() -> (FakeSidecar, Fleet) {
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let changes = json!({"limits": {"body_bytes": 1000, "head_ms": 200, "connections": 8}});
     let fleet = Fleet::spawn(&[&fake], &changes).await;
     (fake, fleet)
@@ -109,7 +109,7 @@
         );
         expect_that!(response.header("x-request-id"), not(eq("")), "{name}");
     }
-    expect_that!(fake.unread(), eq(0));
+    expect_that!(fake.drain_requests(), eq(0));
 }
 
 #[gtest]
@@ -178,7 +178,7 @@
     let response = send(fleet.address(), request).await;
     let text = response.body.as_deref().unwrap();
     expect_that!((response.status.as_u16(), text), eq((200, "ok")));
-    let arrival = fake.arrival().await;
+    let arrival = fake.next_request().await;
     expect_that!(arrival.path, eq("/v1/chat/completions?a=b"));
     expect_that!(arrival.headers.get("x-own"), some(anything()));
     for removed in ["x-hop", "authorization", "connection"] {
@@ -187,7 +187,7 @@
     let body: serde_json::Value = serde_json::from_slice(&arrival.body).unwrap();
     expect_that!(body["model"], eq(MODEL));
     let ticket = arrival.ticket;
-    expect_that!(ticket.customer, eq(customer()));
+    expect_that!(ticket.customer, eq(customer_id()));
     expect_that!(ticket.class, eq(Class::Urgent));
     expect_that!(
         (ticket.deadline, ticket.hint, ticket.cost),
@@ -210,7 +210,7 @@
     let earliest = now() + RETENTION_MS;
     let request = with_header(completion(), "x-deadline", "99999999999999");
     send(fleet.address(), request).await;
-    let deadline = fake.arrival().await.ticket.deadline;
+    let deadline = fake.next_request().await.ticket.deadline;
     expect_that!(deadline, all![ge(earliest), le(now() + RETENTION_MS)]);
 }
 
@@ -223,14 +223,14 @@
 #[gtest]
 #[tokio::test]
 async fn services_are_routed_by_method_and_path() {
-    let mut fake = Fake::bind("b1", SERVICE, 4).await;
+    let mut fake = FakeSidecar::bind("b1", SERVICE, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let mut get = post("/slots/friday?room=2", "");
     *get.method_mut() = hyper::Method::GET;
     for (request, keyed) in [(get, false), (post("/slots/friday?room=2", "book"), true)] {
         let response = send(fleet.address(), request).await;
         expect_that!(response.status.as_u16(), eq(200));
-        let arrival = fake.arrival().await;
+        let arrival = fake.next_request().await;
         expect_that!(arrival.path, eq("/slots/friday?room=2"));
         expect_that!(arrival.ticket.key.is_some(), eq(keyed));
         expect_that!(arrival.ticket.cost, eq(5));
@@ -274,7 +274,7 @@
     let response = read_response(receive_head_http2(fleet.address()).await).await;
     expect_that!(response.status.as_u16(), eq(200));
     expect_that!(response.body, ok(eq("ok")));
-    fake.then(Act::Break("data: 1\n\n"));
+    fake.on_next_request(Behavior::Abort("data: 1\n\n"));
     let response = receive_head_http2(fleet.address()).await;
     fake.release();
     // The stream is reset, so that the response does not appear complete.
@@ -284,12 +284,12 @@
 #[gtest]
 #[tokio::test]
 async fn response_to_a_stalled_caller_is_aborted_and_frees_its_server() {
-    let fake = Fake::bind("s1", MODEL, 4).await;
+    let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let changes = json!({"limits": {"stall_ms": 100}});
     let fleet = Fleet::spawn(&[&fake], &changes).await;
-    fake.then(Act::Endless);
+    fake.on_next_request(Behavior::Endless);
     let response = crate::caller::receive_head(fleet.address(), completion()).await;
-    fake.abandoned().await;
+    fake.wait_cancelled().await;
     let response = read_response(response).await;
     expect_that!(response.body, err(anything()));
 }
