--- a/crates/command/src/api.rs
+++ b/crates/command/src/api.rs
@@ -1,4 +1,4 @@
-//! What a router's operator port answers.
+//! JSON bodies of the operator API.
 
 mod config_entry;
 mod conflict;
@@ -23,33 +23,33 @@
 pub use waiting::{CustomerQueue, WaitingList, WaitingRequest};
 pub use write_result::WriteResult;
 
-/// The answer to one command.
+/// Output of a successful command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Output {
-    /// A change was accepted.
+    /// Result of a change.
     Written(WriteResult),
-    /// Configured objects, each with its latest write.
+    /// Configuration entries.
     Items(Vec<ConfigEntry>),
-    /// The state of the fleet.
+    /// State of the fleet.
     Status(Status),
-    /// Who is waiting, and why.
+    /// Queued requests.
     Waiting(WaitingList),
     /// Writes, newest first.
     History(Vec<HistoryEntry>),
-    /// Help that the words asked for.
+    /// Help text.
     Help(String),
 }
 
-/// The body of an answer.
+/// Body of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Response {
-    /// Whether the command was carried out.
+    /// Whether the command succeeded.
     pub ok: bool,
-    /// The answer, when it was.
+    /// Output, if it succeeded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer: Option<Output>,
-    /// Why not, when it was not.
+    /// Error, if it failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<CommandError>,
 }
@@ -58,8 +58,8 @@
     fn from(result: Result<Output, CommandError>) -> Self {
         let ok = result.is_ok();
         let (answer, error) = match result {
-            Ok(answer) => (Some(answer), None),
-            Err(refusal) => (None, Some(refusal)),
+            Ok(output) => (Some(output), None),
+            Err(error) => (None, Some(error)),
         };
         Self { ok, answer, error }
     }
--- a/crates/command/src/api/config_entry.rs
+++ b/crates/command/src/api/config_entry.rs
@@ -1,15 +1,15 @@
-//! A configured object.
+//! Configuration entries.
 
 use mulberryyoke_model::{Object, Revision};
 use serde::{Deserialize, Serialize};
 
-/// A configured object.
+/// Object under a key, with the revision of its latest write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigEntry {
-    /// Key below the configuration prefix.
+    /// Key under the configuration prefix.
     pub key: String,
     /// Revision of its latest write.
     pub revision: Revision,
-    /// The object.
+    /// Current object.
     pub object: Object,
 }
--- a/crates/command/src/api/conflict.rs
+++ b/crates/command/src/api/conflict.rs
@@ -1,24 +1,24 @@
-//! What stands in the way of a change.
+//! Conflicting writes.
 
 use mulberryyoke_model::{Millis, Object, Revision};
 use serde::{Deserialize, Serialize};
 
-/// What is there now in place of what the command expected.
+/// Current state of a key that differs from what the command expected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Key below the configuration prefix.
+    /// Key under the configuration prefix.
     pub key: String,
-    /// Revision since which it is there; `None` when nothing is.
+    /// Revision of the latest write; `None` if the key does not exist.
     pub revision: Option<Revision>,
-    /// Operator who wrote it.
+    /// Name of the operator.
     pub operator: String,
-    /// Identity of the command that wrote it.
+    /// ID of the command that wrote it.
     #[serde(with = "super::hex")]
     pub command: u64,
-    /// When it was written.
+    /// Time of the write.
     pub at: Millis,
-    /// The words of that command.
+    /// Text of the command, without keys.
     pub words: String,
-    /// What is there; `None` once removed.
+    /// Current object; `None` if it was removed.
     pub object: Option<Object>,
 }
--- a/crates/command/src/api/error.rs
+++ b/crates/command/src/api/error.rs
@@ -1,4 +1,4 @@
-//! Why a command was not carried out.
+//! Errors of commands.
 
 use std::fmt;
 
@@ -6,28 +6,28 @@
 
 use crate::api::Conflict;
 
-/// The sort of a refusal.
+/// Kind of a command error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ErrorCode {
-    /// The words are not a command.
+    /// The command cannot be parsed.
     Usage,
-    /// The operator's key is wrong or missing.
+    /// The operator's bearer key is missing or unknown.
     Denied,
-    /// Something else is there than the command expected.
+    /// The key has another state than the command expected.
     Conflict,
-    /// What the command names does not exist.
+    /// The named object does not exist.
     Missing,
-    /// The change would contradict the rest of the configuration.
+    /// The change is inconsistent with the rest of the configuration.
     Refused,
-    /// The key-value service could not be reached; nothing was changed.
+    /// The key-value service is unavailable; nothing was changed.
     Unavailable,
-    /// The change may or may not have been accepted; send the command again.
+    /// The change may have taken effect; the command can be sent again with the same ID.
     Unknown,
 }
 
 impl ErrorCode {
-    /// The HTTP status it is sent with.
+    /// HTTP status of the response.
     #[must_use]
     pub const fn http_status(self) -> u16 {
         match self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The word used in logs and answers.
+    /// Name in logs and responses.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -56,27 +56,27 @@
     }
 }
 
-/// Why a command was not carried out.
+/// Error of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandError {
-    /// The sort.
+    /// Kind of the error.
     pub code: ErrorCode,
-    /// For people.
+    /// Human-readable description.
     pub message: String,
-    /// Identity of the command, to send it again.
+    /// ID of the command, for sending it again.
     #[serde(
         default,
         with = "super::hex::option",
         skip_serializing_if = "Option::is_none"
     )]
     pub command: Option<u64>,
-    /// What stands in the way.
+    /// Current state of the key, for a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub conflict: Option<Box<Conflict>>,
 }
 
 impl CommandError {
-    /// A refusal with a message.
+    /// Creates an error without a command ID.
     pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             code,
--- a/crates/command/src/api/hex.rs
+++ b/crates/command/src/api/hex.rs
@@ -1,12 +1,12 @@
-//! Identities of commands in JSON: 16 hexadecimal digits in a string, because
-//! many programs cannot hold a number of 64 bits. A number is read as well.
+//! Command IDs in JSON: a string of 16 hexadecimal digits, because many JSON parsers lose
+//! precision of 64-bit numbers. Numbers are accepted as well.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serializer};
 
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Form {
+enum EncodedId {
     Number(u64),
     Digits(String),
 }
@@ -20,13 +20,13 @@
 }
 
 pub(crate) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
-    match Form::deserialize(deserializer)? {
-        Form::Number(id) => Ok(id),
-        Form::Digits(digits) => u64::from_str_radix(&digits, 16).map_err(D::Error::custom),
+    match EncodedId::deserialize(deserializer)? {
+        EncodedId::Number(id) => Ok(id),
+        EncodedId::Digits(digits) => u64::from_str_radix(&digits, 16).map_err(D::Error::custom),
     }
 }
 
-/// The same for an identity that may be absent.
+/// Optional command IDs.
 pub(crate) mod option {
     use serde::{Deserialize, Deserializer, Serializer};
 
--- a/crates/command/src/api/history.rs
+++ b/crates/command/src/api/history.rs
@@ -1,22 +1,22 @@
-//! Accepted writes.
+//! History of writes.
 
 use mulberryyoke_model::{Millis, Revision};
 use serde::{Deserialize, Serialize};
 
-/// One accepted write of a key.
+/// A write of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// Key below the configuration prefix.
+    /// Key under the configuration prefix.
     pub key: String,
-    /// Its revision.
+    /// Revision of the write.
     pub revision: Revision,
-    /// Who wrote it.
+    /// Name of the operator.
     pub operator: String,
-    /// Identity of the command.
+    /// ID of the command.
     #[serde(with = "super::hex")]
     pub command: u64,
-    /// When.
+    /// Time of the write.
     pub at: Millis,
-    /// The words of the command.
+    /// Text of the command, without keys.
     pub words: String,
 }
--- a/crates/command/src/api/node.rs
+++ b/crates/command/src/api/node.rs
@@ -3,49 +3,49 @@
 use mulberryyoke_model::{Millis, Revision};
 use serde::{Deserialize, Serialize};
 
-/// What a node does.
+/// Role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests from callers.
     Router,
     /// Runs beside a backend server.
     Sidecar,
 }
 
-/// A node as the asked router knows it.
+/// State of a node, as known to the router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
-    /// What it does.
+    /// Role of the node.
     pub role: Role,
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone it runs in.
     pub zone: String,
-    /// Whether the asked router hears of it now.
+    /// Whether the router receives its reports.
     pub up: bool,
-    /// Whether it is leaving.
+    /// Whether it is leaving the fleet.
     pub leaving: bool,
-    /// Highest configuration revision known to be in force on it.
+    /// Highest configuration revision that it is known to have applied.
     pub revision: Option<Revision>,
-    /// Pool of a sidecar's server.
+    /// Pool of the sidecar's server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pool: Option<String>,
-    /// Slots of a sidecar's server.
+    /// Slots of the sidecar's server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// Free slots of a sidecar's server.
+    /// Free slots of the sidecar's server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub free: Option<u32>,
-    /// When its life began.
+    /// Start time of the process.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_at: Option<Millis>,
 }
 
 impl Node {
-    /// Whether a revision is not yet known to be in force on it.
+    /// Whether the node is not known to have applied a revision.
     #[must_use]
     pub fn is_behind(&self, revision: Revision) -> bool {
-        self.revision.is_none_or(|held| held < revision)
+        self.revision.is_none_or(|applied| applied < revision)
     }
 }
--- a/crates/command/src/api/request.rs
+++ b/crates/command/src/api/request.rs
@@ -1,15 +1,14 @@
-//! The body of a command.
+//! Body of a request.
 
 use serde::{Deserialize, Serialize};
 
-/// A command as sent to the operator port.
+/// A command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// The command's words.
+    /// Words of the command line.
     pub words: Vec<String>,
-    /// Identity of the command, chosen by the sender, so that the same command
-    /// can be sent again when its answer was lost; the router draws one when absent.
+    /// Command ID for safe retries after a lost response; random if absent.
     #[serde(default, with = "super::hex::option")]
     pub command: Option<u64>,
 }
--- a/crates/command/src/api/status.rs
+++ b/crates/command/src/api/status.rs
@@ -1,35 +1,34 @@
-//! The state of the fleet.
+//! State of the fleet.
 
 use mulberryyoke_model::Revision;
 use serde::{Deserialize, Serialize};
 
 use crate::api::Node;
 
-/// The state of the fleet as the asked router knows it.
+/// State of the fleet, as known to the router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Name of the asked router.
+    /// Name of the router.
     pub router: String,
-    /// Revision in force on it.
+    /// Configuration revision that the router has applied.
     pub revision: Revision,
-    /// Whether the key-value service answered just now.
+    /// Whether the last call to the key-value service succeeded.
     pub kv: bool,
-    /// Every node, routers first.
+    /// All known nodes, routers first.
     pub nodes: Vec<Node>,
-    /// Servers that the asked router is not meant to be connected to, so that it
-    /// knows nothing of their sidecars.
+    /// Number of servers that this router is not assigned to connect to.
     pub unseen: usize,
-    /// Counts at the asked router.
+    /// Counts of the router.
     pub tally: Counts,
 }
 
-/// Counts at the asked router.
+/// Counts of a router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Customers.
+    /// Number of customers.
     pub customers: usize,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
 }
--- a/crates/command/src/api/waiting.rs
+++ b/crates/command/src/api/waiting.rs
@@ -1,58 +1,58 @@
-//! Who is waiting, and why.
+//! Queued requests.
 
 use mulberryyoke_model::{Class, Millis, Outcome};
 use serde::{Deserialize, Serialize};
 
-/// Waiting requests at the asked router.
+/// Queued requests of a router.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WaitingList {
-    /// Name of the asked router.
+    /// Name of the router.
     pub router: String,
-    /// Customers with waiting requests, the next to be served first.
+    /// Customers with queued requests, in the order in which they are served.
     pub customers: Vec<CustomerQueue>,
-    /// Waiting requests in the order in which they are served within a customer.
+    /// Queued requests, in the order in which they are served within a customer.
     pub requests: Vec<WaitingRequest>,
-    /// Requests left out by the limit.
+    /// Number of requests omitted because of the limit.
     pub more: u64,
-    /// What became of the request that was asked for by its id.
+    /// Outcome of the request that the query names.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
 }
 
-/// A customer's standing beside the others'.
+/// Queue and received service of a customer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CustomerQueue {
-    /// The customer's name.
+    /// Name of the customer.
     pub customer: String,
-    /// Its share.
+    /// Weight of the customer's share.
     pub share: u32,
-    /// Waiting requests by class: urgent, normal, deferrable.
+    /// Number of queued requests by class: urgent, normal, deferrable.
     pub waiting: [u64; 3],
-    /// Service received fleet-wide, in tokens, as far as known here.
+    /// Service received from the whole fleet, in tokens, as far as known.
     pub service: u64,
-    /// Service divided by share, in tokens; the least is served first.
+    /// Service divided by the share, in tokens; the lowest is served first.
     pub per_share: f64,
-    /// When its oldest waiting request arrived.
+    /// Arrival time of the oldest queued request.
     pub since: Millis,
 }
 
-/// A waiting request.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRequest {
-    /// The request id.
+    /// Request ID.
     pub request: String,
-    /// The customer's name.
+    /// Name of the customer.
     pub customer: String,
-    /// The pool's name.
+    /// Name of the pool.
     pub pool: String,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// Position among the customer's requests of the pool, from 1.
+    /// Position in the customer's queue for the pool, from 1.
     pub position: u64,
-    /// When it arrived.
+    /// Arrival time.
     pub since: Millis,
-    /// When the caller stops waiting.
+    /// Deadline of the caller.
     pub deadline: Millis,
-    /// What it waits for.
+    /// Reason why it waits.
     pub reason: String,
 }
--- a/crates/command/src/api/write_result.rs
+++ b/crates/command/src/api/write_result.rs
@@ -1,25 +1,25 @@
-//! An accepted change.
+//! Results of changes.
 
 use mulberryyoke_model::{Object, Revision};
 use serde::{Deserialize, Serialize};
 
-/// An accepted change.
+/// Result of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteResult {
-    /// Identity of the command.
+    /// ID of the command.
     #[serde(with = "super::hex")]
     pub command: u64,
-    /// Key below the configuration prefix.
+    /// Key under the configuration prefix.
     pub key: String,
-    /// Revision at which it was accepted.
+    /// Revision of the write.
     pub revision: Revision,
-    /// Whether an earlier sending of the same command had already been accepted.
+    /// Whether an earlier attempt of the same command made the change.
     pub repeated: bool,
-    /// Whether nothing had to be changed.
+    /// Whether the object already had the requested value.
     pub unchanged: bool,
-    /// Revision of a later write that has replaced this one, if any.
+    /// Revision of a later write that replaced this one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replaced: Option<Revision>,
-    /// What the key holds now; `None` once removed.
+    /// Current object; `None` if it was removed.
     pub object: Option<Object>,
 }
--- a/crates/command/tests/json.rs
+++ b/crates/command/tests/json.rs
@@ -1,12 +1,12 @@
-//! The JSON form of requests and answers.
+//! JSON bodies of requests and responses.
 
 use googletest::prelude::*;
 use mulberryyoke_command::api::{CommandError, ErrorCode, Output, Request, Response, WriteResult};
 use serde_json::json;
 
 #[gtest]
-fn reads_identities_as_number_or_digits() {
-    let table = [
+fn command_ids_are_parsed_from_numbers_and_hex_strings() {
+    let cases = [
         (json!({"words": ["status"]}), None),
         (json!({"words": ["status"], "command": null}), None),
         (json!({"words": ["status"], "command": 255}), Some(255)),
@@ -19,17 +19,17 @@
             Some(u64::MAX),
         ),
     ];
-    for (body, command) in table {
-        let request: Request = serde_json::from_value(body).expect("it is a request");
+    for (body, command) in cases {
+        let request: Request = serde_json::from_value(body).expect("request is valid");
         expect_that!(request.command, eq(command));
     }
-    let wrong = json!({"words": ["status"], "command": "xyz"});
-    expect_that!(serde_json::from_value::<Request>(wrong), err(anything()));
+    let invalid = json!({"words": ["status"], "command": "xyz"});
+    expect_that!(serde_json::from_value::<Request>(invalid), err(anything()));
 }
 
 #[gtest]
-fn writes_identities_as_digits() {
-    let written = WriteResult {
+fn command_ids_are_written_as_hex_strings() {
+    let result = WriteResult {
         command: u64::MAX,
         key: "pool/chat".to_owned(),
         revision: 4,
@@ -38,26 +38,26 @@
         replaced: None,
         object: None,
     };
-    let reply = Response::from(Ok(Output::Written(written)));
-    let body = serde_json::to_value(&reply).expect("it has a JSON form");
+    let response = Response::from(Ok(Output::Written(result)));
+    let body = serde_json::to_value(&response).expect("response is serializable");
     expect_that!(
         body["answer"]["written"]["command"],
         eq("f".repeat(16).as_str())
     );
-    expect_that!(serde_json::from_value::<Response>(body), ok(eq(&reply)));
+    expect_that!(serde_json::from_value::<Response>(body), ok(eq(&response)));
 }
 
 #[gtest]
-fn refusals_survive_the_wire() {
+fn errors_round_trip_through_json() {
     for code in [ErrorCode::Conflict, ErrorCode::Unknown, ErrorCode::Denied] {
-        let refusal = CommandError {
+        let error = CommandError {
             command: Some(7),
-            ..CommandError::new(code, "why")
+            ..CommandError::new(code, "reason")
         };
-        let reply = Response::from(Err(refusal));
-        let body = serde_json::to_value(&reply).expect("it has a JSON form");
+        let response = Response::from(Err(error));
+        let body = serde_json::to_value(&response).expect("response is serializable");
         expect_that!(body["ok"], eq(&json!(false)));
         expect_that!(body["error"]["code"], eq(code.as_str()));
-        expect_that!(serde_json::from_value::<Response>(body), ok(eq(&reply)));
+        expect_that!(serde_json::from_value::<Response>(body), ok(eq(&response)));
     }
 }
