--- a/crates/command/src/command.rs
+++ b/crates/command/src/command.rs
@@ -1,4 +1,4 @@
-//! The whole language.
+//! Parsing of commands.
 
 use gumdrop::Options;
 
@@ -7,7 +7,7 @@
     ServerAction, Status, Waiting,
 };
 
-/// Any command of an operator.
+/// An operator command.
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
 pub enum Command {
     /// customers, their shares, classes and keys
@@ -24,39 +24,39 @@
     Config(Config),
 }
 
-/// Words of a command.
+/// Parser of the command line.
 #[derive(Options)]
-struct Words {
+struct CommandLine {
     help: bool,
     #[options(command, required)]
     command: Option<Command>,
 }
 
 impl Command {
-    /// Reads a command from its words.
+    /// Parses a command from its words.
     ///
     /// # Errors
     ///
-    /// [`ParseError::Help`] when the words ask for help, [`ParseError::Usage`] when they
-    /// are not a command.
+    /// [`ParseError::Help`] if help was requested, [`ParseError::Usage`] if the command is
+    /// invalid.
     pub fn parse<S: AsRef<str>>(words: &[S]) -> Result<Self, ParseError> {
-        let parsed = Words::parse_args_default(words)
+        let parsed = CommandLine::parse_args_default(words)
             .map_err(|error| ParseError::Usage(error.to_string()))?;
         if parsed.help_requested() {
             return Err(ParseError::Help(help(words, &parsed)));
         }
-        let command = parsed.command.ok_or_else(missing)?;
+        let command = parsed.command.ok_or_else(missing_subcommand)?;
         command.check()?;
         Ok(command)
     }
 
-    /// The list of commands, one a line.
+    /// List of the commands, one per line.
     #[must_use]
     pub fn summary() -> &'static str {
         Self::usage()
     }
 
-    /// Whether it changes the configuration.
+    /// Whether the command changes the configuration.
     #[must_use]
     pub fn is_write(&self) -> bool {
         match self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether the answer is to be printed as JSON.
+    /// Whether the output is printed as JSON.
     #[must_use]
     pub fn json(&self) -> bool {
         match self {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether to wait until the change is in force on every node.
+    /// Whether to wait until every node has applied the change.
     #[must_use]
     pub fn wait(&self) -> bool {
         match self {
@@ -98,32 +98,32 @@
         match self {
             Self::Customer(customer) => match &customer.action {
                 Some(action) => action.check().map_err(ParseError::Usage),
-                None => Err(missing()),
+                None => Err(missing_subcommand()),
             },
             Self::Pool(pool) => match &pool.action {
                 Some(action) => action.check().map_err(ParseError::Usage),
-                None => Err(missing()),
+                None => Err(missing_subcommand()),
             },
             Self::Server(server) => match &server.action {
                 Some(action) => action.check().map_err(ParseError::Usage),
-                None => Err(missing()),
+                None => Err(missing_subcommand()),
             },
             Self::Waiting(waiting) => waiting.check().map_err(ParseError::Usage),
-            Self::Config(config) if config.action.is_none() => Err(missing()),
+            Self::Config(config) if config.action.is_none() => Err(missing_subcommand()),
             Self::Status(_) | Self::Config(_) => Ok(()),
         }
     }
 }
 
-fn missing() -> ParseError {
+fn missing_subcommand() -> ParseError {
     ParseError::Usage(format!(
-        "a word is missing; the commands are\n{}",
+        "subcommand missing; the commands are\n{}",
         Command::summary()
     ))
 }
 
-fn help<S: AsRef<str>>(words: &[S], parsed: &Words) -> String {
-    let named: Vec<&str> = words
+fn help<S: AsRef<str>>(words: &[S], parsed: &CommandLine) -> String {
+    let subcommand: Vec<&str> = words
         .iter()
         .map(AsRef::as_ref)
         .take_while(|word| !word.starts_with('-'))
@@ -132,7 +132,7 @@
     let usage = parsed.self_usage();
     let mut text = format!(
         "Usage: mulberryyoke {} [OPTIONS]\n\n{usage}",
-        named.join(" ")
+        subcommand.join(" ")
     );
     if let Some(commands) = parsed.self_command_list() {
         text.push_str("\n\nCommands:\n");
--- a/crates/command/src/config.rs
+++ b/crates/command/src/config.rs
@@ -1,4 +1,4 @@
-//! Commands on the accepted configuration.
+//! Commands on the configuration.
 
 use gumdrop::Options;
 
@@ -8,12 +8,12 @@
 pub struct Config {
     /// print this help
     pub help: bool,
-    /// what to do
+    /// subcommand
     #[options(command, required)]
     pub action: Option<Action>,
 }
 
-/// What to tell of the configuration.
+/// Subcommands on the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
 pub enum Action {
     /// who wrote what, newest first
@@ -22,9 +22,9 @@
     Show(Show),
 }
 
-/// Lists writes, newest first, with revision, operator and command id. Each key
-/// keeps its latest write and the eight before it; what those eight had written
-/// is not kept, only who wrote when and by which words.
+/// Lists writes, newest first, with revision, operator and command ID. Each key
+/// keeps its latest write and the eight before it; the values of those eight are
+/// not stored, only their revision, operator, time and command.
 ///
 /// Example: mulberryyoke config history --key server/m-3
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -32,17 +32,17 @@
 pub struct History {
     /// print this help
     pub help: bool,
-    /// only keys that start so, for example customer/ or server/m-3
+    /// only keys with this prefix, for example customer/ or server/m-3
     #[options(meta = "PREFIX")]
     pub key: String,
-    /// most writes to list
+    /// maximum number of writes to list
     #[options(meta = "N", default = "50")]
     pub limit: u32,
     /// print JSON
     pub json: bool,
 }
 
-/// Shows the configuration in force on the asked router.
+/// Shows the configuration that the router has applied.
 ///
 /// Example: mulberryyoke config show --json
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -50,7 +50,7 @@
 pub struct Show {
     /// print this help
     pub help: bool,
-    /// only keys that start so, for example customer/
+    /// only keys with this prefix, for example customer/
     #[options(meta = "PREFIX")]
     pub key: String,
     /// print JSON
--- a/crates/command/src/customer.rs
+++ b/crates/command/src/customer.rs
@@ -11,12 +11,12 @@
 pub struct Customer {
     /// print this help
     pub help: bool,
-    /// what to do
+    /// subcommand
     #[options(command, required)]
     pub action: Option<Action>,
 }
 
-/// What to do with customers.
+/// Subcommands on customers.
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
 pub enum Action {
     /// add a customer
@@ -31,8 +31,8 @@
     List(List),
 }
 
-/// Adds a customer. The client makes a bearer key when none is given and prints
-/// it once; only its hash is kept.
+/// Adds a customer. Without --key, the client generates a bearer key and prints
+/// it once; only its hash is stored.
 ///
 /// Example: mulberryyoke customer add scouts --share 4 --class normal --wait
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -43,25 +43,25 @@
     /// unique name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// weight of its portion, at least 1
+    /// weight of its share, at least 1
     #[options(meta = "N", default = "1", parse(try_from_str = "value::positive"))]
     pub share: u32,
-    /// class of requests that name none: urgent, normal or deferrable (default normal)
+    /// default class of requests: urgent, normal or deferrable (default normal)
     #[options(meta = "CLASS", parse(try_from_str = "value::class"))]
     pub class: Class,
     /// bearer key; may be given several times
     #[options(meta = "KEY", parse(try_from_str = "value::key"))]
     pub key: Vec<String>,
-    /// most requests waiting at one router (default: the router's setting)
+    /// maximum number of queued requests per router (default: the router's setting)
     #[options(meta = "N", parse(try_from_str = "value::positive"))]
     pub queue: Option<u32>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
 }
 
-/// Changes a customer; what is not named stays as it is.
+/// Changes a customer. Options that are not given keep their values.
 ///
 /// Example: mulberryyoke customer set scouts --share 6 --wait
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -72,31 +72,31 @@
     /// its name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// weight of its portion, at least 1
+    /// weight of its share, at least 1
     #[options(meta = "N", parse(try_from_str = "value::positive"))]
     pub share: Option<u32>,
-    /// class of requests that name none: urgent, normal or deferrable
+    /// default class of requests: urgent, normal or deferrable
     #[options(meta = "CLASS", parse(try_from_str = "value::class"))]
     pub class: Option<Class>,
-    /// one more bearer key; may be given several times
+    /// additional bearer key; may be given several times
     #[options(meta = "KEY", parse(try_from_str = "value::key"))]
     pub key: Vec<String>,
-    /// drop the key whose hash starts so; may be given several times
+    /// remove the key whose hash has this prefix; may be given several times
     #[options(meta = "HASH")]
     pub drop_key: Vec<String>,
-    /// most requests waiting at one router
+    /// maximum number of queued requests per router
     #[options(meta = "N", parse(try_from_str = "value::positive"))]
     pub queue: Option<u32>,
-    /// refuse unless this is the revision of its latest write
+    /// fail unless its latest write has this revision
     #[options(meta = "REVISION")]
     pub at: Option<u64>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
 }
 
-/// Removes a customer; its keys are refused from then on.
+/// Removes a customer; its keys are no longer accepted.
 ///
 /// Example: mulberryyoke customer remove scouts --wait
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -107,10 +107,10 @@
     /// its name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// refuse unless this is the revision of its latest write
+    /// fail unless its latest write has this revision
     #[options(meta = "REVISION")]
     pub at: Option<u64>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
@@ -177,10 +177,10 @@
 
 impl Set {
     fn check(&self) -> Result<(), String> {
-        let named = self.share.is_some() || self.class.is_some() || self.queue.is_some();
-        if named || !self.key.is_empty() || !self.drop_key.is_empty() {
+        let has_values = self.share.is_some() || self.class.is_some() || self.queue.is_some();
+        if has_values || !self.key.is_empty() || !self.drop_key.is_empty() {
             return Ok(());
         }
-        Err("nothing to change; allowed are --share, --class, --key, --drop-key and --queue".into())
+        Err("nothing to change; expected --share, --class, --key, --drop-key or --queue".into())
     }
 }
--- a/crates/command/src/error.rs
+++ b/crates/command/src/error.rs
@@ -1,13 +1,13 @@
-//! Errors of reading a command.
+//! Errors of parsing a command.
 
 use displaydoc::Display;
 
-/// Why words are not a command.
+/// Error of [`Command::parse`](crate::Command::parse).
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum ParseError {
     /// {0}
     Help(String),
-    /// could not read command: {0}
+    /// could not parse command: {0}
     Usage(String),
 }
 
--- a/crates/command/src/lib.rs
+++ b/crates/command/src/lib.rs
@@ -1,9 +1,7 @@
-//! The operators' command language and its answers.
+//! Operator commands and the JSON bodies of the operator API.
 //!
-//! The same definitions parse words typed at the client and words sent to a
-//! router's operator port. A definition only says what can be written; the
-//! router's operator port does it. The doc comments of the definitions are the
-//! help.
+//! The client and the routers parse commands with the same definitions; routers execute
+//! them. The doc comments of the definitions are the help texts.
 
 pub mod api;
 mod command;
--- a/crates/command/src/pool.rs
+++ b/crates/command/src/pool.rs
@@ -5,18 +5,18 @@
 
 use crate::value;
 
-/// Pools of servers that answer the same requests: models and plain services.
+/// Pools of interchangeable servers: models and HTTP services.
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
 #[options(no_short)]
 pub struct Pool {
     /// print this help
     pub help: bool,
-    /// what to do
+    /// subcommand
     #[options(command, required)]
     pub action: Option<Action>,
 }
 
-/// What to do with pools.
+/// Subcommands on pools.
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
 pub enum Action {
     /// add a pool
@@ -29,9 +29,9 @@
     List(List),
 }
 
-/// Adds a pool. The name of a model's pool is the model name that callers send.
-/// A plain service has routes, each "METHOD /PREFIX repeatable|once COST": a call
-/// that may not be repeated is `once`; COST is in tokens.
+/// Adds a pool. The name of a model's pool is the model name in requests. An HTTP
+/// service has routes, each "METHOD /PREFIX repeatable|once COST": `repeatable` if
+/// requests are idempotent, else `once`; COST is in tokens.
 ///
 /// Example: mulberryyoke pool add booking --kind service --route "POST /bookings once 40"
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -50,16 +50,16 @@
         parse(try_from_str = "value::kind")
     )]
     pub kind: Kind,
-    /// route of a plain service; may be given several times
+    /// route of an HTTP service; may be given several times
     #[options(meta = "ROUTE", parse(try_from_str = "value::route"))]
     pub route: Vec<Route>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
 }
 
-/// Replaces all routes of a plain service.
+/// Replaces all routes of an HTTP service.
 ///
 /// Example: mulberryyoke pool set booking --route "GET /bookings repeatable 10"
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -70,13 +70,13 @@
     /// its name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// route of a plain service; may be given several times
+    /// route of an HTTP service; may be given several times
     #[options(required, meta = "ROUTE", parse(try_from_str = "value::route"))]
     pub route: Vec<Route>,
-    /// refuse unless this is the revision of its latest write
+    /// fail unless its latest write has this revision
     #[options(meta = "REVISION")]
     pub at: Option<u64>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
@@ -93,10 +93,10 @@
     /// its name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// refuse unless this is the revision of its latest write
+    /// fail unless its latest write has this revision
     #[options(meta = "REVISION")]
     pub at: Option<u64>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
@@ -152,7 +152,7 @@
                 Err("--route: only a pool of kind service has routes".to_owned())
             }
             Kind::Service if self.route.is_empty() => {
-                Err("--route: a pool of kind service needs at least one".to_owned())
+                Err("--route: a pool of kind service needs at least one route".to_owned())
             }
             Kind::Model | Kind::Service => Ok(()),
         }
--- a/crates/command/src/server.rs
+++ b/crates/command/src/server.rs
@@ -12,12 +12,12 @@
 pub struct Server {
     /// print this help
     pub help: bool,
-    /// what to do
+    /// subcommand
     #[options(command, required)]
     pub action: Option<Action>,
 }
 
-/// What to do with servers.
+/// Subcommands on servers.
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
 pub enum Action {
     /// add a server
@@ -59,16 +59,17 @@
     /// data address of its sidecar
     #[options(required, meta = "IP:PORT", default_expr = "value::NO_ADDRESS")]
     pub data: SocketAddr,
-    /// requests that the backend runs at once
+    /// maximum number of concurrent requests
     #[options(required, meta = "N", parse(try_from_str = "value::positive"))]
     pub slots: u32,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
 }
 
-/// Gives a server no new work. What it runs ends; its sidecar stays connected.
+/// Drains a server: it gets no new requests, and those in progress complete. Its
+/// sidecar stays connected.
 ///
 /// Example: mulberryyoke server drain m-3 --wait
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -79,16 +80,16 @@
     /// its name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// refuse unless this is the revision of its latest write
+    /// fail unless its latest write has this revision
     #[options(meta = "REVISION")]
     pub at: Option<u64>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
 }
 
-/// Gives a drained server new work again.
+/// Sends new requests to a drained server again.
 ///
 /// Example: mulberryyoke server resume m-3
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -99,18 +100,18 @@
     /// its name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// refuse unless this is the revision of its latest write
+    /// fail unless its latest write has this revision
     #[options(meta = "REVISION")]
     pub at: Option<u64>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
 }
 
-/// Removes a server: no new work, and no links to its sidecar. Its record stays, so
-/// that calls which may run once only still know where they may have run. Drain it
-/// first to let its work end.
+/// Removes a server: it gets no new requests, and routers disconnect from its
+/// sidecar. Its entry is retained, to tell where non-idempotent requests may have
+/// run. Drain it first to let requests in progress complete.
 ///
 /// Example: mulberryyoke server remove m-3 --wait
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -121,16 +122,16 @@
     /// its name
     #[options(free, required, parse(try_from_str = "value::name"))]
     pub name: String,
-    /// refuse unless this is the revision of its latest write
+    /// fail unless its latest write has this revision
     #[options(meta = "REVISION")]
     pub at: Option<u64>,
-    /// wait until in force on every node
+    /// wait until every node has applied the change
     pub wait: bool,
     /// print JSON
     pub json: bool,
 }
 
-/// Lists servers with their state; removed ones only with --all.
+/// Lists servers with their state; removed servers only with --all.
 ///
 /// Example: mulberryyoke server list --pool falcon-7b
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -138,10 +139,10 @@
 pub struct List {
     /// print this help
     pub help: bool,
-    /// only those of this pool
+    /// only servers of this pool
     #[options(meta = "POOL")]
     pub pool: Option<String>,
-    /// removed ones too
+    /// include removed servers
     pub all: bool,
     /// print JSON
     pub json: bool,
@@ -175,10 +176,10 @@
     pub(crate) fn check(&self) -> Result<(), String> {
         match self {
             Self::Add(add) if add.control == add.data => {
-                Err("--control and --data: two different addresses are needed".to_owned())
+                Err("--control and --data: addresses must differ".to_owned())
             }
             Self::Add(add) if add.control.port() == 0 || add.data.port() == 0 => {
-                Err("--control and --data: ports from 1 to 65535 are allowed".to_owned())
+                Err("--control and --data: ports must be from 1 to 65535".to_owned())
             }
             _ => Ok(()),
         }
--- a/crates/command/src/status.rs
+++ b/crates/command/src/status.rs
@@ -1,9 +1,8 @@
-//! The command on the state of the fleet.
+//! Command that shows the state of the fleet.
 
 use gumdrop::Options;
 
-/// Shows every router and server with the configuration revision in force on it,
-/// and the load.
+/// Shows every router and server with its configuration revision and load.
 ///
 /// Example: mulberryyoke status
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
--- a/crates/command/src/waiting.rs
+++ b/crates/command/src/waiting.rs
@@ -1,10 +1,9 @@
-//! The command on waiting requests.
+//! Command that lists queued requests.
 
 use gumdrop::Options;
 
-/// Shows who is waiting at the asked router, and why: the position among the
-/// customer's requests, what the request waits for, and the customer's counter
-/// beside the others'.
+/// Lists the queued requests of the router, with their position in the customer's
+/// queue and the reason why they wait, and the service each customer has received.
 ///
 /// Example: mulberryyoke waiting --customer scouts
 #[derive(Clone, Debug, PartialEq, Eq, Options)]
@@ -18,10 +17,10 @@
     /// only requests that this server may run
     #[options(meta = "NAME")]
     pub server: Option<String>,
-    /// only the request with this id
+    /// only the request with this ID
     #[options(meta = "ID")]
     pub request: Option<String>,
-    /// most requests to list
+    /// maximum number of requests to list
     #[options(meta = "N", default = "50")]
     pub limit: u32,
     /// print JSON
@@ -35,7 +34,7 @@
         };
         match mulberryyoke_model::Attempt::parse_request_id(request) {
             Some(_) => Ok(()),
-            None => Err("--request: an id as in the header x-request-id is needed".to_owned()),
+            None => Err("--request: expected an ID as in the x-request-id header".to_owned()),
         }
     }
 }
--- a/crates/command/tests/parse.rs
+++ b/crates/command/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Which words are commands, and which are not.
+//! Parsing and redaction of commands.
 
 use googletest::prelude::*;
 use mulberryyoke_command::{Command, CustomerAction, ParseError, redact};
@@ -11,7 +11,7 @@
 }
 
 #[gtest]
-fn accepts_each_command() {
+fn valid_commands_are_parsed() {
     let lines = [
         "customer add scouts",
         "customer add scouts --share 4 --class urgent --queue 12 --wait --json",
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn accepts_routes() {
+fn routes_are_parsed() {
     let route = "POST /bookings once 40";
     let words = [
         "pool", "add", "booking", "--kind", "service", "--route", route,
@@ -49,31 +49,34 @@
 }
 
 #[gtest]
-fn refuses_what_is_no_command() {
+fn invalid_commands_are_rejected() {
     let lines = [
         ("", "unrecognized command"),
         ("customer", "missing required command"),
         ("customer add", "missing required free argument"),
         (
             "customer add scouts --share 0",
-            "allowed are whole numbers from 1",
+            "expected an integer from 1 to 4294967295",
         ),
         (
             "customer add scouts --class late",
-            "allowed are urgent, normal and deferrable",
+            "expected urgent, normal or deferrable",
         ),
         ("customer add scouts --key short", "at least 16 visible"),
         ("customer add ../scouts", "starts with a letter or digit"),
         ("customer add sco%uts", "consists of letters"),
         ("customer set scouts", "nothing to change"),
         ("customer burn scouts", "unrecognized command `burn`"),
-        ("pool add p --kind engine", "allowed are model and service"),
+        ("pool add p --kind engine", "expected model or service"),
         ("pool add p", "missing required option `--kind`"),
         ("pool add p --kind service", "needs at least one"),
-        ("pool add p --kind model --route x", "a route is written"),
+        (
+            "pool add p --kind model --route x",
+            "expected \"METHOD /PREFIX repeatable|once COST\"",
+        ),
         (
             "server add m --pool p --zone a --control 1.1.1.1:1 --data 1.1.1.1:1 --slots 1",
-            "two different",
+            "addresses must differ",
         ),
         (
             "server add m --pool p --zone a --control 1.1.1.1:0 --data 1.1.1.1:1 --slots 1",
@@ -99,17 +102,17 @@
 }
 
 #[gtest]
-fn tells_help_with_an_example() {
+fn help_contains_an_example() {
     for line in [
         "customer add --help",
         "server drain --help",
         "config history --help",
     ] {
-        let told = Command::parse(&split(line));
-        let named = line.trim_end_matches("--help");
-        let example = format!("Example: mulberryyoke {named}");
+        let result = Command::parse(&split(line));
+        let command = line.trim_end_matches("--help");
+        let example = format!("Example: mulberryyoke {command}");
         expect_that!(
-            told,
+            result,
             err(matches_pattern!(ParseError::Help(contains_substring(
                 example
             )))),
@@ -119,13 +122,13 @@
 }
 
 #[gtest]
-fn reads_values() {
+fn option_values_are_parsed() {
     let line = format!("customer add scouts --share 4 --class deferrable --key {KEY}");
     let Ok(Command::Customer(customer)) = Command::parse(&split(&line)) else {
-        panic!("not a command on customers");
+        panic!("not a customer command");
     };
     let Some(CustomerAction::Add(add)) = customer.action else {
-        panic!("not an addition");
+        panic!("not an add command");
     };
     expect_that!(add.share, eq(4));
     expect_that!(add.class, eq(Class::Deferrable));
@@ -133,7 +136,7 @@
 }
 
 #[gtest]
-fn keeps_words_without_keys() {
+fn bearer_keys_and_client_options_are_redacted() {
     let lines = [
         (
             format!("customer add a --key {KEY} --json"),
@@ -148,7 +151,7 @@
             "config history --key server/",
         ),
     ];
-    for (line, kept) in lines {
-        expect_that!(redact(&split(&line)), eq(kept));
+    for (line, redacted) in lines {
+        expect_that!(redact(&split(&line)), eq(redacted));
     }
 }
