--- a/crates/daemon/tests/soak/audit.rs
+++ b/crates/daemon/tests/soak/audit.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::backend::{EVENTS_PER_STREAM, RecordedRequest};
-use crate::gate::{KEYS_FRESH_MS, RETRY_RATIO, RETRY_SLACK};
+use crate::gateway::{KEYS_FRESH_MS, RETRY_RATIO, RETRY_SLACK};
 use crate::load::{End, PATIENCE, Record};
 use crate::operator::APPLY;
 use crate::scene::Scene;
@@ -122,7 +122,9 @@
     }
     let is_cut = matches!(record.end, End::Cut(_) | End::Partial);
     let (from, to) = (record.sent, record.ended);
-    let is_calm = scene.troubles.is_calm(Place::Gate(record.gate), from, to)
+    let is_calm = scene
+        .troubles
+        .is_calm(Place::Gateway(record.gateway), from, to)
         && scene.troubles.is_calm(Place::Server, from, to);
     if is_calm {
         audit.check("nothing cut", !is_cut || runs == 0, || {
@@ -160,7 +162,7 @@
         return;
     }
     let settled = from.checked_sub(APPLY + SLACK).unwrap_or(from);
-    if !scene.troubles.is_in_touch(record.gate, settled, to) {
+    if !scene.troubles.is_in_touch(record.gateway, settled, to) {
         return;
     }
     match scene.operator.has_extra(settled, to) {
@@ -175,7 +177,7 @@
 fn in_time(audit: &mut Audit, scene: &Scene, record: &Record) {
     if !scene
         .troubles
-        .is_calm(Place::Gate(record.gate), record.sent, record.ended)
+        .is_calm(Place::Gateway(record.gateway), record.sent, record.ended)
     {
         return;
     }
@@ -209,7 +211,7 @@
     let breaks = is_late
         && scene
             .troubles
-            .is_in_touch(record.gate, from, arrival.received_at);
+            .is_in_touch(record.gateway, from, arrival.received_at);
     audit.check("leaving server", !breaks, || {
         format!("{arrival:?} {record:?}")
     });
--- a/crates/daemon/tests/soak/audit/notice.rs
+++ b/crates/daemon/tests/soak/audit/notice.rs
@@ -30,7 +30,7 @@
             continue;
         };
         let at = told
-            .entry((record.gate, &arrival.server))
+            .entry((record.gateway, &arrival.server))
             .or_insert(record.ended);
         *at = record.ended.min(*at);
     }
@@ -38,14 +38,14 @@
         let Some(record) = asked.get(&*arrival.id) else {
             continue;
         };
-        let Some(&at) = told.get(&(record.gate, &*arrival.server)) else {
+        let Some(&at) = told.get(&(record.gateway, &*arrival.server)) else {
             continue;
         };
         let is_late = record.sent > at + DRAIN + SLACK && arrival.executed;
         let breaks = is_late
             && scene
                 .troubles
-                .is_clear(Place::Gate(record.gate), at, arrival.received_at);
+                .is_clear(Place::Gateway(record.gateway), at, arrival.received_at);
         audit.check("server that said it leaves", !breaks, || {
             format!("told {:?} before: {arrival:?} {record:?}", record.sent - at)
         });
@@ -59,9 +59,10 @@
     asked: &HashMap<&str, &Record>,
     arrivals: &[RecordedRequest],
 ) {
-    let gate = |arrival: &RecordedRequest| asked.get(&*arrival.id).map(|record| record.gate);
+    let gateway_of =
+        |arrival: &RecordedRequest| asked.get(&*arrival.id).map(|record| record.gateway);
     for arrival in arrivals {
-        let (Some(rest), Some(of)) = (arrival.pushback, gate(arrival)) else {
+        let (Some(rest), Some(gateway)) = (arrival.pushback, gateway_of(arrival)) else {
             continue;
         };
         let (from, to) = (arrival.received_at + ON_THE_WAY, arrival.received_at + rest);
@@ -73,14 +74,14 @@
         let mut places = scene
             .host(arrival.address)
             .into_iter()
-            .chain([Place::Gate(of)]);
+            .chain([Place::Gateway(gateway)]);
         if !places.all(|place| scene.troubles.is_clear(place, before, to)) {
             continue;
         }
         let came = arrivals.iter().filter(|other| {
             other.server == arrival.server
                 && (from..to).contains(&other.received_at)
-                && gate(other) == Some(of)
+                && gateway_of(other) == Some(gateway)
         });
         let count = came.count();
         audit.check(
--- a/crates/daemon/tests/soak/gate.rs
+++ b/crates/daemon/tests/soak/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process of its own.
+//! Gateway processes.
 
 use std::fs::{self, File};
 use std::net::{SocketAddr, TcpListener};
@@ -11,19 +11,19 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-/// Age of the configuration from which keys are refused, in milliseconds.
+/// Configuration age from which requests with a key are refused, in milliseconds.
 pub(crate) const KEYS_FRESH_MS: u64 = 2_000;
 
-/// Longest time of a planned stop, in milliseconds.
+/// Grace period of a shutdown, in milliseconds.
 pub(crate) const GRACE_MS: u64 = 6_000;
 
-/// Retries for each request, and beyond.
+/// Retries per request, and number of retries allowed beyond this ratio.
 pub(crate) const RETRY_RATIO: f64 = 0.2;
 pub(crate) const RETRY_SLACK: u32 = 20;
 
-/// A gateway that is ended with its owner.
+/// A gateway process that is killed on drop.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct Gateway {
     pub(crate) callers: SocketAddr,
     pub(crate) health: SocketAddr,
     settings: PathBuf,
@@ -31,18 +31,18 @@
     child: Mutex<Option<Child>>,
 }
 
-impl Gate {
-    /// Writes a gateway's settings; `store` is its way to the store.
+impl Gateway {
+    /// Writes the settings of a gateway that reaches the store at the address `store`.
     pub(crate) fn new(directory: &Path, index: usize, store: SocketAddr) -> Self {
         let name = format!("gate-{index}");
-        let [callers, health, control] = free();
+        let [callers, health, control] = free_addresses();
         let settings = directory.join(format!("{name}.json"));
         let text = json!({
             "name": name, "zone": "a", "callers": callers, "health": health, "control": control,
             "store": store, "keys_fresh_ms": KEYS_FRESH_MS, "grace_ms": GRACE_MS,
             "retry_ratio": RETRY_RATIO, "retry_slack": RETRY_SLACK,
         });
-        fs::write(&settings, text.to_string()).expect("the settings are written");
+        fs::write(&settings, text.to_string()).expect("the settings file is written");
         Self {
             callers,
             health,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Starts the process unless it runs.
+    /// Starts the process unless it is running.
     pub(crate) fn start(&self) {
         let mut child = self.child.lock();
         if child.is_some() {
@@ -62,27 +62,27 @@
         let started = Command::new(env!("CARGO_BIN_EXE_mulberryyoked"))
             .args(["gateway", "--settings"])
             .arg(&self.settings)
-            .stdout(log.expect("a log"))
+            .stdout(log.expect("the log file is opened"))
             .stderr(Stdio::inherit())
             .spawn();
-        *child = Some(started.expect("the gateway starts"));
+        *child = Some(started.expect("the gateway process starts"));
     }
 
-    /// Sends a signal if it runs.
+    /// Sends a signal if the process is running.
     pub(crate) fn signal(&self, signal: Signal) {
         let child = self.child.lock();
         let id = child
             .as_ref()
             .and_then(|child| i32::try_from(child.id()).ok());
         if let Some(pid) = id.and_then(Pid::from_raw) {
-            // It may have ended a moment ago.
+            // The process may have exited in the meantime.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Waits until the process has ended; `None` if it does not in time.
-    pub(crate) async fn end(&self, longest: Duration) -> Option<i32> {
-        let until = Instant::now() + longest;
+    /// Waits for the process and returns its exit code, or `None` after the timeout.
+    pub(crate) async fn wait_for_exit(&self, limit: Duration) -> Option<i32> {
+        let deadline = Instant::now() + limit;
         loop {
             {
                 let mut child = self.child.lock();
@@ -92,7 +92,7 @@
                     return Some(status.code().unwrap_or(-1));
                 }
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return None;
             }
             sleep(Duration::from_millis(20)).await;
@@ -100,19 +100,19 @@
     }
 }
 
-impl Drop for Gate {
+impl Drop for Gateway {
     fn drop(&mut self) {
         if let Some(child) = self.child.get_mut() {
-            // It may have ended.
+            // The process may have exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// Free ports of a gateway, all bound at once so that they differ. None is used by a
-/// connection of the run: these ports lie below the range from which the system takes them.
-fn free() -> [SocketAddr; 3] {
+/// Returns free addresses for a gateway. Their ports lie below the ephemeral range, so that no
+/// outgoing connection takes one of them before the gateway binds it.
+fn free_addresses() -> [SocketAddr; 3] {
     static NEXT: std::sync::atomic::AtomicU16 = std::sync::atomic::AtomicU16::new(0);
     let mut found = Vec::new();
     let begin = 20_000 + u16::try_from(std::process::id() % 8_000).unwrap_or(0);
--- a/crates/daemon/tests/soak/load.rs
+++ b/crates/daemon/tests/soak/load.rs
@@ -50,7 +50,7 @@
     pub(crate) id: String,
     pub(crate) kind: &'static str,
     pub(crate) key: Option<String>,
-    pub(crate) gate: usize,
+    pub(crate) gateway: usize,
     pub(crate) sent: Instant,
     pub(crate) ended: Instant,
     pub(crate) status: u16,
@@ -75,16 +75,16 @@
         sleep(Duration::from_millis(rng.random_range(1..PAUSE_MS))).await;
         open = open.filter(|(_, sender)| !sender.is_closed() && rng.random_range(0..12) > 0);
         if open.is_none() {
-            let gate = scene.rotation(rng.random_range(0..64));
-            let sender = connect(scene.gates[gate].callers).await;
-            open = sender.map(|sender| (gate, sender));
+            let gateway = scene.rotation(rng.random_range(0..64));
+            let sender = connect(scene.gateways[gateway].callers).await;
+            open = sender.map(|sender| (gateway, sender));
         }
-        let Some((gate, sender)) = &mut open else {
+        let Some((gateway, sender)) = &mut open else {
             continue;
         };
         let kind = PATHS[rng.random_range(0..PATHS.len())];
         let key = (kind == "keyed").then(|| scene.operator.key(rng.random_range(0..64)));
-        let (record, keeps) = ask(sender, *gate, kind, key).await;
+        let (record, keeps) = ask(sender, *gateway, kind, key).await;
         scene.records.lock().push(record);
         if !keeps {
             open = None;
@@ -103,7 +103,7 @@
 /// Sends one request; also tells whether the connection may be used again.
 async fn ask(
     sender: &mut SendRequest<Full<Bytes>>,
-    gate: usize,
+    gateway: usize,
     kind: &'static str,
     key: Option<String>,
 ) -> (Record, bool) {
@@ -121,7 +121,7 @@
         id,
         kind,
         key,
-        gate,
+        gateway,
         sent,
         ended: sent,
         status: 0,
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -16,7 +16,7 @@
 mod store;
 
 mod audit;
-mod gate;
+mod gateway;
 mod link;
 mod load;
 mod operator;
@@ -49,9 +49,9 @@
 ];
 
 /// Gateways, callers and seeds at once, unless the environment says otherwise.
-const GATES: usize = 3;
-const CALLERS: usize = 16;
-const JOBS: usize = 4;
+const DEFAULT_GATEWAYS: usize = 3;
+const DEFAULT_CALLERS: usize = 16;
+const DEFAULT_JOBS: usize = 4;
 
 fn number(name: &str, usual: usize) -> usize {
     let text = std::env::var(name).ok();
@@ -69,13 +69,16 @@
 
 #[test]
 fn the_promises_hold_while_faults_overlap() {
-    let (gates, callers) = (number("SOAK_GATES", GATES), number("SOAK_CALLERS", CALLERS));
+    let (gateways, callers) = (
+        number("SOAK_GATES", DEFAULT_GATEWAYS),
+        number("SOAK_CALLERS", DEFAULT_CALLERS),
+    );
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
     let outcomes = runtime.expect("a runtime").block_on(async {
         let runs = iter(seeds()).map(|seed| async move {
-            let outcome = scene::play(seed, gates, callers).await;
+            let outcome = scene::play(seed, gateways, callers).await;
             println!(
                 "seed {seed}: {} requests, {} served, {} findings",
                 outcome.requests,
@@ -84,7 +87,7 @@
             );
             (seed, outcome)
         });
-        runs.buffer_unordered(number("SOAK_JOBS", JOBS))
+        runs.buffer_unordered(number("SOAK_JOBS", DEFAULT_JOBS))
             .collect::<Vec<_>>()
             .await
     });
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -80,9 +80,9 @@
 }
 
 /// The steps of a seed, in their order.
-pub(crate) fn steps(seed: u64, gates: usize) -> Vec<Step> {
+pub(crate) fn steps(seed: u64, gateways: usize) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let count = rng.random_range(FAULTS.0..=FAULTS.1) * gates;
+    let count = rng.random_range(FAULTS.0..=FAULTS.1) * gateways;
     let mut steps: Vec<Step> = (0..count).map(|_| step(&mut rng)).collect();
     // Drawn last, so that the other steps of a seed stay as they were.
     if rng.random_bool(RESTORES) {
--- a/crates/daemon/tests/soak/scene.rs
+++ b/crates/daemon/tests/soak/scene.rs
@@ -18,7 +18,7 @@
 use crate::audit::{Audit, audit};
 use crate::backend::{Backend, RecordedRequest};
 use crate::forms::{ServerState, registration, server_key};
-use crate::gate::Gate;
+use crate::gateway::Gateway;
 use crate::link::Link;
 use crate::load::{self, Record};
 use crate::operator::Operator;
@@ -51,7 +51,7 @@
 
 /// A run and what is seen in it.
 pub(crate) struct Scene {
-    pub(crate) gates: Vec<Gate>,
+    pub(crate) gateways: Vec<Gateway>,
     pub(crate) operator: Operator,
     pub(crate) records: Mutex<Vec<Record>>,
     pub(crate) arrivals: Arc<std::sync::Mutex<Vec<RecordedRequest>>>,
@@ -76,19 +76,19 @@
 }
 
 /// Plays a seed with a number of gateways and callers.
-pub(crate) async fn play(seed: u64, gates: usize, callers: usize) -> Outcome {
+pub(crate) async fn play(seed: u64, gateways: usize, callers: usize) -> Outcome {
     let directory = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a directory");
-    let scene = Arc::new(Scene::open(&directory, gates).await);
+    let scene = Arc::new(Scene::open(&directory, gateways).await);
     let until = Instant::now() + START;
-    while !(0..gates).all(|gate| scene.is_ready(gate)) {
+    while !(0..gateways).all(|gateway| scene.is_ready(gateway)) {
         assert!(
             Instant::now() < until,
             "the gateways of seed {seed} become ready"
         );
         scene.look().await;
     }
-    let steps = plan::steps(seed, gates);
+    let steps = plan::steps(seed, gateways);
     let mut faults = BTreeMap::new();
     for step in &steps {
         *faults.entry(step.fault.word()).or_default() += 1;
@@ -151,18 +151,18 @@
             });
         }
         let mut links = Vec::new();
-        let mut gates = Vec::new();
+        let mut gateways = Vec::new();
         let operator = Operator::new(store.clone());
         for index in 0..count {
             let link = Link::spawn(store.address).await;
-            let gate = Gate::new(directory, index, link.address);
-            gate.start();
+            let gateway = Gateway::new(directory, index, link.address);
+            gateway.start();
             links.push(link);
-            gates.push(gate);
+            gateways.push(gateway);
         }
         Self {
-            ready: gates.iter().map(|_| AtomicU64::new(0)).collect(),
-            gates,
+            ready: gateways.iter().map(|_| AtomicU64::new(0)).collect(),
+            gateways,
             operator,
             records: Mutex::default(),
             arrivals,
@@ -200,22 +200,25 @@
 
     /// A gateway in rotation, or any if none is.
     pub(crate) fn rotation(&self, chance: usize) -> usize {
-        let ready: Vec<usize> = (0..self.gates.len())
-            .filter(|gate| self.is_ready(*gate))
+        let ready: Vec<usize> = (0..self.gateways.len())
+            .filter(|gateway| self.is_ready(*gateway))
             .collect();
         match ready.len() {
-            0 => chance % self.gates.len(),
+            0 => chance % self.gateways.len(),
             count => ready[chance % count],
         }
     }
 
     /// Two questions in a row without a good answer take a gateway out.
-    fn is_ready(&self, gate: usize) -> bool {
-        self.ready[gate].load(Ordering::Relaxed) > 0
+    fn is_ready(&self, gateway: usize) -> bool {
+        self.ready[gateway].load(Ordering::Relaxed) > 0
     }
 
     async fn look(&self) {
-        let asked = self.gates.iter().map(|gate| timeout(LOOK, is_ready(gate)));
+        let asked = self
+            .gateways
+            .iter()
+            .map(|gateway| timeout(LOOK, is_ready(gateway)));
         let answers = futures::future::join_all(asked).await;
         for (ready, answer) in self.ready.iter().zip(answers) {
             let before = ready.load(Ordering::Relaxed);
@@ -232,15 +235,15 @@
     /// that is served some seconds later.
     async fn kill_all(&self, begun: Instant) -> f64 {
         sleep((begun + SPAN).saturating_duration_since(Instant::now())).await;
-        let troubles: Vec<usize> = (0..self.gates.len())
-            .map(|gate| self.troubles.begin(Place::Gate(gate)))
+        let troubles: Vec<usize> = (0..self.gateways.len())
+            .map(|gateway| self.troubles.begin(Place::Gateway(gateway)))
             .collect();
-        for gate in &self.gates {
-            gate.signal(Signal::KILL);
+        for gateway in &self.gateways {
+            gateway.signal(Signal::KILL);
         }
-        for (gate, trouble) in self.gates.iter().zip(troubles) {
-            gate.end(Duration::from_secs(2)).await;
-            gate.start();
+        for (gateway, trouble) in self.gateways.iter().zip(troubles) {
+            gateway.wait_for_exit(Duration::from_secs(2)).await;
+            gateway.start();
             self.troubles.end(trouble);
         }
         sleep(RECOVER).await;
@@ -259,8 +262,8 @@
     }
 }
 
-async fn is_ready(gate: &Gate) -> bool {
-    let Ok(mut stream) = TcpStream::connect(gate.health).await else {
+async fn is_ready(gateway: &Gateway) -> bool {
+    let Ok(mut stream) = TcpStream::connect(gateway.health).await else {
         return false;
     };
     let request = b"GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
--- a/crates/daemon/tests/soak/scene/step.rs
+++ b/crates/daemon/tests/soak/scene/step.rs
@@ -9,7 +9,7 @@
 
 use super::{Host, Scene};
 use crate::forms::{ServerState, registration, server_key};
-use crate::gate::GRACE_MS;
+use crate::gateway::GRACE_MS;
 use crate::link::Way;
 use crate::plan::{Fault, Step};
 use crate::trouble::Place;
@@ -24,25 +24,25 @@
 impl Scene {
     pub(super) async fn play_step(self: Arc<Self>, step: Step, begun: Instant) {
         sleep((begun + step.at).saturating_duration_since(Instant::now())).await;
-        let gate = step.target % self.gates.len();
+        let gateway = step.target % self.gateways.len();
         let index = step.target % self.hosts.len();
         let host = &self.hosts[index];
         match step.fault {
-            Fault::Kill => self.restart(gate, Signal::KILL).await,
-            Fault::Stop => self.restart(gate, Signal::TERM).await,
+            Fault::Kill => self.restart(gateway, Signal::KILL).await,
+            Fault::Stop => self.restart(gateway, Signal::TERM).await,
             Fault::Freeze => {
-                let trouble = self.troubles.begin(Place::Gate(gate));
-                self.gates[gate].signal(Signal::STOP);
+                let trouble = self.troubles.begin(Place::Gateway(gateway));
+                self.gateways[gateway].signal(Signal::STOP);
                 sleep(step.lasts).await;
-                self.gates[gate].signal(Signal::CONT);
+                self.gateways[gateway].signal(Signal::CONT);
                 self.troubles.end(trouble);
             }
-            Fault::Reload => self.gates[gate].signal(Signal::HUP),
+            Fault::Reload => self.gateways[gateway].signal(Signal::HUP),
             Fault::Store(way) => {
-                let trouble = self.troubles.begin(Place::Store(gate));
-                self.links[gate].set(way);
+                let trouble = self.troubles.begin(Place::Store(gateway));
+                self.links[gateway].set(way);
                 sleep(step.lasts).await;
-                self.links[gate].set(Way::Open);
+                self.links[gateway].set(Way::Open);
                 self.troubles.end(trouble);
             }
             Fault::Refuse => {
@@ -110,19 +110,19 @@
 
     /// Ends a gateway and starts it again. A planned stop is no fault until the process
     /// has ended.
-    async fn restart(&self, gate: usize, signal: Signal) {
+    async fn restart(&self, gateway: usize, signal: Signal) {
         let is_planned = signal == Signal::TERM;
-        let trouble = (!is_planned).then(|| self.troubles.begin(Place::Gate(gate)));
-        self.gates[gate].signal(signal);
-        let longest = Duration::from_millis(GRACE_MS + 1_000);
-        let ended = self.gates[gate].end(longest).await;
-        let trouble = trouble.unwrap_or_else(|| self.troubles.begin(Place::Gate(gate)));
+        let trouble = (!is_planned).then(|| self.troubles.begin(Place::Gateway(gateway)));
+        self.gateways[gateway].signal(signal);
+        let limit = Duration::from_millis(GRACE_MS + 1_000);
+        let ended = self.gateways[gateway].wait_for_exit(limit).await;
+        let trouble = trouble.unwrap_or_else(|| self.troubles.begin(Place::Gateway(gateway)));
         if is_planned && ended.is_none() {
-            self.gates[gate].signal(Signal::KILL);
-            self.gates[gate].end(longest).await;
+            self.gateways[gateway].signal(Signal::KILL);
+            self.gateways[gateway].wait_for_exit(limit).await;
         }
         sleep(Duration::from_millis(200)).await;
-        self.gates[gate].start();
+        self.gateways[gateway].start();
         self.troubles.end(trouble);
     }
 
--- a/crates/daemon/tests/soak/trouble.rs
+++ b/crates/daemon/tests/soak/trouble.rs
@@ -11,7 +11,7 @@
 /// Where a fault is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Place {
-    Gate(usize),
+    Gateway(usize),
     /// A gateway's way to the store.
     Store(usize),
     /// The ways to one server.
@@ -70,8 +70,12 @@
     }
 
     /// Whether a gateway runs and has known the newest configuration for a time.
-    pub(crate) fn is_in_touch(&self, gate: usize, from: Instant, to: Instant) -> bool {
-        let places = [Place::Gate(gate), Place::Store(gate), Place::Stores];
+    pub(crate) fn is_in_touch(&self, gateway: usize, from: Instant, to: Instant) -> bool {
+        let places = [
+            Place::Gateway(gateway),
+            Place::Store(gateway),
+            Place::Stores,
+        ];
         places.iter().all(|place| self.is_calm(*place, from, to))
     }
 }
