--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -17,10 +17,10 @@
 
 mod audit;
 mod gateway;
-mod link;
 mod load;
 mod operator;
 mod plan;
+mod proxy;
 mod scene;
 mod trouble;
 
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::link::Way;
+use crate::proxy::Mode;
 
 /// Time in which faults begin.
 pub(crate) const SPAN: Duration = Duration::from_secs(9);
@@ -35,7 +35,7 @@
     /// A gateway is told to read its settings again.
     Reload,
     /// A gateway's way to the store is harmed.
-    Store(Way),
+    Store(Mode),
     /// The store refuses every call of the gateways, while a key is taken away.
     Refuse,
     /// The store forgets its history.
@@ -43,9 +43,9 @@
     /// The store comes back from a copy as old as the fault lasts.
     Restore,
     /// The way to a server is harmed.
-    Server(Way),
+    Server(Mode),
     /// The ways to all servers of a pool are harmed.
-    Pool(Way),
+    Pool(Mode),
     /// A server leaves as planned, and another takes its address.
     Replace,
     /// As `Replace`, and the server's answers say so before its registration does.
@@ -105,25 +105,25 @@
 
 fn step(rng: &mut ChaCha8Rng) -> Step {
     let span_ms = u64::try_from(SPAN.as_millis()).unwrap_or(0);
-    let way = match rng.random_range(0..5) {
-        0 => Way::Slow(rng.random_range(20..300)),
-        1 => Way::Silent,
-        2 => Way::Half,
-        3 => Way::Cut,
-        _ => Way::Reset,
+    let mode = match rng.random_range(0..5) {
+        0 => Mode::Delay(rng.random_range(20..300)),
+        1 => Mode::Stall,
+        2 => Mode::StallResponses,
+        3 => Mode::CloseOnResponse,
+        _ => Mode::Reset,
     };
     let fault = match rng.random_range(0..15) {
         0 => Fault::Kill,
         1 | 2 => Fault::Stop,
         3 => Fault::Freeze,
         4 => Fault::Reload,
-        5 | 6 => Fault::Store(way),
+        5 | 6 => Fault::Store(mode),
         7 => Fault::Refuse,
         8 => Fault::Compact,
-        9 | 10 => Fault::Server(way),
+        9 | 10 => Fault::Server(mode),
         11 => Fault::Replace,
         12 => Fault::Route,
-        13 => Fault::Pool(way),
+        13 => Fault::Pool(mode),
         _ => Fault::Revoke,
     };
     Step {
--- a/crates/daemon/tests/soak/scene.rs
+++ b/crates/daemon/tests/soak/scene.rs
@@ -19,10 +19,10 @@
 use crate::backend::{Backend, RecordedRequest};
 use crate::forms::{ServerState, registration, server_key};
 use crate::gateway::Gateway;
-use crate::link::Link;
 use crate::load::{self, Record};
 use crate::operator::Operator;
 use crate::plan::{self, SPAN};
+use crate::proxy::Proxy;
 use crate::store::Store;
 use crate::trouble::{Place, Troubles};
 
@@ -45,7 +45,7 @@
 /// A server, the proxy before it and its pool.
 struct Host {
     backend: Backend,
-    link: Link,
+    proxy: Proxy,
     pool: &'static str,
 }
 
@@ -57,7 +57,7 @@
     pub(crate) arrivals: Arc<std::sync::Mutex<Vec<RecordedRequest>>>,
     pub(crate) troubles: Troubles,
     store: Store,
-    links: Vec<Link>,
+    store_proxies: Vec<Proxy>,
     hosts: Vec<Host>,
     /// When servers were told to be leaving.
     left: Mutex<HashMap<String, Instant>>,
@@ -141,23 +141,23 @@
         for index in 0..2 * SERVERS {
             let pool = if index < SERVERS { "desk" } else { "llm" };
             let backend = Backend::spawn(&format!("s-{index}"), Arc::clone(&arrivals)).await;
-            let link = Link::spawn(backend.address).await;
-            let value = registration(pool, link.address, ServerState::Ready);
+            let proxy = Proxy::spawn(backend.address).await;
+            let value = registration(pool, proxy.address, ServerState::Ready);
             store.put(&server_key(&backend.name()), &value);
             hosts.push(Host {
                 backend,
-                link,
+                proxy,
                 pool,
             });
         }
-        let mut links = Vec::new();
+        let mut store_proxies = Vec::new();
         let mut gateways = Vec::new();
         let operator = Operator::new(store.clone());
         for index in 0..count {
-            let link = Link::spawn(store.address).await;
-            let gateway = Gateway::new(directory, index, link.address);
+            let proxy = Proxy::spawn(store.address).await;
+            let gateway = Gateway::new(directory, index, proxy.address);
             gateway.start();
-            links.push(link);
+            store_proxies.push(proxy);
             gateways.push(gateway);
         }
         Self {
@@ -168,7 +168,7 @@
             arrivals,
             troubles: Troubles::default(),
             store,
-            links,
+            store_proxies,
             hosts,
             left: Mutex::default(),
             is_over: AtomicBool::new(false),
--- a/crates/daemon/tests/soak/scene/step.rs
+++ b/crates/daemon/tests/soak/scene/step.rs
@@ -10,8 +10,8 @@
 use super::{Host, Scene};
 use crate::forms::{ServerState, registration, server_key};
 use crate::gateway::GRACE_MS;
-use crate::link::Way;
 use crate::plan::{Fault, Step};
+use crate::proxy::Mode;
 use crate::trouble::Place;
 
 /// Time for which servers ask for rest, each time that they turn a request away.
@@ -38,11 +38,11 @@
                 self.troubles.end(trouble);
             }
             Fault::Reload => self.gateways[gateway].signal(Signal::HUP),
-            Fault::Store(way) => {
+            Fault::Store(mode) => {
                 let trouble = self.troubles.begin(Place::Store(gateway));
-                self.links[gateway].set(way);
+                self.store_proxies[gateway].set_mode(mode);
                 sleep(step.lasts).await;
-                self.links[gateway].set(Way::Open);
+                self.store_proxies[gateway].set_mode(Mode::Forward);
                 self.troubles.end(trouble);
             }
             Fault::Refuse => {
@@ -61,26 +61,26 @@
                 self.store.restore();
                 self.troubles.end(trouble);
             }
-            Fault::Server(way) => {
+            Fault::Server(mode) => {
                 let troubles = [Place::Server, Place::Host(index)];
                 let troubles = troubles.map(|place| self.troubles.begin(place));
-                host.link.set(way);
+                host.proxy.set_mode(mode);
                 sleep(step.lasts).await;
-                host.link.set(Way::Open);
+                host.proxy.set_mode(Mode::Forward);
                 for trouble in troubles {
                     self.troubles.end(trouble);
                 }
             }
-            Fault::Pool(way) => {
+            Fault::Pool(mode) => {
                 let mut troubles = vec![self.troubles.begin(Place::Server)];
                 let of_pool = self.hosts.iter().filter(|other| other.pool == host.pool);
-                of_pool.clone().for_each(|host| host.link.set(way));
+                of_pool.clone().for_each(|host| host.proxy.set_mode(mode));
                 let hosts = self.hosts.iter().enumerate();
                 let hosts = hosts.filter(|(_, other)| other.pool == host.pool);
                 troubles.extend(hosts.map(|(index, _)| self.troubles.begin(Place::Host(index))));
                 // Long enough for repeats to exceed their budget, were there none.
                 sleep(2 * step.lasts).await;
-                of_pool.for_each(|host| host.link.set(Way::Open));
+                of_pool.for_each(|host| host.proxy.set_mode(Mode::Forward));
                 for trouble in troubles {
                     self.troubles.end(trouble);
                 }
@@ -134,7 +134,7 @@
         if self.left.lock().contains_key(&name) {
             return;
         }
-        let value = registration(host.pool, host.link.address, ServerState::Draining);
+        let value = registration(host.pool, host.proxy.address, ServerState::Draining);
         self.store.put(&server_key(&name), &value);
         self.left.lock().insert(name.clone(), Instant::now());
         sleep(Duration::from_secs(3)).await;
@@ -142,7 +142,7 @@
         sleep(Duration::from_secs(1)).await;
         let next = format!("n-{}", self.named.fetch_add(1, Ordering::Relaxed));
         host.backend.replace(&next);
-        let value = registration(host.pool, host.link.address, ServerState::Ready);
+        let value = registration(host.pool, host.proxy.address, ServerState::Ready);
         self.store.put(&server_key(&next), &value);
     }
 }
