--- a/crates/daemon/tests/soak/audit.rs
+++ b/crates/daemon/tests/soak/audit.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 use crate::backend::{EVENTS_PER_STREAM, RecordedRequest};
+use crate::fault_log::Scope;
 use crate::gateway::{KEYS_FRESH_MS, RETRY_RATIO, RETRY_SLACK};
 use crate::load::{End, PATIENCE, Record};
 use crate::operator::APPLY;
 use crate::scene::Scene;
-use crate::trouble::Place;
 
 /// Time by which observations of two processes may differ.
 const SLACK: Duration = Duration::from_millis(500);
@@ -122,11 +122,13 @@
     }
     let is_cut = matches!(record.end, End::Cut(_) | End::Partial);
     let (from, to) = (record.sent, record.ended);
-    let is_calm = scene
-        .troubles
-        .is_calm(Place::Gateway(record.gateway), from, to)
-        && scene.troubles.is_calm(Place::Server, from, to);
-    if is_calm {
+    let is_undisturbed = scene
+        .fault_log
+        .is_undisturbed(Scope::Gateway(record.gateway), from, to)
+        && scene
+            .fault_log
+            .is_undisturbed(Scope::AnyServerConnection, from, to);
+    if is_undisturbed {
         audit.check("nothing cut", !is_cut || runs == 0, || {
             format!("{record:?}")
         });
@@ -162,7 +164,10 @@
         return;
     }
     let settled = from.checked_sub(APPLY + SLACK).unwrap_or(from);
-    if !scene.troubles.is_in_touch(record.gateway, settled, to) {
+    if !scene
+        .fault_log
+        .has_current_config(record.gateway, settled, to)
+    {
         return;
     }
     match scene.operator.has_extra(settled, to) {
@@ -176,8 +181,8 @@
 
 fn in_time(audit: &mut Audit, scene: &Scene, record: &Record) {
     if !scene
-        .troubles
-        .is_calm(Place::Gateway(record.gateway), record.sent, record.ended)
+        .fault_log
+        .is_undisturbed(Scope::Gateway(record.gateway), record.sent, record.ended)
     {
         return;
     }
@@ -189,8 +194,8 @@
     let is_refusal = matches!(record.status, 429 | 503) && scene.is_serving();
     if is_refusal
         && scene
-            .troubles
-            .is_calm(Place::Server, record.sent, record.ended)
+            .fault_log
+            .is_undisturbed(Scope::AnyServerConnection, record.sent, record.ended)
     {
         audit.check("refused at once", elapsed <= 2 * SLACK, || {
             format!("{elapsed:?} {record:?}")
@@ -210,8 +215,8 @@
     let from = late.min(record.sent);
     let breaks = is_late
         && scene
-            .troubles
-            .is_in_touch(record.gateway, from, arrival.received_at);
+            .fault_log
+            .has_current_config(record.gateway, from, arrival.received_at);
     audit.check("leaving server", !breaks, || {
         format!("{arrival:?} {record:?}")
     });
--- a/crates/daemon/tests/soak/audit/notice.rs
+++ b/crates/daemon/tests/soak/audit/notice.rs
@@ -5,9 +5,9 @@
 
 use super::{Audit, DRAIN, SLACK};
 use crate::backend::RecordedRequest;
+use crate::fault_log::Scope;
 use crate::load::Record;
 use crate::scene::Scene;
-use crate::trouble::Place;
 
 /// Time after a server asked for rest in which requests that were on their way may reach it.
 const ON_THE_WAY: Duration = Duration::from_millis(500);
@@ -43,9 +43,11 @@
         };
         let is_late = record.sent > at + DRAIN + SLACK && arrival.executed;
         let breaks = is_late
-            && scene
-                .troubles
-                .is_clear(Place::Gateway(record.gateway), at, arrival.received_at);
+            && scene.fault_log.is_fault_free(
+                Scope::Gateway(record.gateway),
+                at,
+                arrival.received_at,
+            );
         audit.check("server that said it leaves", !breaks, || {
             format!("told {:?} before: {arrival:?} {record:?}", record.sent - at)
         });
@@ -74,8 +76,8 @@
         let mut places = scene
             .host(arrival.address)
             .into_iter()
-            .chain([Place::Gateway(gateway)]);
-        if !places.all(|place| scene.troubles.is_clear(place, before, to)) {
+            .chain([Scope::Gateway(gateway)]);
+        if !places.all(|place| scene.fault_log.is_fault_free(place, before, to)) {
             continue;
         }
         let came = arrivals.iter().filter(|other| {
--- /dev/null
+++ b/crates/daemon/tests/soak/fault_log.rs
@@ -0,0 +1,83 @@
+//! Times of the injected faults.
+
+use std::time::{Duration, Instant};
+
+use parking_lot::Mutex;
+
+/// Time after a fault in which its effects may still be visible. Within it, dead connections
+/// are closed and gateways have received the current configuration.
+const RECOVERY_TIME: Duration = Duration::from_millis(4_500);
+
+/// Part of the system that a fault affects.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Scope {
+    Gateway(usize),
+    /// Connection of a gateway to the store.
+    StoreConnection(usize),
+    /// Connections to a server.
+    ServerConnection(usize),
+    Store,
+    /// Connections to any server.
+    AnyServerConnection,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Interval {
+    scope: Scope,
+    begin: Instant,
+    /// `None` while the fault lasts.
+    end: Option<Instant>,
+}
+
+/// Times of the injected faults.
+#[derive(Debug, Default)]
+pub(crate) struct FaultLog {
+    intervals: Mutex<Vec<Interval>>,
+}
+
+impl FaultLog {
+    /// Records that a fault begins; returns its index for [`FaultLog::end`].
+    pub(crate) fn begin(&self, scope: Scope) -> usize {
+        let mut intervals = self.intervals.lock();
+        intervals.push(Interval {
+            scope,
+            begin: Instant::now(),
+            end: None,
+        });
+        intervals.len() - 1
+    }
+
+    pub(crate) fn end(&self, index: usize) {
+        self.intervals.lock()[index].end = Some(Instant::now());
+    }
+
+    /// Whether no fault affects a scope during a period or within the recovery time before it.
+    pub(crate) fn is_undisturbed(&self, scope: Scope, from: Instant, to: Instant) -> bool {
+        let intervals = self.intervals.lock();
+        !intervals.iter().any(|interval| {
+            let is_over = interval.end.is_some_and(|end| end + RECOVERY_TIME < from);
+            interval.scope == scope && interval.begin <= to && !is_over
+        })
+    }
+
+    /// Whether no fault affects a scope during a period.
+    pub(crate) fn is_fault_free(&self, scope: Scope, from: Instant, to: Instant) -> bool {
+        let intervals = self.intervals.lock();
+        !intervals.iter().any(|interval| {
+            let is_over = interval.end.is_some_and(|end| end < from);
+            interval.scope == scope && interval.begin <= to && !is_over
+        })
+    }
+
+    /// Whether a gateway is running and has the current configuration throughout a period.
+    pub(crate) fn has_current_config(&self, gateway: usize, from: Instant, to: Instant) -> bool {
+        let scopes = [
+            Scope::Gateway(gateway),
+            Scope::StoreConnection(gateway),
+            Scope::Store,
+        ];
+        scopes
+            .iter()
+            .all(|scope| self.is_undisturbed(*scope, from, to))
+    }
+}
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -16,13 +16,13 @@
 mod store;
 
 mod audit;
+mod fault_log;
 mod gateway;
 mod load;
 mod operator;
 mod plan;
 mod proxy;
 mod scene;
-mod trouble;
 
 use std::collections::BTreeMap;
 
--- a/crates/daemon/tests/soak/scene.rs
+++ b/crates/daemon/tests/soak/scene.rs
@@ -17,6 +17,7 @@
 
 use crate::audit::{Audit, audit};
 use crate::backend::{Backend, RecordedRequest};
+use crate::fault_log::{FaultLog, Scope};
 use crate::forms::{ServerState, registration, server_key};
 use crate::gateway::Gateway;
 use crate::load::{self, Record};
@@ -24,7 +25,6 @@
 use crate::plan::{self, SPAN};
 use crate::proxy::Proxy;
 use crate::store::Store;
-use crate::trouble::{Place, Troubles};
 
 /// Servers of each pool.
 const SERVERS: usize = 4;
@@ -55,7 +55,7 @@
     pub(crate) operator: Operator,
     pub(crate) records: Mutex<Vec<Record>>,
     pub(crate) arrivals: Arc<std::sync::Mutex<Vec<RecordedRequest>>>,
-    pub(crate) troubles: Troubles,
+    pub(crate) fault_log: FaultLog,
     store: Store,
     store_proxies: Vec<Proxy>,
     hosts: Vec<Host>,
@@ -166,7 +166,7 @@
             operator,
             records: Mutex::default(),
             arrivals,
-            troubles: Troubles::default(),
+            fault_log: FaultLog::default(),
             store,
             store_proxies,
             hosts,
@@ -183,14 +183,14 @@
     /// Whether the store serves all gateways.
     pub(crate) fn is_serving(&self) -> bool {
         let now = Instant::now();
-        self.troubles.is_calm(Place::Stores, now, now)
+        self.fault_log.is_undisturbed(Scope::Store, now, now)
     }
 
     /// The server at an address, as a place of troubles.
-    pub(crate) fn host(&self, address: SocketAddr) -> Option<Place> {
+    pub(crate) fn host(&self, address: SocketAddr) -> Option<Scope> {
         let mut hosts = self.hosts.iter();
         let index = hosts.position(|host| host.backend.address == address)?;
-        Some(Place::Host(index))
+        Some(Scope::ServerConnection(index))
     }
 
     /// When a server was told to be leaving.
@@ -236,7 +236,7 @@
     async fn kill_all(&self, begun: Instant) -> f64 {
         sleep((begun + SPAN).saturating_duration_since(Instant::now())).await;
         let troubles: Vec<usize> = (0..self.gateways.len())
-            .map(|gateway| self.troubles.begin(Place::Gateway(gateway)))
+            .map(|gateway| self.fault_log.begin(Scope::Gateway(gateway)))
             .collect();
         for gateway in &self.gateways {
             gateway.signal(Signal::KILL);
@@ -244,7 +244,7 @@
         for (gateway, trouble) in self.gateways.iter().zip(troubles) {
             gateway.wait_for_exit(Duration::from_secs(2)).await;
             gateway.start();
-            self.troubles.end(trouble);
+            self.fault_log.end(trouble);
         }
         sleep(RECOVER).await;
         let from = Instant::now();
--- a/crates/daemon/tests/soak/scene/step.rs
+++ b/crates/daemon/tests/soak/scene/step.rs
@@ -8,11 +8,11 @@
 use tokio::time::sleep;
 
 use super::{Host, Scene};
+use crate::fault_log::Scope;
 use crate::forms::{ServerState, registration, server_key};
 use crate::gateway::GRACE_MS;
 use crate::plan::{Fault, Step};
 use crate::proxy::Mode;
-use crate::trouble::Place;
 
 /// Time for which servers ask for rest, each time that they turn a request away.
 const REST: Duration = Duration::from_secs(2);
@@ -31,58 +31,60 @@
             Fault::Kill => self.restart(gateway, Signal::KILL).await,
             Fault::Stop => self.restart(gateway, Signal::TERM).await,
             Fault::Freeze => {
-                let trouble = self.troubles.begin(Place::Gateway(gateway));
+                let trouble = self.fault_log.begin(Scope::Gateway(gateway));
                 self.gateways[gateway].signal(Signal::STOP);
                 sleep(step.lasts).await;
                 self.gateways[gateway].signal(Signal::CONT);
-                self.troubles.end(trouble);
+                self.fault_log.end(trouble);
             }
             Fault::Reload => self.gateways[gateway].signal(Signal::HUP),
             Fault::Store(mode) => {
-                let trouble = self.troubles.begin(Place::Store(gateway));
+                let trouble = self.fault_log.begin(Scope::StoreConnection(gateway));
                 self.store_proxies[gateway].set_mode(mode);
                 sleep(step.lasts).await;
                 self.store_proxies[gateway].set_mode(Mode::Forward);
-                self.troubles.end(trouble);
+                self.fault_log.end(trouble);
             }
             Fault::Refuse => {
-                let trouble = self.troubles.begin(Place::Stores);
+                let trouble = self.fault_log.begin(Scope::Store);
                 self.store.set_unavailable(true);
                 self.operator.revoke();
                 sleep(step.lasts).await;
                 self.store.set_unavailable(false);
-                self.troubles.end(trouble);
+                self.fault_log.end(trouble);
             }
             Fault::Compact => self.store.compact(),
             Fault::Restore => {
                 self.store.back_up();
                 sleep(step.lasts).await;
-                let trouble = self.troubles.begin(Place::Stores);
+                let trouble = self.fault_log.begin(Scope::Store);
                 self.store.restore();
-                self.troubles.end(trouble);
+                self.fault_log.end(trouble);
             }
             Fault::Server(mode) => {
-                let troubles = [Place::Server, Place::Host(index)];
-                let troubles = troubles.map(|place| self.troubles.begin(place));
+                let troubles = [Scope::AnyServerConnection, Scope::ServerConnection(index)];
+                let troubles = troubles.map(|place| self.fault_log.begin(place));
                 host.proxy.set_mode(mode);
                 sleep(step.lasts).await;
                 host.proxy.set_mode(Mode::Forward);
                 for trouble in troubles {
-                    self.troubles.end(trouble);
+                    self.fault_log.end(trouble);
                 }
             }
             Fault::Pool(mode) => {
-                let mut troubles = vec![self.troubles.begin(Place::Server)];
+                let mut troubles = vec![self.fault_log.begin(Scope::AnyServerConnection)];
                 let of_pool = self.hosts.iter().filter(|other| other.pool == host.pool);
                 of_pool.clone().for_each(|host| host.proxy.set_mode(mode));
                 let hosts = self.hosts.iter().enumerate();
                 let hosts = hosts.filter(|(_, other)| other.pool == host.pool);
-                troubles.extend(hosts.map(|(index, _)| self.troubles.begin(Place::Host(index))));
+                troubles.extend(
+                    hosts.map(|(index, _)| self.fault_log.begin(Scope::ServerConnection(index))),
+                );
                 // Long enough for repeats to exceed their budget, were there none.
                 sleep(2 * step.lasts).await;
                 of_pool.for_each(|host| host.proxy.set_mode(Mode::Forward));
                 for trouble in troubles {
-                    self.troubles.end(trouble);
+                    self.fault_log.end(trouble);
                 }
             }
             Fault::Replace => self.replace(host, Duration::ZERO).await,
@@ -112,18 +114,18 @@
     /// has ended.
     async fn restart(&self, gateway: usize, signal: Signal) {
         let is_planned = signal == Signal::TERM;
-        let trouble = (!is_planned).then(|| self.troubles.begin(Place::Gateway(gateway)));
+        let trouble = (!is_planned).then(|| self.fault_log.begin(Scope::Gateway(gateway)));
         self.gateways[gateway].signal(signal);
         let limit = Duration::from_millis(GRACE_MS + 1_000);
         let ended = self.gateways[gateway].wait_for_exit(limit).await;
-        let trouble = trouble.unwrap_or_else(|| self.troubles.begin(Place::Gateway(gateway)));
+        let trouble = trouble.unwrap_or_else(|| self.fault_log.begin(Scope::Gateway(gateway)));
         if is_planned && ended.is_none() {
             self.gateways[gateway].signal(Signal::KILL);
             self.gateways[gateway].wait_for_exit(limit).await;
         }
         sleep(Duration::from_millis(200)).await;
         self.gateways[gateway].start();
-        self.troubles.end(trouble);
+        self.fault_log.end(trouble);
     }
 
     /// A server leaves, which its registration says some time later, and another takes its
