--- a/crates/daemon/tests/soak/audit.rs
+++ b/crates/daemon/tests/soak/audit.rs
@@ -10,7 +10,7 @@
 use crate::gateway::{KEYS_FRESH_MS, RETRY_RATIO, RETRY_SLACK};
 use crate::load::{End, PATIENCE, Record};
 use crate::operator::APPLY;
-use crate::scene::Scene;
+use crate::run::Run;
 
 /// Time by which observations of two processes may differ.
 const SLACK: Duration = Duration::from_millis(500);
@@ -41,10 +41,10 @@
 }
 
 /// Holds all that was seen against the promises.
-pub(crate) fn audit(scene: &Scene) -> Audit {
+pub(crate) fn audit(run: &Run) -> Audit {
     let mut audit = Audit::default();
-    let records = scene.records.lock().clone();
-    let arrivals = scene.arrivals.lock().expect("no panic").clone();
+    let records = run.records.lock().clone();
+    let arrivals = run.arrivals.lock().expect("no panic").clone();
     let mut by_id: HashMap<&str, Vec<&RecordedRequest>> = HashMap::new();
     for arrival in &arrivals {
         by_id.entry(&arrival.id).or_default().push(arrival);
@@ -54,9 +54,9 @@
         let runs = arrived.iter().filter(|arrival| arrival.executed).count();
         own_answer(&mut audit, record);
         stream_order(&mut audit, record);
-        outcome(&mut audit, scene, record, runs);
-        configuration(&mut audit, scene, record, arrived);
-        in_time(&mut audit, scene, record);
+        outcome(&mut audit, run, record, runs);
+        configuration(&mut audit, run, record, arrived);
+        in_time(&mut audit, run, record);
     }
     let asked: HashMap<&str, &Record> = records.iter().map(|r| (&*r.id, r)).collect();
     for arrival in &arrivals {
@@ -65,12 +65,12 @@
             format!("{arrival:?}")
         });
         if let Some(record) = asked {
-            drained(&mut audit, scene, record, arrival);
+            drained(&mut audit, run, record, arrival);
         }
     }
     retries(&mut audit, &records, &arrivals, &by_id);
-    notice::leaving(&mut audit, scene, &asked, &arrivals);
-    notice::rest(&mut audit, scene, &asked, &arrivals);
+    notice::leaving(&mut audit, run, &asked, &arrivals);
+    notice::rest(&mut audit, run, &asked, &arrivals);
     audit
 }
 
@@ -110,7 +110,7 @@
     });
 }
 
-fn outcome(audit: &mut Audit, scene: &Scene, record: &Record, runs: usize) {
+fn outcome(audit: &mut Audit, run: &Run, record: &Record, runs: usize) {
     let is_once = matches!(record.kind, "once" | "stream");
     audit.check("at most once", !is_once || runs <= 1, || {
         format!("{runs} runs {record:?}")
@@ -122,10 +122,10 @@
     }
     let is_cut = matches!(record.end, End::Cut(_) | End::Partial);
     let (from, to) = (record.sent, record.ended);
-    let is_undisturbed = scene
+    let is_undisturbed = run
         .fault_log
         .is_undisturbed(Scope::Gateway(record.gateway), from, to)
-        && scene
+        && run
             .fault_log
             .is_undisturbed(Scope::AnyServerConnection, from, to);
     if is_undisturbed {
@@ -135,18 +135,18 @@
     }
 }
 
-fn configuration(audit: &mut Audit, scene: &Scene, record: &Record, arrived: &[&RecordedRequest]) {
+fn configuration(audit: &mut Audit, run: &Run, record: &Record, arrived: &[&RecordedRequest]) {
     let runs = arrived.iter().filter(|arrival| arrival.executed).count();
     let (from, to) = (record.sent, record.ended);
     if let Some(key) = &record.key {
-        let Some((begun, ended)) = scene.operator.life(key) else {
+        let Some((started_at, ended)) = run.operator.life(key) else {
             return;
         };
         let late = Duration::from_millis(KEYS_FRESH_MS) + SLACK;
         if ended.is_some_and(|ended| from > ended + late) {
             audit.check("revoked key", runs == 0, || format!("{record:?}"));
         }
-        let is_valid = from > begun + APPLY + SLACK && ended.is_none_or(|ended| to < ended);
+        let is_valid = from > started_at + APPLY + SLACK && ended.is_none_or(|ended| to < ended);
         if is_valid {
             audit.check("valid key", record.status != 401, || format!("{record:?}"));
         }
@@ -164,13 +164,13 @@
         return;
     }
     let settled = from.checked_sub(APPLY + SLACK).unwrap_or(from);
-    if !scene
+    if !run
         .fault_log
         .has_current_config(record.gateway, settled, to)
     {
         return;
     }
-    match scene.operator.has_extra(settled, to) {
+    match run.operator.has_extra(settled, to) {
         Some(true) => audit.check("added route", record.status != 404, || {
             format!("{record:?}")
         }),
@@ -179,8 +179,8 @@
     }
 }
 
-fn in_time(audit: &mut Audit, scene: &Scene, record: &Record) {
-    if !scene
+fn in_time(audit: &mut Audit, run: &Run, record: &Record) {
+    if !run
         .fault_log
         .is_undisturbed(Scope::Gateway(record.gateway), record.sent, record.ended)
     {
@@ -191,9 +191,9 @@
     audit.check("final answer in time", is_final, || {
         format!("{elapsed:?} {record:?}")
     });
-    let is_refusal = matches!(record.status, 429 | 503) && scene.is_serving();
+    let is_refusal = matches!(record.status, 429 | 503) && run.is_store_up();
     if is_refusal
-        && scene
+        && run
             .fault_log
             .is_undisturbed(Scope::AnyServerConnection, record.sent, record.ended)
     {
@@ -203,18 +203,18 @@
     }
 }
 
-fn drained(audit: &mut Audit, scene: &Scene, record: &Record, arrival: &RecordedRequest) {
-    let Some(left) = scene.left(&arrival.server) else {
+fn drained(audit: &mut Audit, run: &Run, record: &Record, arrival: &RecordedRequest) {
+    let Some(draining_since) = run.draining_since(&arrival.server) else {
         return;
     };
-    if arrival.received_at <= left {
+    if arrival.received_at <= draining_since {
         return;
     }
-    let late = left + DRAIN + SLACK;
+    let late = draining_since + DRAIN + SLACK;
     let is_late = arrival.received_at > late && arrival.executed;
     let from = late.min(record.sent);
     let breaks = is_late
-        && scene
+        && run
             .fault_log
             .has_current_config(record.gateway, from, arrival.received_at);
     audit.check("leaving server", !breaks, || {
--- a/crates/daemon/tests/soak/audit/notice.rs
+++ b/crates/daemon/tests/soak/audit/notice.rs
@@ -7,7 +7,7 @@
 use crate::backend::RecordedRequest;
 use crate::fault_log::Scope;
 use crate::load::Record;
-use crate::scene::Scene;
+use crate::run::Run;
 
 /// Time after a server asked for rest in which requests that were on their way may reach it.
 const ON_THE_WAY: Duration = Duration::from_millis(500);
@@ -19,7 +19,7 @@
 /// not.
 pub(super) fn leaving(
     audit: &mut Audit,
-    scene: &Scene,
+    run: &Run,
     asked: &HashMap<&str, &Record>,
     arrivals: &[RecordedRequest],
 ) {
@@ -43,11 +43,9 @@
         };
         let is_late = record.sent > at + DRAIN + SLACK && arrival.executed;
         let breaks = is_late
-            && scene.fault_log.is_fault_free(
-                Scope::Gateway(record.gateway),
-                at,
-                arrival.received_at,
-            );
+            && run
+                .fault_log
+                .is_fault_free(Scope::Gateway(record.gateway), at, arrival.received_at);
         audit.check("server that said it leaves", !breaks, || {
             format!("told {:?} before: {arrival:?} {record:?}", record.sent - at)
         });
@@ -57,7 +55,7 @@
 /// A server that asked a gateway for rest gets hardly anything from it until that is over.
 pub(super) fn rest(
     audit: &mut Audit,
-    scene: &Scene,
+    run: &Run,
     asked: &HashMap<&str, &Record>,
     arrivals: &[RecordedRequest],
 ) {
@@ -73,11 +71,11 @@
             .received_at
             .checked_sub(ON_THE_WAY)
             .unwrap_or(arrival.received_at);
-        let mut places = scene
-            .host(arrival.address)
+        let mut scopes = run
+            .server_scope(arrival.address)
             .into_iter()
             .chain([Scope::Gateway(gateway)]);
-        if !places.all(|place| scene.fault_log.is_fault_free(place, before, to)) {
+        if !scopes.all(|scope| run.fault_log.is_fault_free(scope, before, to)) {
             continue;
         }
         let came = arrivals.iter().filter(|other| {
--- a/crates/daemon/tests/soak/load.rs
+++ b/crates/daemon/tests/soak/load.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::caller::{RequestSpec, is_sealed, keep_alive_request};
-use crate::scene::Scene;
+use crate::run::Run;
 
 /// Time that a caller waits for an answer, and how much longer it listens for a late one.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(3);
@@ -68,24 +68,24 @@
 static NUMBER: AtomicU64 = AtomicU64::new(0);
 
 /// Sends requests one after the other until the scene tells callers to stop.
-pub(crate) async fn call(scene: Arc<Scene>, seed: u64) {
+pub(crate) async fn call(run: Arc<Run>, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut open: Option<(usize, SendRequest<Full<Bytes>>)> = None;
-    while !scene.is_over() {
+    while !run.is_finished() {
         sleep(Duration::from_millis(rng.random_range(1..PAUSE_MS))).await;
         open = open.filter(|(_, sender)| !sender.is_closed() && rng.random_range(0..12) > 0);
         if open.is_none() {
-            let gateway = scene.rotation(rng.random_range(0..64));
-            let sender = connect(scene.gateways[gateway].callers).await;
+            let gateway = run.pick_gateway(rng.random_range(0..64));
+            let sender = connect(run.gateways[gateway].callers).await;
             open = sender.map(|sender| (gateway, sender));
         }
         let Some((gateway, sender)) = &mut open else {
             continue;
         };
         let kind = PATHS[rng.random_range(0..PATHS.len())];
-        let key = (kind == "keyed").then(|| scene.operator.key(rng.random_range(0..64)));
+        let key = (kind == "keyed").then(|| run.operator.key(rng.random_range(0..64)));
         let (record, keeps) = ask(sender, *gateway, kind, key).await;
-        scene.records.lock().push(record);
+        run.records.lock().push(record);
         if !keeps {
             open = None;
         }
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -22,7 +22,7 @@
 mod operator;
 mod plan;
 mod proxy;
-mod scene;
+mod run;
 
 use std::collections::BTreeMap;
 
@@ -78,7 +78,7 @@
         .build();
     let outcomes = runtime.expect("a runtime").block_on(async {
         let runs = iter(seeds()).map(|seed| async move {
-            let outcome = scene::play(seed, gateways, callers).await;
+            let outcome = run::execute(seed, gateways, callers).await;
             println!(
                 "seed {seed}: {} requests, {} served, {} findings",
                 outcome.requests,
--- a/crates/daemon/tests/soak/operator.rs
+++ b/crates/daemon/tests/soak/operator.rs
@@ -74,10 +74,10 @@
     }
 
     /// A key that was valid at some time, the newest ones most often.
-    pub(crate) fn key(&self, chance: usize) -> String {
+    pub(crate) fn key(&self, draw: usize) -> String {
         let held = self.held.lock();
         let newest = held.lives.len() - 1;
-        held.lives[newest - chance % (2 * KEYS).min(newest + 1)]
+        held.lives[newest - draw % (2 * KEYS).min(newest + 1)]
             .0
             .clone()
     }
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -9,19 +9,19 @@
 use crate::proxy::Mode;
 
 /// Time in which faults begin.
-pub(crate) const SPAN: Duration = Duration::from_secs(9);
+pub(crate) const FAULT_WINDOW: Duration = Duration::from_secs(9);
 
 /// Shortest and longest time of a fault that lasts, in milliseconds.
-const LASTS_MS: (u64, u64) = (200, 4_500);
+const DURATION_MS: (u64, u64) = (200, 4_500);
 
 /// Fewest and most faults of a run, for each gateway.
-const FAULTS: (usize, usize) = (5, 9);
+const FAULTS_PER_GATEWAY: (usize, usize) = (5, 9);
 
 /// Part of the runs in which the store comes back from a copy.
-const RESTORES: f64 = 0.5;
+const RESTORE_PROBABILITY: f64 = 0.5;
 
 /// Part of the runs in which a server says that it leaves or asks for rest, for each.
-const NOTICES: f64 = 0.6;
+const NOTICE_PROBABILITY: f64 = 0.6;
 
 /// What goes wrong, or is planned.
 #[derive(Clone, Copy, Debug)]
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Step {
     pub(crate) at: Duration,
-    pub(crate) lasts: Duration,
+    pub(crate) duration: Duration,
     pub(crate) fault: Fault,
     /// Which gateway or server; taken by remainder.
     pub(crate) target: usize,
@@ -82,17 +82,17 @@
 /// The steps of a seed, in their order.
 pub(crate) fn steps(seed: u64, gateways: usize) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let count = rng.random_range(FAULTS.0..=FAULTS.1) * gateways;
+    let count = rng.random_range(FAULTS_PER_GATEWAY.0..=FAULTS_PER_GATEWAY.1) * gateways;
     let mut steps: Vec<Step> = (0..count).map(|_| step(&mut rng)).collect();
     // Drawn last, so that the other steps of a seed stay as they were.
-    if rng.random_bool(RESTORES) {
+    if rng.random_bool(RESTORE_PROBABILITY) {
         steps.push(Step {
             fault: Fault::Restore,
             ..step(&mut rng)
         });
     }
     for fault in [Fault::Leave, Fault::Rest, Fault::RestPool] {
-        if rng.random_bool(NOTICES) {
+        if rng.random_bool(NOTICE_PROBABILITY) {
             // Over before it is looked whether requests are served again.
             let step = step(&mut rng);
             let at = step.at / 2;
@@ -104,7 +104,7 @@
 }
 
 fn step(rng: &mut ChaCha8Rng) -> Step {
-    let span_ms = u64::try_from(SPAN.as_millis()).unwrap_or(0);
+    let span_ms = u64::try_from(FAULT_WINDOW.as_millis()).unwrap_or(0);
     let mode = match rng.random_range(0..5) {
         0 => Mode::Delay(rng.random_range(20..300)),
         1 => Mode::Stall,
@@ -128,7 +128,7 @@
     };
     Step {
         at: Duration::from_millis(rng.random_range(0..span_ms)),
-        lasts: Duration::from_millis(rng.random_range(LASTS_MS.0..LASTS_MS.1)),
+        duration: Duration::from_millis(rng.random_range(DURATION_MS.0..DURATION_MS.1)),
         fault,
         target: rng.random_range(0..64),
     }
--- /dev/null
+++ b/crates/daemon/tests/soak/run.rs
@@ -0,0 +1,282 @@
+//! Runs of the soak test: gateways, servers, the store, callers and injected faults.
+
+mod inject;
+
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::{Duration, Instant};
+
+use parking_lot::Mutex;
+use rustix::process::Signal;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+use crate::audit::{Audit, audit};
+use crate::backend::{Backend, RecordedRequest};
+use crate::fault_log::{FaultLog, Scope};
+use crate::forms::{ServerState, registration, server_key};
+use crate::gateway::Gateway;
+use crate::load::{self, Record};
+use crate::operator::Operator;
+use crate::plan::{self, FAULT_WINDOW};
+use crate::proxy::Proxy;
+use crate::store::Store;
+
+/// Number of servers per pool.
+const SERVERS_PER_POOL: usize = 4;
+
+/// Interval and timeout of readiness probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Time limit for gateways to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// Time limit for the gateways to serve requests again after all were killed.
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
+
+/// Minimum fraction of requests that are served after that, and how long it is measured.
+const MIN_SERVED: f64 = 0.9;
+const SAMPLE_TIME: Duration = Duration::from_millis(1_500);
+
+/// A server, the proxy in front of it and its pool.
+struct Server {
+    backend: Backend,
+    proxy: Proxy,
+    pool: &'static str,
+}
+
+/// State and observations of a run.
+pub(crate) struct Run {
+    pub(crate) gateways: Vec<Gateway>,
+    pub(crate) operator: Operator,
+    pub(crate) records: Mutex<Vec<Record>>,
+    pub(crate) arrivals: Arc<std::sync::Mutex<Vec<RecordedRequest>>>,
+    pub(crate) fault_log: FaultLog,
+    store: Store,
+    store_proxies: Vec<Proxy>,
+    servers: Vec<Server>,
+    /// Times at which servers were registered as draining.
+    draining_since: Mutex<HashMap<String, Instant>>,
+    /// Number of failed probes until each gateway is out of rotation.
+    probes_left: Vec<AtomicU64>,
+    is_finished: AtomicBool,
+    next_server: AtomicU64,
+}
+
+/// Results of a run.
+pub(crate) struct Summary {
+    pub(crate) audit: Audit,
+    pub(crate) requests: usize,
+    pub(crate) served: usize,
+    pub(crate) faults: BTreeMap<String, usize>,
+    pub(crate) logs: PathBuf,
+}
+
+/// Executes the plan of a seed with a number of gateways and callers.
+pub(crate) async fn execute(seed: u64, gateways: usize, callers: usize) -> Summary {
+    let directory = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("the log directory is created");
+    let run = Arc::new(Run::start(&directory, gateways).await);
+    let deadline = Instant::now() + START_TIMEOUT;
+    while !(0..gateways).all(|gateway| run.is_ready(gateway)) {
+        assert!(
+            Instant::now() < deadline,
+            "the gateways of seed {seed} did not become ready"
+        );
+        run.probe().await;
+    }
+    let steps = plan::steps(seed, gateways);
+    let mut faults = BTreeMap::new();
+    for step in &steps {
+        *faults.entry(step.fault.word()).or_default() += 1;
+    }
+    let mut tasks: Vec<_> = (0..callers as u64)
+        .map(|caller| tokio::spawn(load::call(Arc::clone(&run), seed << 16 | caller)))
+        .collect();
+    let prober = Arc::clone(&run);
+    tasks.push(tokio::spawn(async move {
+        while !prober.is_finished() {
+            prober.probe().await;
+            sleep(PROBE_INTERVAL).await;
+        }
+    }));
+    let started_at = Instant::now();
+    let injected: Vec<_> = steps
+        .into_iter()
+        .map(|step| tokio::spawn(Arc::clone(&run).inject(step, started_at)))
+        .collect();
+    for step in injected {
+        step.await.expect("the fault is injected");
+    }
+    let served_fraction = run.restart_all(started_at).await;
+    run.is_finished.store(true, Ordering::Relaxed);
+    for task in tasks {
+        task.await.expect("the task does not panic");
+    }
+    let mut audit = audit(&run);
+    audit.checked.insert("served after all were killed", 1);
+    if served_fraction < MIN_SERVED {
+        audit.findings.push(format!(
+            "served after all were killed: {served_fraction:.2}"
+        ));
+    }
+    let records = run.records.lock();
+    Summary {
+        audit,
+        requests: records.len(),
+        served: records.iter().filter(|record| record.is_served()).count(),
+        faults,
+        logs: directory,
+    }
+}
+
+impl Run {
+    async fn start(directory: &std::path::Path, gateway_count: usize) -> Self {
+        let store = Store::spawn().await;
+        let arrivals = Arc::default();
+        let mut servers = Vec::new();
+        for index in 0..2 * SERVERS_PER_POOL {
+            let pool = if index < SERVERS_PER_POOL {
+                "desk"
+            } else {
+                "llm"
+            };
+            let backend = Backend::spawn(&format!("s-{index}"), Arc::clone(&arrivals)).await;
+            let proxy = Proxy::spawn(backend.address).await;
+            let value = registration(pool, proxy.address, ServerState::Ready);
+            store.put(&server_key(&backend.name()), &value);
+            servers.push(Server {
+                backend,
+                proxy,
+                pool,
+            });
+        }
+        let mut store_proxies = Vec::new();
+        let mut gateways = Vec::new();
+        let operator = Operator::new(store.clone());
+        for index in 0..gateway_count {
+            let proxy = Proxy::spawn(store.address).await;
+            let gateway = Gateway::new(directory, index, proxy.address);
+            gateway.start();
+            store_proxies.push(proxy);
+            gateways.push(gateway);
+        }
+        Self {
+            probes_left: gateways.iter().map(|_| AtomicU64::new(0)).collect(),
+            gateways,
+            operator,
+            records: Mutex::default(),
+            arrivals,
+            fault_log: FaultLog::default(),
+            store,
+            store_proxies,
+            servers,
+            draining_since: Mutex::default(),
+            is_finished: AtomicBool::new(false),
+            next_server: AtomicU64::new(0),
+        }
+    }
+
+    pub(crate) fn is_finished(&self) -> bool {
+        self.is_finished.load(Ordering::Relaxed)
+    }
+
+    /// Whether the store is undisturbed now.
+    pub(crate) fn is_store_up(&self) -> bool {
+        let now = Instant::now();
+        self.fault_log.is_undisturbed(Scope::Store, now, now)
+    }
+
+    /// Scope of faults on the connections to the server at an address.
+    pub(crate) fn server_scope(&self, address: SocketAddr) -> Option<Scope> {
+        let mut servers = self.servers.iter();
+        let index = servers.position(|server| server.backend.address == address)?;
+        Some(Scope::ServerConnection(index))
+    }
+
+    /// Time at which a server was registered as draining.
+    pub(crate) fn draining_since(&self, server: &str) -> Option<Instant> {
+        self.draining_since.lock().get(server).copied()
+    }
+
+    /// A gateway in rotation, or any gateway if none is.
+    pub(crate) fn pick_gateway(&self, draw: usize) -> usize {
+        let ready: Vec<usize> = (0..self.gateways.len())
+            .filter(|gateway| self.is_ready(*gateway))
+            .collect();
+        match ready.len() {
+            0 => draw % self.gateways.len(),
+            count => ready[draw % count],
+        }
+    }
+
+    /// Whether a gateway is in rotation. Two failed probes in a row take it out.
+    fn is_ready(&self, gateway: usize) -> bool {
+        self.probes_left[gateway].load(Ordering::Relaxed) > 0
+    }
+
+    async fn probe(&self) {
+        let probes = self
+            .gateways
+            .iter()
+            .map(|gateway| timeout(PROBE_INTERVAL, probe_ready(gateway)));
+        let responses = futures::future::join_all(probes).await;
+        for (probes_left, response) in self.probes_left.iter().zip(responses) {
+            let before = probes_left.load(Ordering::Relaxed);
+            let now = if response.unwrap_or(false) {
+                2
+            } else {
+                before.saturating_sub(1)
+            };
+            probes_left.store(now, Ordering::Relaxed);
+        }
+    }
+
+    /// Kills all gateways at once and restarts them. Returns the fraction of requests that is
+    /// served after the recovery time.
+    async fn restart_all(&self, started_at: Instant) -> f64 {
+        sleep((started_at + FAULT_WINDOW).saturating_duration_since(Instant::now())).await;
+        let faults: Vec<usize> = (0..self.gateways.len())
+            .map(|gateway| self.fault_log.begin(Scope::Gateway(gateway)))
+            .collect();
+        for gateway in &self.gateways {
+            gateway.signal(Signal::KILL);
+        }
+        for (gateway, fault) in self.gateways.iter().zip(faults) {
+            gateway.wait_for_exit(Duration::from_secs(2)).await;
+            gateway.start();
+            self.fault_log.end(fault);
+        }
+        sleep(RECOVERY_TIME).await;
+        let from = Instant::now();
+        sleep(SAMPLE_TIME).await;
+        let records = self.records.lock();
+        let sampled = records
+            .iter()
+            .filter(|record| record.sent >= from && !matches!(record.kind, "keyed" | "extra"));
+        let (mut count, mut served) = (0.0_f64, 0.0);
+        for record in sampled {
+            count += 1.0;
+            served += f64::from(u8::from(record.is_served()));
+        }
+        served / count.max(1.0)
+    }
+}
+
+async fn probe_ready(gateway: &Gateway) -> bool {
+    let Ok(mut stream) = TcpStream::connect(gateway.health).await else {
+        return false;
+    };
+    let request = b"GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
+    if stream.write_all(request).await.is_err() {
+        return false;
+    }
+    let mut text = String::new();
+    // Data received before a reset is valid.
+    let _ = stream.read_to_string(&mut text).await;
+    text.starts_with("HTTP/1.1 200")
+}
--- /dev/null
+++ b/crates/daemon/tests/soak/run/inject.rs
@@ -0,0 +1,161 @@
+//! Carrying out the steps of a plan.
+
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+use rustix::process::Signal;
+use tokio::time::sleep;
+
+use super::{Run, Server};
+use crate::fault_log::Scope;
+use crate::forms::{ServerState, registration, server_key};
+use crate::gateway::GRACE_MS;
+use crate::plan::{Fault, Step};
+use crate::proxy::Mode;
+
+/// Time for which servers ask for rest, each time that they turn a request away.
+const PUSHBACK: Duration = Duration::from_secs(2);
+
+/// Least time for which a server's answers say that it leaves and its registration does not:
+/// longer than the time after which it gets nothing new.
+const ANNOUNCEMENT_LEAD: Duration = Duration::from_secs(2);
+
+impl Run {
+    pub(super) async fn inject(self: Arc<Self>, step: Step, started_at: Instant) {
+        sleep((started_at + step.at).saturating_duration_since(Instant::now())).await;
+        let gateway = step.target % self.gateways.len();
+        let index = step.target % self.servers.len();
+        let server = &self.servers[index];
+        match step.fault {
+            Fault::Kill => self.restart(gateway, Signal::KILL).await,
+            Fault::Stop => self.restart(gateway, Signal::TERM).await,
+            Fault::Freeze => {
+                let fault = self.fault_log.begin(Scope::Gateway(gateway));
+                self.gateways[gateway].signal(Signal::STOP);
+                sleep(step.duration).await;
+                self.gateways[gateway].signal(Signal::CONT);
+                self.fault_log.end(fault);
+            }
+            Fault::Reload => self.gateways[gateway].signal(Signal::HUP),
+            Fault::Store(mode) => {
+                let fault = self.fault_log.begin(Scope::StoreConnection(gateway));
+                self.store_proxies[gateway].set_mode(mode);
+                sleep(step.duration).await;
+                self.store_proxies[gateway].set_mode(Mode::Forward);
+                self.fault_log.end(fault);
+            }
+            Fault::Refuse => {
+                let fault = self.fault_log.begin(Scope::Store);
+                self.store.set_unavailable(true);
+                self.operator.revoke();
+                sleep(step.duration).await;
+                self.store.set_unavailable(false);
+                self.fault_log.end(fault);
+            }
+            Fault::Compact => self.store.compact(),
+            Fault::Restore => {
+                self.store.back_up();
+                sleep(step.duration).await;
+                let fault = self.fault_log.begin(Scope::Store);
+                self.store.restore();
+                self.fault_log.end(fault);
+            }
+            Fault::Server(mode) => {
+                let faults = [Scope::AnyServerConnection, Scope::ServerConnection(index)];
+                let faults = faults.map(|scope| self.fault_log.begin(scope));
+                server.proxy.set_mode(mode);
+                sleep(step.duration).await;
+                server.proxy.set_mode(Mode::Forward);
+                for fault in faults {
+                    self.fault_log.end(fault);
+                }
+            }
+            Fault::Pool(mode) => {
+                let mut faults = vec![self.fault_log.begin(Scope::AnyServerConnection)];
+                let of_pool = self
+                    .servers
+                    .iter()
+                    .filter(|other| other.pool == server.pool);
+                of_pool
+                    .clone()
+                    .for_each(|server| server.proxy.set_mode(mode));
+                let servers = self.servers.iter().enumerate();
+                let servers = servers.filter(|(_, other)| other.pool == server.pool);
+                faults.extend(
+                    servers.map(|(index, _)| self.fault_log.begin(Scope::ServerConnection(index))),
+                );
+                // Long enough for repeats to exceed their budget, were there none.
+                sleep(2 * step.duration).await;
+                of_pool.for_each(|server| server.proxy.set_mode(Mode::Forward));
+                for fault in faults {
+                    self.fault_log.end(fault);
+                }
+            }
+            Fault::Replace => self.replace(server, Duration::ZERO).await,
+            Fault::Leave => {
+                server.backend.announce_leaving();
+                self.replace(server, ANNOUNCEMENT_LEAD + step.duration)
+                    .await;
+            }
+            Fault::Rest => {
+                server.backend.set_pushback(Some(PUSHBACK));
+                sleep(step.duration).await;
+                server.backend.set_pushback(None);
+            }
+            Fault::RestPool => {
+                let of_pool = self
+                    .servers
+                    .iter()
+                    .filter(|other| other.pool == server.pool);
+                of_pool
+                    .clone()
+                    .for_each(|server| server.backend.set_pushback(Some(PUSHBACK)));
+                sleep(step.duration).await;
+                of_pool.for_each(|server| server.backend.set_pushback(None));
+            }
+            Fault::Route => self.operator.turn_route(),
+            Fault::Revoke => self.operator.revoke(),
+        }
+    }
+
+    /// Ends a gateway and starts it again. A planned stop is no fault until the process
+    /// has ended.
+    async fn restart(&self, gateway: usize, signal: Signal) {
+        let is_planned = signal == Signal::TERM;
+        let fault = (!is_planned).then(|| self.fault_log.begin(Scope::Gateway(gateway)));
+        self.gateways[gateway].signal(signal);
+        let limit = Duration::from_millis(GRACE_MS + 1_000);
+        let ended = self.gateways[gateway].wait_for_exit(limit).await;
+        let fault = fault.unwrap_or_else(|| self.fault_log.begin(Scope::Gateway(gateway)));
+        if is_planned && ended.is_none() {
+            self.gateways[gateway].signal(Signal::KILL);
+            self.gateways[gateway].wait_for_exit(limit).await;
+        }
+        sleep(Duration::from_millis(200)).await;
+        self.gateways[gateway].start();
+        self.fault_log.end(fault);
+    }
+
+    /// A server leaves, which its registration says some time later, and another takes its
+    /// address.
+    async fn replace(&self, server: &Server, later: Duration) {
+        let name = server.backend.name();
+        sleep(later).await;
+        if self.draining_since.lock().contains_key(&name) {
+            return;
+        }
+        let value = registration(server.pool, server.proxy.address, ServerState::Draining);
+        self.store.put(&server_key(&name), &value);
+        self.draining_since
+            .lock()
+            .insert(name.clone(), Instant::now());
+        sleep(Duration::from_secs(3)).await;
+        self.store.delete(&server_key(&name));
+        sleep(Duration::from_secs(1)).await;
+        let next = format!("n-{}", self.next_server.fetch_add(1, Ordering::Relaxed));
+        server.backend.replace(&next);
+        let value = registration(server.pool, server.proxy.address, ServerState::Ready);
+        self.store.put(&server_key(&next), &value);
+    }
+}
