--- a/crates/daemon/tests/soak/operator.rs
+++ b/crates/daemon/tests/soak/operator.rs
@@ -36,12 +36,12 @@
             store,
             held: Mutex::default(),
         };
-        operator.revoke();
+        operator.rotate_keys();
         operator
     }
 
     /// Takes the oldest key away and adds a new one.
-    pub(crate) fn revoke(&self) {
+    pub(crate) fn rotate_keys(&self) {
         let mut held = self.held.lock();
         while held.keys.len() < KEYS {
             add_key(&mut held);
@@ -57,7 +57,7 @@
     }
 
     /// Adds the extra route, or removes it.
-    pub(crate) fn turn_route(&self) {
+    pub(crate) fn toggle_route(&self) {
         let mut held = self.held.lock();
         let before = Instant::now();
         held.extra.push(before);
--- a/crates/daemon/tests/soak/run.rs
+++ b/crates/daemon/tests/soak/run.rs
@@ -92,7 +92,7 @@
     let steps = plan::steps(seed, gateways);
     let mut faults = BTreeMap::new();
     for step in &steps {
-        *faults.entry(step.fault.word()).or_default() += 1;
+        *faults.entry(step.fault.name()).or_default() += 1;
     }
     let mut tasks: Vec<_> = (0..callers as u64)
         .map(|caller| tokio::spawn(load::call(Arc::clone(&run), seed << 16 | caller)))
--- a/crates/daemon/tests/soak/run/inject.rs
+++ b/crates/daemon/tests/soak/run/inject.rs
@@ -1,4 +1,4 @@
-//! Carrying out the steps of a plan.
+//! Fault injection.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,11 +14,11 @@
 use crate::plan::{Fault, Step};
 use crate::proxy::Mode;
 
-/// Time for which servers ask for rest, each time that they turn a request away.
+/// Pushback in each rejection.
 const PUSHBACK: Duration = Duration::from_secs(2);
 
-/// Least time for which a server's answers say that it leaves and its registration does not:
-/// longer than the time after which it gets nothing new.
+/// Minimum time between a leaving announcement in responses and the registration as draining.
+/// Gateways stop sending requests to the server within this time.
 const ANNOUNCEMENT_LEAD: Duration = Duration::from_secs(2);
 
 impl Run {
@@ -30,7 +30,7 @@
         match step.fault {
             Fault::Kill => self.restart(gateway, Signal::KILL).await,
             Fault::Stop => self.restart(gateway, Signal::TERM).await,
-            Fault::Freeze => {
+            Fault::Suspend => {
                 let fault = self.fault_log.begin(Scope::Gateway(gateway));
                 self.gateways[gateway].signal(Signal::STOP);
                 sleep(step.duration).await;
@@ -38,30 +38,30 @@
                 self.fault_log.end(fault);
             }
             Fault::Reload => self.gateways[gateway].signal(Signal::HUP),
-            Fault::Store(mode) => {
+            Fault::StoreConnection(mode) => {
                 let fault = self.fault_log.begin(Scope::StoreConnection(gateway));
                 self.store_proxies[gateway].set_mode(mode);
                 sleep(step.duration).await;
                 self.store_proxies[gateway].set_mode(Mode::Forward);
                 self.fault_log.end(fault);
             }
-            Fault::Refuse => {
+            Fault::StoreUnavailable => {
                 let fault = self.fault_log.begin(Scope::Store);
                 self.store.set_unavailable(true);
-                self.operator.revoke();
+                self.operator.rotate_keys();
                 sleep(step.duration).await;
                 self.store.set_unavailable(false);
                 self.fault_log.end(fault);
             }
-            Fault::Compact => self.store.compact(),
-            Fault::Restore => {
+            Fault::CompactStore => self.store.compact(),
+            Fault::RestoreStore => {
                 self.store.back_up();
                 sleep(step.duration).await;
                 let fault = self.fault_log.begin(Scope::Store);
                 self.store.restore();
                 self.fault_log.end(fault);
             }
-            Fault::Server(mode) => {
+            Fault::ServerConnection(mode) => {
                 let faults = [Scope::AnyServerConnection, Scope::ServerConnection(index)];
                 let faults = faults.map(|scope| self.fault_log.begin(scope));
                 server.proxy.set_mode(mode);
@@ -71,7 +71,7 @@
                     self.fault_log.end(fault);
                 }
             }
-            Fault::Pool(mode) => {
+            Fault::PoolConnections(mode) => {
                 let mut faults = vec![self.fault_log.begin(Scope::AnyServerConnection)];
                 let of_pool = self
                     .servers
@@ -85,25 +85,25 @@
                 faults.extend(
                     servers.map(|(index, _)| self.fault_log.begin(Scope::ServerConnection(index))),
                 );
-                // Long enough for repeats to exceed their budget, were there none.
+                // Long enough for retries to exceed the budget if it is not enforced.
                 sleep(2 * step.duration).await;
                 of_pool.for_each(|server| server.proxy.set_mode(Mode::Forward));
                 for fault in faults {
                     self.fault_log.end(fault);
                 }
             }
-            Fault::Replace => self.replace(server, Duration::ZERO).await,
-            Fault::Leave => {
+            Fault::ReplaceServer => self.replace(server, Duration::ZERO).await,
+            Fault::AnnounceLeaving => {
                 server.backend.announce_leaving();
                 self.replace(server, ANNOUNCEMENT_LEAD + step.duration)
                     .await;
             }
-            Fault::Rest => {
+            Fault::Pushback => {
                 server.backend.set_pushback(Some(PUSHBACK));
                 sleep(step.duration).await;
                 server.backend.set_pushback(None);
             }
-            Fault::RestPool => {
+            Fault::PoolPushback => {
                 let of_pool = self
                     .servers
                     .iter()
@@ -114,21 +114,21 @@
                 sleep(step.duration).await;
                 of_pool.for_each(|server| server.backend.set_pushback(None));
             }
-            Fault::Route => self.operator.turn_route(),
-            Fault::Revoke => self.operator.revoke(),
+            Fault::ToggleRoute => self.operator.toggle_route(),
+            Fault::RotateKeys => self.operator.rotate_keys(),
         }
     }
 
-    /// Ends a gateway and starts it again. A planned stop is no fault until the process
-    /// has ended.
+    /// Terminates and restarts a gateway. A graceful shutdown counts as a fault only from the exit
+    /// of the process on.
     async fn restart(&self, gateway: usize, signal: Signal) {
-        let is_planned = signal == Signal::TERM;
-        let fault = (!is_planned).then(|| self.fault_log.begin(Scope::Gateway(gateway)));
+        let is_graceful = signal == Signal::TERM;
+        let fault = (!is_graceful).then(|| self.fault_log.begin(Scope::Gateway(gateway)));
         self.gateways[gateway].signal(signal);
         let limit = Duration::from_millis(GRACE_MS + 1_000);
-        let ended = self.gateways[gateway].wait_for_exit(limit).await;
+        let exit_code = self.gateways[gateway].wait_for_exit(limit).await;
         let fault = fault.unwrap_or_else(|| self.fault_log.begin(Scope::Gateway(gateway)));
-        if is_planned && ended.is_none() {
+        if is_graceful && exit_code.is_none() {
             self.gateways[gateway].signal(Signal::KILL);
             self.gateways[gateway].wait_for_exit(limit).await;
         }
@@ -137,11 +137,11 @@
         self.fault_log.end(fault);
     }
 
-    /// A server leaves, which its registration says some time later, and another takes its
+    /// Registers a server as draining after `delay`, then replaces it by another one at the same
     /// address.
-    async fn replace(&self, server: &Server, later: Duration) {
+    async fn replace(&self, server: &Server, delay: Duration) {
         let name = server.backend.name();
-        sleep(later).await;
+        sleep(delay).await;
         if self.draining_since.lock().contains_key(&name) {
             return;
         }
