--- a/crates/daemon/tests/soak/audit.rs
+++ b/crates/daemon/tests/soak/audit.rs
@@ -9,7 +9,7 @@
 use crate::fault_log::Scope;
 use crate::gateway::{KEYS_FRESH_MS, RETRY_RATIO, RETRY_SLACK};
 use crate::load::{End, PATIENCE, Record};
-use crate::operator::APPLY;
+use crate::operator::PROPAGATION;
 use crate::run::Run;
 
 /// Time by which observations of two processes may differ.
@@ -139,14 +139,15 @@
     let runs = arrived.iter().filter(|arrival| arrival.executed).count();
     let (from, to) = (record.sent, record.ended);
     if let Some(key) = &record.key {
-        let Some((started_at, ended)) = run.operator.life(key) else {
+        let Some(validity) = run.operator.validity(key) else {
             return;
         };
         let late = Duration::from_millis(KEYS_FRESH_MS) + SLACK;
-        if ended.is_some_and(|ended| from > ended + late) {
+        if validity.until.is_some_and(|until| from > until + late) {
             audit.check("revoked key", runs == 0, || format!("{record:?}"));
         }
-        let is_valid = from > started_at + APPLY + SLACK && ended.is_none_or(|ended| to < ended);
+        let is_valid = from > validity.from + PROPAGATION + SLACK
+            && validity.until.is_none_or(|until| to < until);
         if is_valid {
             audit.check("valid key", record.status != 401, || format!("{record:?}"));
         }
@@ -163,14 +164,14 @@
         });
         return;
     }
-    let settled = from.checked_sub(APPLY + SLACK).unwrap_or(from);
+    let settled = from.checked_sub(PROPAGATION + SLACK).unwrap_or(from);
     if !run
         .fault_log
         .has_current_config(record.gateway, settled, to)
     {
         return;
     }
-    match run.operator.has_extra(settled, to) {
+    match run.operator.has_extra_route(settled, to) {
         Some(true) => audit.check("added route", record.status != 404, || {
             format!("{record:?}")
         }),
--- a/crates/daemon/tests/soak/load.rs
+++ b/crates/daemon/tests/soak/load.rs
@@ -83,7 +83,7 @@
             continue;
         };
         let kind = PATHS[rng.random_range(0..PATHS.len())];
-        let key = (kind == "keyed").then(|| run.operator.key(rng.random_range(0..64)));
+        let key = (kind == "keyed").then(|| run.operator.pick_key(rng.random_range(0..64)));
         let (record, keeps) = ask(sender, *gateway, kind, key).await;
         run.records.lock().push(record);
         if !keeps {
--- a/crates/daemon/tests/soak/operator.rs
+++ b/crates/daemon/tests/soak/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: what it has written, and when the store acknowledged it.
+//! The operator of a run, with the times at which its writes were acknowledged.
 
 use std::time::{Duration, Instant};
 
@@ -7,98 +7,113 @@
 use crate::forms::{CONFIG_KEY, configuration};
 use crate::store::Store;
 
-/// Keys that are valid at a time.
-const KEYS: usize = 3;
+/// Number of valid keys.
+const VALID_KEYS: usize = 3;
 
-/// Time in which a configuration is in force at gateways in touch.
-pub(crate) const APPLY: Duration = Duration::from_millis(2_500);
+/// Time limit for a configuration to take effect at gateways connected to the store.
+pub(crate) const PROPAGATION: Duration = Duration::from_millis(2_500);
+
+/// Period in which a key is valid.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Validity {
+    pub(crate) from: Instant,
+    /// `None` while the key is valid.
+    pub(crate) until: Option<Instant>,
+}
 
 #[derive(Debug, Default)]
-struct Held {
+struct State {
     version: u64,
+    /// Valid keys, oldest first.
     keys: Vec<String>,
-    /// When each key became valid, and when it was taken away.
-    lives: Vec<(String, Instant, Option<Instant>)>,
-    /// When the extra route came and went, by turns; it is not there at first.
-    extra: Vec<Instant>,
+    /// All keys, in order of creation.
+    history: Vec<(String, Validity)>,
+    /// Times at which the extra route was added or removed, alternately; it is absent at first.
+    route_changes: Vec<Instant>,
 }
 
 /// The operator of a run.
 pub(crate) struct Operator {
     store: Store,
-    held: Mutex<Held>,
+    state: Mutex<State>,
 }
 
 impl Operator {
-    /// Writes the first configuration.
+    /// Writes the initial configuration.
     pub(crate) fn new(store: Store) -> Self {
         let operator = Self {
             store,
-            held: Mutex::default(),
+            state: Mutex::default(),
         };
         operator.rotate_keys();
         operator
     }
 
-    /// Takes the oldest key away and adds a new one.
+    /// Replaces the oldest key by a new one.
     pub(crate) fn rotate_keys(&self) {
-        let mut held = self.held.lock();
-        while held.keys.len() < KEYS {
-            add_key(&mut held);
+        let mut state = self.state.lock();
+        while state.keys.len() < VALID_KEYS {
+            add_key(&mut state);
         }
-        let oldest = held.keys.remove(0);
-        add_key(&mut held);
-        self.write(&mut held);
+        let oldest = state.keys.remove(0);
+        add_key(&mut state);
+        self.write(&mut state);
         let now = Instant::now();
-        let mut lives = held.lives.iter_mut();
-        if let Some(life) = lives.find(|life| life.0 == oldest) {
-            life.2 = Some(now);
+        let mut history = state.history.iter_mut();
+        if let Some((_, validity)) = history.find(|(key, _)| *key == oldest) {
+            validity.until = Some(now);
         }
     }
 
-    /// Adds the extra route, or removes it.
+    /// Adds or removes the extra route.
     pub(crate) fn toggle_route(&self) {
-        let mut held = self.held.lock();
+        let mut state = self.state.lock();
         let before = Instant::now();
-        held.extra.push(before);
-        self.write(&mut held);
-        let last = held.extra.len() - 1;
-        held.extra[last] = Instant::now();
+        state.route_changes.push(before);
+        self.write(&mut state);
+        let last = state.route_changes.len() - 1;
+        state.route_changes[last] = Instant::now();
     }
 
-    fn write(&self, held: &mut Held) {
-        held.version += 3;
-        let has_extra = held.extra.len() % 2 == 1;
-        let value = configuration(held.version, has_extra, &held.keys);
+    fn write(&self, state: &mut State) {
+        state.version += 3;
+        let has_extra = state.route_changes.len() % 2 == 1;
+        let value = configuration(state.version, has_extra, &state.keys);
         self.store.put(CONFIG_KEY, &value);
     }
 
-    /// A key that was valid at some time, the newest ones most often.
-    pub(crate) fn key(&self, draw: usize) -> String {
-        let held = self.held.lock();
-        let newest = held.lives.len() - 1;
-        held.lives[newest - draw % (2 * KEYS).min(newest + 1)]
+    /// Selects one of the most recent keys, valid or revoked.
+    pub(crate) fn pick_key(&self, draw: usize) -> String {
+        let state = self.state.lock();
+        let newest = state.history.len() - 1;
+        state.history[newest - draw % (2 * VALID_KEYS).min(newest + 1)]
             .0
             .clone()
     }
 
-    /// When a key became valid, and when it was taken away.
-    pub(crate) fn life(&self, key: &str) -> Option<(Instant, Option<Instant>)> {
-        let held = self.held.lock();
-        let life = held.lives.iter().find(|life| life.0 == key)?;
-        Some((life.1, life.2))
+    pub(crate) fn validity(&self, key: &str) -> Option<Validity> {
+        let state = self.state.lock();
+        let found = state.history.iter().find(|(other, _)| other == key)?;
+        Some(found.1)
     }
 
-    /// Whether the extra route is there from one time to another; `None` if that changed.
-    pub(crate) fn has_extra(&self, from: Instant, to: Instant) -> Option<bool> {
-        let held = self.held.lock();
-        let turns = |until: Instant| held.extra.iter().filter(|turn| **turn <= until).count();
-        (turns(from) == turns(to)).then(|| turns(to) % 2 == 1)
+    /// Whether the extra route exists during a period; `None` if it was added or removed in it.
+    pub(crate) fn has_extra_route(&self, from: Instant, to: Instant) -> Option<bool> {
+        let state = self.state.lock();
+        let changes_until = |time: Instant| {
+            let changes = state.route_changes.iter();
+            changes.filter(|change| **change <= time).count()
+        };
+        (changes_until(from) == changes_until(to)).then(|| changes_until(to) % 2 == 1)
     }
 }
 
-fn add_key(held: &mut Held) {
-    let key = format!("key-{}", held.lives.len());
-    held.lives.push((key.clone(), Instant::now(), None));
-    held.keys.push(key);
+fn add_key(state: &mut State) {
+    let key = format!("key-{}", state.history.len());
+    let validity = Validity {
+        from: Instant::now(),
+        until: None,
+    };
+    state.history.push((key.clone(), validity));
+    state.keys.push(key);
 }
