--- a/crates/daemon/tests/soak/audit/notice.rs
+++ b/crates/daemon/tests/soak/audit/notice.rs
@@ -6,7 +6,7 @@
 use super::{Audit, DRAIN, SLACK};
 use crate::backend::RecordedRequest;
 use crate::fault_log::Scope;
-use crate::load::Record;
+use crate::load::Call;
 use crate::run::Run;
 
 /// Time after a server asked for rest in which requests that were on their way may reach it.
@@ -20,34 +20,34 @@
 pub(super) fn leaving(
     audit: &mut Audit,
     run: &Run,
-    asked: &HashMap<&str, &Record>,
-    arrivals: &[RecordedRequest],
+    asked: &HashMap<&str, &Call>,
+    recorded: &[RecordedRequest],
 ) {
     let mut told: HashMap<(usize, &str), Instant> = HashMap::new();
-    let said = arrivals.iter().filter(|arrival| arrival.is_leaving);
-    for arrival in said {
-        let Some(record) = asked.get(&*arrival.id).filter(|record| record.is_sealed) else {
+    let said = recorded.iter().filter(|request| request.is_leaving);
+    for request in said {
+        let Some(call) = asked.get(&*request.id).filter(|call| call.is_sealed) else {
             continue;
         };
         let at = told
-            .entry((record.gateway, &arrival.server))
-            .or_insert(record.ended);
-        *at = record.ended.min(*at);
+            .entry((call.gateway, &request.server))
+            .or_insert(call.ended_at);
+        *at = call.ended_at.min(*at);
     }
-    for arrival in arrivals {
-        let Some(record) = asked.get(&*arrival.id) else {
+    for request in recorded {
+        let Some(call) = asked.get(&*request.id) else {
             continue;
         };
-        let Some(&at) = told.get(&(record.gateway, &*arrival.server)) else {
+        let Some(&at) = told.get(&(call.gateway, &*request.server)) else {
             continue;
         };
-        let is_late = record.sent > at + DRAIN + SLACK && arrival.executed;
+        let is_late = call.sent_at > at + DRAIN + SLACK && request.executed;
         let breaks = is_late
             && run
                 .fault_log
-                .is_fault_free(Scope::Gateway(record.gateway), at, arrival.received_at);
+                .is_fault_free(Scope::Gateway(call.gateway), at, request.received_at);
         audit.check("server that said it leaves", !breaks, || {
-            format!("told {:?} before: {arrival:?} {record:?}", record.sent - at)
+            format!("told {:?} before: {request:?} {call:?}", call.sent_at - at)
         });
     }
 }
@@ -56,30 +56,29 @@
 pub(super) fn rest(
     audit: &mut Audit,
     run: &Run,
-    asked: &HashMap<&str, &Record>,
-    arrivals: &[RecordedRequest],
+    asked: &HashMap<&str, &Call>,
+    recorded: &[RecordedRequest],
 ) {
-    let gateway_of =
-        |arrival: &RecordedRequest| asked.get(&*arrival.id).map(|record| record.gateway);
-    for arrival in arrivals {
-        let (Some(rest), Some(gateway)) = (arrival.pushback, gateway_of(arrival)) else {
+    let gateway_of = |request: &RecordedRequest| asked.get(&*request.id).map(|call| call.gateway);
+    for request in recorded {
+        let (Some(rest), Some(gateway)) = (request.pushback, gateway_of(request)) else {
             continue;
         };
-        let (from, to) = (arrival.received_at + ON_THE_WAY, arrival.received_at + rest);
+        let (from, to) = (request.received_at + ON_THE_WAY, request.received_at + rest);
         // An answer that did not come through said nothing.
-        let before = arrival
+        let before = request
             .received_at
             .checked_sub(ON_THE_WAY)
-            .unwrap_or(arrival.received_at);
+            .unwrap_or(request.received_at);
         let mut scopes = run
-            .server_scope(arrival.address)
+            .server_scope(request.address)
             .into_iter()
             .chain([Scope::Gateway(gateway)]);
         if !scopes.all(|scope| run.fault_log.is_fault_free(scope, before, to)) {
             continue;
         }
-        let came = arrivals.iter().filter(|other| {
-            other.server == arrival.server
+        let came = recorded.iter().filter(|other| {
+            other.server == request.server
                 && (from..to).contains(&other.received_at)
                 && gateway_of(other) == Some(gateway)
         });
@@ -87,7 +86,7 @@
         audit.check(
             "rest that a server asked for",
             count <= MOST_IN_REST,
-            || format!("{count} requests: {arrival:?}"),
+            || format!("{count} requests: {request:?}"),
         );
     }
 }
--- a/crates/daemon/tests/soak/load.rs
+++ b/crates/daemon/tests/soak/load.rs
@@ -1,4 +1,4 @@
-//! Callers: they keep connections as long as these are open, and note what came.
+//! Callers that send requests over persistent connections and record the responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,97 +18,99 @@
 use crate::caller::{RequestSpec, is_sealed, keep_alive_request};
 use crate::run::Run;
 
-/// Time that a caller waits for an answer, and how much longer it listens for a late one.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(3);
-const LISTEN: Duration = Duration::from_millis(1_500);
+/// Deadline of a request, and how much longer a caller waits for a late response.
+pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+const LATE_RESPONSE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Longest time to open a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest pause of a caller between requests, in milliseconds.
-const PAUSE_MS: u64 = 60;
+/// Upper bound of the pause between two requests of a caller, in milliseconds.
+const MAX_PAUSE_MS: u64 = 60;
 
-/// Kinds of requests, by their path.
-pub(crate) const PATHS: [&str; 6] = ["once", "any", "keyed", "extra", "stream", "resume"];
+/// Kinds of requests, each with a route of the same name.
+pub(crate) const KINDS: [&str; 6] = ["once", "any", "keyed", "extra", "stream", "resume"];
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// With a whole answer.
-    Whole,
-    /// With an answer's head and not its end.
-    Partial,
-    /// Without an answer.
-    Cut(String),
-    /// Not within the caller's patience.
-    Silent,
+pub(crate) enum Completion {
+    /// The response was complete.
+    Complete,
+    /// The response ended after its head, before its end.
+    Truncated,
+    /// The connection failed without a response.
+    Failed(String),
+    /// No response arrived in time.
+    TimedOut,
 }
 
-/// A request and what its caller got.
+/// A request and its response, as observed by the caller.
 #[derive(Clone, Debug)]
-pub(crate) struct Record {
+pub(crate) struct Call {
     pub(crate) id: String,
     pub(crate) kind: &'static str,
     pub(crate) key: Option<String>,
     pub(crate) gateway: usize,
-    pub(crate) sent: Instant,
-    pub(crate) ended: Instant,
+    pub(crate) sent_at: Instant,
+    pub(crate) ended_at: Instant,
     pub(crate) status: u16,
     pub(crate) is_sealed: bool,
     pub(crate) body: String,
-    pub(crate) end: End,
+    pub(crate) completion: Completion,
 }
 
-impl Record {
+impl Call {
     pub(crate) fn is_served(&self) -> bool {
-        self.status == 200 && self.end == End::Whole
+        self.status == 200 && self.completion == Completion::Complete
     }
 }
 
-static NUMBER: AtomicU64 = AtomicU64::new(0);
+static NEXT_ID: AtomicU64 = AtomicU64::new(0);
 
-/// Sends requests one after the other until the scene tells callers to stop.
-pub(crate) async fn call(run: Arc<Run>, seed: u64) {
+/// Sends one request after another until the run is finished.
+pub(crate) async fn run_caller(run: Arc<Run>, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut open: Option<(usize, SendRequest<Full<Bytes>>)> = None;
+    let mut connection: Option<(usize, SendRequest<Full<Bytes>>)> = None;
     while !run.is_finished() {
-        sleep(Duration::from_millis(rng.random_range(1..PAUSE_MS))).await;
-        open = open.filter(|(_, sender)| !sender.is_closed() && rng.random_range(0..12) > 0);
-        if open.is_none() {
+        sleep(Duration::from_millis(rng.random_range(1..MAX_PAUSE_MS))).await;
+        connection =
+            connection.filter(|(_, sender)| !sender.is_closed() && rng.random_range(0..12) > 0);
+        if connection.is_none() {
             let gateway = run.pick_gateway(rng.random_range(0..64));
             let sender = connect(run.gateways[gateway].callers).await;
-            open = sender.map(|sender| (gateway, sender));
+            connection = sender.map(|sender| (gateway, sender));
         }
-        let Some((gateway, sender)) = &mut open else {
+        let Some((gateway, sender)) = &mut connection else {
             continue;
         };
-        let kind = PATHS[rng.random_range(0..PATHS.len())];
+        let kind = KINDS[rng.random_range(0..KINDS.len())];
         let key = (kind == "keyed").then(|| run.operator.pick_key(rng.random_range(0..64)));
-        let (record, keeps) = ask(sender, *gateway, kind, key).await;
-        run.records.lock().push(record);
-        if !keeps {
-            open = None;
+        let (call, is_reusable) = send(sender, *gateway, kind, key).await;
+        run.calls.lock().push(call);
+        if !is_reusable {
+            connection = None;
         }
     }
 }
 
 async fn connect(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .ok()?;
     let stream = stream.ok()?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move { drop(connection.await) });
     Some(sender)
 }
 
-/// Sends one request; also tells whether the connection may be used again.
-async fn ask(
+/// Sends a request. Also returns whether the connection can be reused.
+async fn send(
     sender: &mut SendRequest<Full<Bytes>>,
     gateway: usize,
     kind: &'static str,
     key: Option<String>,
-) -> (Record, bool) {
-    let id = format!("q{}", NUMBER.fetch_add(1, Ordering::Relaxed));
-    let timeout_ms = u64::try_from(PATIENCE.as_millis()).unwrap_or(0);
+) -> (Call, bool) {
+    let id = format!("q{}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
+    let timeout_ms = u64::try_from(RESPONSE_TIMEOUT.as_millis()).unwrap_or(0);
     let request = keep_alive_request(&RequestSpec {
         id: &id,
         path: &format!("/{kind}/{id}"),
@@ -116,54 +118,59 @@
         is_prompt: matches!(kind, "stream" | "resume"),
         timeout_ms,
     });
-    let sent = Instant::now();
-    let mut record = Record {
+    let sent_at = Instant::now();
+    let mut call = Call {
         id,
         kind,
         key,
         gateway,
-        sent,
-        ended: sent,
+        sent_at,
+        ended_at: sent_at,
         status: 0,
         is_sealed: false,
         body: String::new(),
-        end: End::Silent,
+        completion: Completion::TimedOut,
     };
     if sender.ready().await.is_err() {
-        record.end = End::Cut("closed before it was sent".to_owned());
-        return (record, false);
+        call.completion =
+            Completion::Failed("connection closed before the request was sent".to_owned());
+        return (call, false);
     }
-    let read = timeout(PATIENCE + LISTEN, read(sender, request, &mut record)).await;
-    let keeps = read.unwrap_or(false);
-    record.ended = Instant::now();
-    (record, keeps)
+    let timeout = timeout(
+        RESPONSE_TIMEOUT + LATE_RESPONSE_TIME,
+        receive(sender, request, &mut call),
+    );
+    let is_reusable = timeout.await.unwrap_or(false);
+    call.ended_at = Instant::now();
+    (call, is_reusable)
 }
 
-async fn read(
+/// Sends a request and records its response. Returns whether the connection can be reused.
+async fn receive(
     sender: &mut SendRequest<Full<Bytes>>,
     request: hyper::Request<Full<Bytes>>,
-    record: &mut Record,
+    call: &mut Call,
 ) -> bool {
     let response = match sender.send_request(request).await {
         Ok(response) => response,
         Err(error) => {
-            record.end = End::Cut(error.to_string());
+            call.completion = Completion::Failed(error.to_string());
             return false;
         }
     };
-    record.status = response.status().as_u16();
-    record.is_sealed = is_sealed(response.headers(), &record.id);
-    let closes = response.headers().get("connection");
-    let closes = closes.is_some_and(|value| value.as_bytes() == b"close");
+    call.status = response.status().as_u16();
+    call.is_sealed = is_sealed(response.headers(), &call.id);
+    let header = response.headers().get("connection");
+    let must_close = header.is_some_and(|value| value.as_bytes() == b"close");
     let mut body = response.into_body();
-    record.end = End::Partial;
+    call.completion = Completion::Truncated;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
             return false;
         };
         let data = frame.into_data().unwrap_or_default();
-        record.body.push_str(&String::from_utf8_lossy(&data));
+        call.body.push_str(&String::from_utf8_lossy(&data));
     }
-    record.end = End::Whole;
-    !closes
+    call.completion = Completion::Complete;
+    !must_close
 }
--- a/crates/daemon/tests/soak/run.rs
+++ b/crates/daemon/tests/soak/run.rs
@@ -20,7 +20,7 @@
 use crate::fault_log::{FaultLog, Scope};
 use crate::forms::{ServerState, registration, server_key};
 use crate::gateway::Gateway;
-use crate::load::{self, Record};
+use crate::load::{self, Call};
 use crate::operator::Operator;
 use crate::plan::{self, FAULT_WINDOW};
 use crate::proxy::Proxy;
@@ -53,8 +53,8 @@
 pub(crate) struct Run {
     pub(crate) gateways: Vec<Gateway>,
     pub(crate) operator: Operator,
-    pub(crate) records: Mutex<Vec<Record>>,
-    pub(crate) arrivals: Arc<std::sync::Mutex<Vec<RecordedRequest>>>,
+    pub(crate) calls: Mutex<Vec<Call>>,
+    pub(crate) recorded: Arc<std::sync::Mutex<Vec<RecordedRequest>>>,
     pub(crate) fault_log: FaultLog,
     store: Store,
     store_proxies: Vec<Proxy>,
@@ -95,7 +95,7 @@
         *faults.entry(step.fault.name()).or_default() += 1;
     }
     let mut tasks: Vec<_> = (0..callers as u64)
-        .map(|caller| tokio::spawn(load::call(Arc::clone(&run), seed << 16 | caller)))
+        .map(|caller| tokio::spawn(load::run_caller(Arc::clone(&run), seed << 16 | caller)))
         .collect();
     let prober = Arc::clone(&run);
     tasks.push(tokio::spawn(async move {
@@ -124,11 +124,11 @@
             "served after all were killed: {served_fraction:.2}"
         ));
     }
-    let records = run.records.lock();
+    let calls = run.calls.lock();
     Summary {
         audit,
-        requests: records.len(),
-        served: records.iter().filter(|record| record.is_served()).count(),
+        requests: calls.len(),
+        served: calls.iter().filter(|call| call.is_served()).count(),
         faults,
         logs: directory,
     }
@@ -137,7 +137,7 @@
 impl Run {
     async fn start(directory: &std::path::Path, gateway_count: usize) -> Self {
         let store = Store::spawn().await;
-        let arrivals = Arc::default();
+        let recorded = Arc::default();
         let mut servers = Vec::new();
         for index in 0..2 * SERVERS_PER_POOL {
             let pool = if index < SERVERS_PER_POOL {
@@ -145,7 +145,7 @@
             } else {
                 "llm"
             };
-            let backend = Backend::spawn(&format!("s-{index}"), Arc::clone(&arrivals)).await;
+            let backend = Backend::spawn(&format!("s-{index}"), Arc::clone(&recorded)).await;
             let proxy = Proxy::spawn(backend.address).await;
             let value = registration(pool, proxy.address, ServerState::Ready);
             store.put(&server_key(&backend.name()), &value);
@@ -169,8 +169,8 @@
             probes_left: gateways.iter().map(|_| AtomicU64::new(0)).collect(),
             gateways,
             operator,
-            records: Mutex::default(),
-            arrivals,
+            calls: Mutex::default(),
+            recorded,
             fault_log: FaultLog::default(),
             store,
             store_proxies,
@@ -254,14 +254,14 @@
         sleep(RECOVERY_TIME).await;
         let from = Instant::now();
         sleep(SAMPLE_TIME).await;
-        let records = self.records.lock();
-        let sampled = records
+        let calls = self.calls.lock();
+        let sampled = calls
             .iter()
-            .filter(|record| record.sent >= from && !matches!(record.kind, "keyed" | "extra"));
+            .filter(|call| call.sent_at >= from && !matches!(call.kind, "keyed" | "extra"));
         let (mut count, mut served) = (0.0_f64, 0.0);
-        for record in sampled {
+        for call in sampled {
             count += 1.0;
-            served += f64::from(u8::from(record.is_served()));
+            served += f64::from(u8::from(call.is_served()));
         }
         served / count.max(1.0)
     }
