--- a/crates/daemon/tests/soak/audit.rs
+++ b/crates/daemon/tests/soak/audit.rs
@@ -1,4 +1,4 @@
-//! What callers and servers saw, held against what is promised.
+//! Checks of the observations of callers and servers against the guarantees of the gateways.
 
 mod notice;
 
@@ -12,19 +12,20 @@
 use crate::operator::PROPAGATION;
 use crate::run::Run;
 
-/// Time by which observations of two processes may differ.
-const SLACK: Duration = Duration::from_millis(500);
+/// Tolerance when times observed by different processes are compared.
+const TOLERANCE: Duration = Duration::from_millis(500);
 
-/// Time after which a leaving server gets nothing new from gateways in touch.
-const DRAIN: Duration = Duration::from_secs(2);
+/// Time after which gateways with the current configuration send a draining server no new
+/// requests.
+const DRAIN_DELAY: Duration = Duration::from_secs(2);
 
-/// Window in which retries are counted.
-const WINDOW: Duration = Duration::from_secs(10);
+/// Period over which retries are counted.
+const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
 /// Statuses that promise that a request has not run and never will.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Counts of checks made, by promise, and what broke one.
+/// Number of checks per guarantee, and the violations found.
 #[derive(Debug, Default)]
 pub(crate) struct Audit {
     pub(crate) checked: HashMap<&'static str, u64>,
@@ -32,15 +33,15 @@
 }
 
 impl Audit {
-    fn check(&mut self, promise: &'static str, holds: bool, what: impl FnOnce() -> String) {
-        *self.checked.entry(promise).or_default() += 1;
+    fn check(&mut self, guarantee: &'static str, holds: bool, details: impl FnOnce() -> String) {
+        *self.checked.entry(guarantee).or_default() += 1;
         if !holds {
-            self.findings.push(format!("{promise}: {}", what()));
+            self.findings.push(format!("{guarantee}: {}", details()));
         }
     }
 }
 
-/// Holds all that was seen against the promises.
+/// Checks all observations of a run.
 pub(crate) fn audit(run: &Run) -> Audit {
     let mut audit = Audit::default();
     let calls = run.calls.lock().clone();
@@ -50,31 +51,37 @@
         by_id.entry(&request.id).or_default().push(request);
     }
     for call in &calls {
-        let received = by_id.get(&*call.id).map_or(&[][..], Vec::as_slice);
-        let runs = received.iter().filter(|request| request.executed).count();
-        own_answer(&mut audit, call);
-        stream_order(&mut audit, call);
-        outcome(&mut audit, run, call, runs);
-        configuration(&mut audit, run, call, received);
-        in_time(&mut audit, run, call);
+        let attempts = by_id.get(&*call.id).map_or(&[][..], Vec::as_slice);
+        let executions = count_executions(attempts);
+        check_response(&mut audit, call);
+        check_stream(&mut audit, call);
+        check_executions(&mut audit, run, call, executions);
+        check_key(&mut audit, run, call, attempts);
+        check_route(&mut audit, run, call, executions);
+        check_latency(&mut audit, run, call);
     }
-    let asked: HashMap<&str, &Call> = calls.iter().map(|r| (&*r.id, r)).collect();
+    let calls_by_id: HashMap<&str, &Call> = calls.iter().map(|call| (&*call.id, call)).collect();
     for request in &recorded {
-        let asked = asked.get(&*request.id);
-        audit.check("asked by a caller", asked.is_some(), || {
+        let call = calls_by_id.get(&*request.id);
+        audit.check("request of a caller", call.is_some(), || {
             format!("{request:?}")
         });
-        if let Some(call) = asked {
-            drained(&mut audit, run, call, request);
+        if let Some(call) = call {
+            check_draining(&mut audit, run, call, request);
         }
     }
-    retries(&mut audit, &calls, &recorded, &by_id);
-    notice::leaving(&mut audit, run, &asked, &recorded);
-    notice::rest(&mut audit, run, &asked, &recorded);
+    check_retries(&mut audit, &calls, &recorded, &by_id);
+    notice::check_leaving(&mut audit, run, &calls_by_id, &recorded);
+    notice::check_pushback(&mut audit, run, &calls_by_id, &recorded);
     audit
 }
 
-fn own_answer(audit: &mut Audit, call: &Call) {
+fn count_executions(attempts: &[&RecordedRequest]) -> usize {
+    attempts.iter().filter(|attempt| attempt.executed).count()
+}
+
+/// A successful response belongs to the request and has the seal of the server.
+fn check_response(audit: &mut Audit, call: &Call) {
     if call.status == 0 {
         return;
     }
@@ -92,175 +99,188 @@
         }
     };
     let holds = is_success == call.is_sealed && (!is_success || is_own);
-    audit.check("whole own answer", holds, || format!("{call:?}"));
+    audit.check("response to the request", holds, || format!("{call:?}"));
 }
 
-fn stream_order(audit: &mut Audit, call: &Call) {
+/// A stream has all events in order, without gaps or duplicates.
+fn check_stream(audit: &mut Audit, call: &Call) {
     if call.status != 200 || !matches!(call.kind, "stream" | "resume") {
         return;
     }
-    let text = call
+    let events = call
         .body
         .split_inclusive("\n\n")
         .filter(|event| event.ends_with("\n\n"));
-    let ids = text.filter_map(|event| event.lines().next()?.strip_prefix("id: "));
+    let ids = events.filter_map(|event| event.lines().next()?.strip_prefix("id: "));
     let ids: Vec<u64> = ids.filter_map(|id| id.parse().ok()).collect();
     let in_order = ids.iter().copied().eq(1..=ids.len() as u64);
     let is_complete =
         call.completion != Completion::Complete || ids.len() as u64 == EVENTS_PER_STREAM;
-    audit.check("order of a stream", in_order && is_complete, || {
+    audit.check("event order", in_order && is_complete, || {
         format!("{call:?}")
     });
 }
 
-fn outcome(audit: &mut Audit, run: &Run, call: &Call, runs: usize) {
-    let is_once = matches!(call.kind, "once" | "stream");
-    audit.check("at most once", !is_once || runs <= 1, || {
-        format!("{runs} runs {call:?}")
-    });
-    if NOT_RUN.contains(&call.status) && is_once {
-        audit.check("truthful not run", runs == 0, || {
-            format!("{runs} runs {call:?}")
+/// A non-idempotent request runs at most once, and not at all if the status promises so. Without
+/// faults, no request that has run loses its response.
+fn check_executions(audit: &mut Audit, run: &Run, call: &Call, executions: usize) {
+    let is_non_idempotent = matches!(call.kind, "once" | "stream");
+    audit.check(
+        "at most once",
+        !is_non_idempotent || executions <= 1,
+        || format!("{executions} executions {call:?}"),
+    );
+    if NOT_RUN_STATUSES.contains(&call.status) && is_non_idempotent {
+        audit.check("not-run status", executions == 0, || {
+            format!("{executions} executions {call:?}")
         });
     }
-    let is_cut = matches!(
+    let is_lost = matches!(
         call.completion,
         Completion::Failed(_) | Completion::Truncated
     );
     let (from, to) = (call.sent_at, call.ended_at);
-    let is_undisturbed = run
-        .fault_log
-        .is_undisturbed(Scope::Gateway(call.gateway), from, to)
-        && run
-            .fault_log
-            .is_undisturbed(Scope::AnyServerConnection, from, to);
+    let is_undisturbed = [Scope::Gateway(call.gateway), Scope::AnyServerConnection]
+        .iter()
+        .all(|scope| run.fault_log.is_undisturbed(*scope, from, to));
     if is_undisturbed {
-        audit.check("nothing cut", !is_cut || runs == 0, || format!("{call:?}"));
+        audit.check("no lost response", !is_lost || executions == 0, || {
+            format!("{call:?}")
+        });
     }
 }
 
-fn configuration(audit: &mut Audit, run: &Run, call: &Call, received: &[&RecordedRequest]) {
-    let runs = received.iter().filter(|request| request.executed).count();
+/// A valid key is accepted, a revoked one is rejected, and servers are told the customer.
+fn check_key(audit: &mut Audit, run: &Run, call: &Call, attempts: &[&RecordedRequest]) {
     let (from, to) = (call.sent_at, call.ended_at);
-    if let Some(key) = &call.key {
-        let Some(validity) = run.operator.validity(key) else {
-            return;
-        };
-        let late = Duration::from_millis(KEYS_FRESH_MS) + SLACK;
-        if validity.until.is_some_and(|until| from > until + late) {
-            audit.check("revoked key", runs == 0, || format!("{call:?}"));
-        }
-        let is_valid = from > validity.from + PROPAGATION + SLACK
-            && validity.until.is_none_or(|until| to < until);
-        if is_valid {
-            audit.check("valid key", call.status != 401, || format!("{call:?}"));
-        }
-        let customers = received
-            .iter()
-            .filter_map(|request| request.customer.as_deref());
-        let is_named = customers.clone().count() == received.len();
-        let is_own = is_named && customers.into_iter().all(|customer| customer == "noor");
-        audit.check("customer named", is_own, || format!("{received:?}"));
+    let Some(key) = &call.key else {
+        return;
+    };
+    let Some(validity) = run.operator.validity(key) else {
+        return;
+    };
+    let max_delay = Duration::from_millis(KEYS_FRESH_MS) + TOLERANCE;
+    if validity.until.is_some_and(|until| from > until + max_delay) {
+        let executions = count_executions(attempts);
+        audit.check("revoked key", executions == 0, || format!("{call:?}"));
     }
+    let is_valid = from > validity.from + PROPAGATION + TOLERANCE
+        && validity.until.is_none_or(|until| to < until);
+    if is_valid {
+        audit.check("valid key", call.status != 401, || format!("{call:?}"));
+    }
+    let is_own = attempts
+        .iter()
+        .all(|attempt| attempt.customer.as_deref() == Some("noor"));
+    audit.check("customer", is_own, || format!("{attempts:?}"));
+}
+
+/// Routes are found, except for the extra route while it is removed.
+fn check_route(audit: &mut Audit, run: &Run, call: &Call, executions: usize) {
+    let (from, to) = (call.sent_at, call.ended_at);
     if call.kind != "extra" {
-        audit.check("known route", call.status != 404, || format!("{call:?}"));
+        audit.check("permanent route", call.status != 404, || {
+            format!("{call:?}")
+        });
         return;
     }
-    let settled = from.checked_sub(PROPAGATION + SLACK).unwrap_or(from);
-    if !run.fault_log.has_current_config(call.gateway, settled, to) {
+    let from = from.checked_sub(PROPAGATION + TOLERANCE).unwrap_or(from);
+    if !run.fault_log.has_current_config(call.gateway, from, to) {
         return;
     }
-    match run.operator.has_extra_route(settled, to) {
+    match run.operator.has_extra_route(from, to) {
         Some(true) => audit.check("added route", call.status != 404, || format!("{call:?}")),
-        Some(false) => audit.check("removed route", runs == 0, || format!("{call:?}")),
+        Some(false) => audit.check("removed route", executions == 0, || format!("{call:?}")),
         None => {}
     }
 }
 
-fn in_time(audit: &mut Audit, run: &Run, call: &Call) {
-    if !run
-        .fault_log
-        .is_undisturbed(Scope::Gateway(call.gateway), call.sent_at, call.ended_at)
-    {
+/// Without faults of the gateway, requests end by their deadline. Requests are refused immediately
+/// if server connections have no faults either.
+fn check_latency(audit: &mut Audit, run: &Run, call: &Call) {
+    let is_undisturbed = |scope| {
+        run.fault_log
+            .is_undisturbed(scope, call.sent_at, call.ended_at)
+    };
+    if !is_undisturbed(Scope::Gateway(call.gateway)) {
         return;
     }
     let elapsed = call.ended_at - call.sent_at;
-    let is_final = call.completion != Completion::TimedOut && elapsed <= RESPONSE_TIMEOUT + SLACK;
-    audit.check("final answer in time", is_final, || {
+    let is_in_time =
+        call.completion != Completion::TimedOut && elapsed <= RESPONSE_TIMEOUT + TOLERANCE;
+    audit.check("response by the deadline", is_in_time, || {
         format!("{elapsed:?} {call:?}")
     });
     let is_refusal = matches!(call.status, 429 | 503) && run.is_store_up();
-    if is_refusal
-        && run
-            .fault_log
-            .is_undisturbed(Scope::AnyServerConnection, call.sent_at, call.ended_at)
-    {
-        audit.check("refused at once", elapsed <= 2 * SLACK, || {
+    if is_refusal && is_undisturbed(Scope::AnyServerConnection) {
+        audit.check("immediate refusal", elapsed <= 2 * TOLERANCE, || {
             format!("{elapsed:?} {call:?}")
         });
     }
 }
 
-fn drained(audit: &mut Audit, run: &Run, call: &Call, request: &RecordedRequest) {
+/// A server that is registered as draining executes no new requests.
+fn check_draining(audit: &mut Audit, run: &Run, call: &Call, request: &RecordedRequest) {
     let Some(draining_since) = run.draining_since(&request.server) else {
         return;
     };
     if request.received_at <= draining_since {
         return;
     }
-    let late = draining_since + DRAIN + SLACK;
-    let is_late = request.received_at > late && request.executed;
-    let from = late.min(call.sent_at);
-    let breaks = is_late
+    let limit = draining_since + DRAIN_DELAY + TOLERANCE;
+    let is_late = request.received_at > limit && request.executed;
+    let from = limit.min(call.sent_at);
+    let is_violation = is_late
         && run
             .fault_log
             .has_current_config(call.gateway, from, request.received_at);
-    audit.check("leaving server", !breaks, || {
+    audit.check("draining server", !is_violation, || {
         format!("{request:?} {call:?}")
     });
 }
 
-fn retries(
+/// The retries of each pool stay within the retry budget.
+fn check_retries(
     audit: &mut Audit,
     calls: &[Call],
     recorded: &[RecordedRequest],
     by_id: &HashMap<&str, Vec<&RecordedRequest>>,
 ) {
-    let is_model = |kind: &str| matches!(kind, "stream" | "resume");
-    let of_model = |path: &str| path.starts_with("/stream/") || path.starts_with("/resume/");
-    for model in [false, true] {
-        let again = |request: &&RecordedRequest| {
+    let is_model_kind = |kind: &str| matches!(kind, "stream" | "resume");
+    let is_model_path = |path: &str| path.starts_with("/stream/") || path.starts_with("/resume/");
+    for is_model in [false, true] {
+        let is_retry = |request: &&RecordedRequest| {
             let first = by_id[&*request.id]
                 .iter()
-                .map(|request| request.received_at)
+                .map(|attempt| attempt.received_at)
                 .min();
-            of_model(&request.path) == model
+            is_model_path(&request.path) == is_model
                 && first.is_some_and(|first| request.received_at > first)
         };
-        let again: Vec<Instant> = recorded
+        let retries: Vec<Instant> = recorded
             .iter()
-            .filter(again)
-            .map(|a| a.received_at)
+            .filter(is_retry)
+            .map(|request| request.received_at)
             .collect();
-        for begin in &again {
-            let within = |at: &Instant| *at >= *begin && *at < *begin + WINDOW;
-            let repeats = again.iter().filter(|at| within(at)).count();
-            // Requests of an earlier window count if these are more.
-            let asked = [WINDOW, WINDOW / 2, Duration::ZERO].map(|before| {
+        for begin in &retries {
+            let is_within = |at: &Instant| *at >= *begin && *at < *begin + RETRY_WINDOW;
+            let count = retries.iter().filter(|at| is_within(at)).count();
+            // The budget of a window may also come from the requests of an earlier one.
+            let requests = [RETRY_WINDOW, RETRY_WINDOW / 2, Duration::ZERO].map(|before| {
                 let from = begin.checked_sub(before).unwrap_or(*begin);
                 let of_pool = calls.iter().filter(|call| {
-                    is_model(call.kind) == model
+                    is_model_kind(call.kind) == is_model
                         && call.sent_at >= from
-                        && call.sent_at < from + WINDOW
+                        && call.sent_at < from + RETRY_WINDOW
                 });
                 of_pool.count()
             });
-            let asked = asked.into_iter().max().unwrap_or(0);
+            let requests = requests.into_iter().max().unwrap_or(0);
             #[expect(clippy::cast_precision_loss, reason = "some thousand requests")]
-            let most = asked as f64 * RETRY_RATIO + f64::from(RETRY_SLACK);
+            let budget = requests as f64 * RETRY_RATIO + f64::from(RETRY_SLACK);
             #[expect(clippy::cast_precision_loss, reason = "some thousand requests")]
-            let holds = repeats as f64 <= most;
-            audit.check("retry budget", holds, || format!("{repeats} of {most}"));
+            let holds = count as f64 <= budget;
+            audit.check("retry budget", holds, || format!("{count} of {budget}"));
         }
     }
 }
--- a/crates/daemon/tests/soak/run.rs
+++ b/crates/daemon/tests/soak/run.rs
@@ -118,10 +118,12 @@
         task.await.expect("the task does not panic");
     }
     let mut audit = audit(&run);
-    audit.checked.insert("served after all were killed", 1);
+    audit
+        .checked
+        .insert("recovery after killing all gateways", 1);
     if served_fraction < MIN_SERVED {
         audit.findings.push(format!(
-            "served after all were killed: {served_fraction:.2}"
+            "recovery after killing all gateways: served {served_fraction:.2}"
         ));
     }
     let calls = run.calls.lock();
