--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -1,19 +1,21 @@
-//! A randomised soak: real gateways on loopback before stand-ins of the platform, with
-//! faults injected from outside; what callers and servers saw is held against the promises.
+//! Randomized soak test: gateway processes on loopback, with stand-ins for the platform and
+//! injected faults. The observations of callers and servers are checked against the guarantees
+//! of the gateways.
 //!
-//! `cargo test --release -p mulberryyoked --test soak` plays the seeds of [`SEEDS`]. By hand:
-//! `SOAK_SEEDS=100..150 SOAK_GATES=3 SOAK_CALLERS=24 SOAK_JOBS=4` before it.
+//! `cargo test --release -p mulberryyoked --test soak` runs the seeds in [`SEEDS`]. Environment
+//! variables override the defaults, for example
+//! `SOAK_SEEDS=100..150 SOAK_GATES=3 SOAK_CALLERS=24 SOAK_JOBS=4`.
 
 #[path = "../../../../platform/tests/standin/backend.rs"]
 mod backend;
 #[path = "../../../../platform/tests/standin/caller.rs"]
 #[allow(dead_code, reason = "other tests use the rest")]
 mod caller;
-#[path = "../../../../platform/tests/standin/operator.rs"]
-mod forms;
 #[path = "../../../../platform/tests/standin/store.rs"]
 #[allow(dead_code, reason = "other tests use the rest")]
 mod store;
+#[path = "../../../../platform/tests/standin/operator.rs"]
+mod store_values;
 
 mod audit;
 mod fault_log;
@@ -29,33 +31,32 @@
 use futures::StreamExt;
 use futures::stream::iter;
 
-/// Seeds that are played in each run of the tests: those that failed once, with a line on
-/// their cause, and some that turned red when a mechanism was switched off.
+/// Default seeds, each with defects that it has detected.
 const SEEDS: [(u64, &str); 5] = [
     (
         203,
-        "leaving servers given new work; not-run said of what may have run",
+        "draining servers get new requests; not-run status although the request may have run",
     ),
     (
         207,
-        "only the first configuration applied; not-run said of what may have run",
+        "only the first configuration is applied; not-run status although the request may have run",
     ),
-    (208, "keys honoured with an old configuration"),
+    (208, "keys are accepted with an outdated configuration"),
     (212, "retries without a budget"),
     (
         4003,
-        "servers that say they leave given new work; rest that a server asked for not kept",
+        "servers that announce leaving get new requests; pushback is ignored",
     ),
 ];
 
-/// Gateways, callers and seeds at once, unless the environment says otherwise.
+/// Default numbers of gateways, callers and concurrent runs.
 const DEFAULT_GATEWAYS: usize = 3;
 const DEFAULT_CALLERS: usize = 16;
 const DEFAULT_JOBS: usize = 4;
 
-fn number(name: &str, usual: usize) -> usize {
+fn number_from_env(name: &str, default: usize) -> usize {
     let text = std::env::var(name).ok();
-    text.and_then(|text| text.parse().ok()).unwrap_or(usual)
+    text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 fn seeds() -> Vec<u64> {
@@ -63,56 +64,56 @@
         return SEEDS.iter().map(|(seed, _)| *seed).collect();
     };
     let (first, last) = text.split_once("..").expect("SOAK_SEEDS is FIRST..LAST");
-    let bound = |text: &str| text.parse().expect("SOAK_SEEDS has numbers");
-    (bound(first)..bound(last)).collect()
+    let number = |text: &str| text.parse().expect("SOAK_SEEDS has numbers");
+    (number(first)..number(last)).collect()
 }
 
 #[test]
-fn the_promises_hold_while_faults_overlap() {
+fn guarantees_hold_while_faults_overlap() {
     let (gateways, callers) = (
-        number("SOAK_GATES", DEFAULT_GATEWAYS),
-        number("SOAK_CALLERS", DEFAULT_CALLERS),
+        number_from_env("SOAK_GATES", DEFAULT_GATEWAYS),
+        number_from_env("SOAK_CALLERS", DEFAULT_CALLERS),
     );
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let outcomes = runtime.expect("a runtime").block_on(async {
+    let summaries = runtime.expect("the runtime starts").block_on(async {
         let runs = iter(seeds()).map(|seed| async move {
-            let outcome = run::execute(seed, gateways, callers).await;
+            let summary = run::execute(seed, gateways, callers).await;
             println!(
                 "seed {seed}: {} requests, {} served, {} findings",
-                outcome.requests,
-                outcome.served,
-                outcome.audit.findings.len()
+                summary.requests,
+                summary.served,
+                summary.audit.findings.len()
             );
-            (seed, outcome)
+            (seed, summary)
         });
-        runs.buffer_unordered(number("SOAK_JOBS", DEFAULT_JOBS))
+        runs.buffer_unordered(number_from_env("SOAK_JOBS", DEFAULT_JOBS))
             .collect::<Vec<_>>()
             .await
     });
     let mut faults: BTreeMap<String, usize> = BTreeMap::new();
     let mut checked: BTreeMap<&str, u64> = BTreeMap::new();
     let mut failed = Vec::new();
-    for (seed, outcome) in &outcomes {
-        for (fault, count) in &outcome.faults {
+    for (seed, summary) in &summaries {
+        for (fault, count) in &summary.faults {
             *faults.entry(fault.clone()).or_default() += count;
         }
-        for (promise, count) in &outcome.audit.checked {
-            *checked.entry(promise).or_default() += count;
+        for (guarantee, count) in &summary.audit.checked {
+            *checked.entry(guarantee).or_default() += count;
         }
-        if outcome.audit.findings.is_empty() {
-            // Logs are kept for the seeds that failed.
-            let _ = std::fs::remove_dir_all(&outcome.logs);
+        if summary.audit.findings.is_empty() {
+            // Only the logs of failed runs are kept.
+            let _ = std::fs::remove_dir_all(&summary.logs);
             continue;
         }
         failed.push(*seed);
         println!(
-            "seed {seed}, logs in {}; again: SOAK_SEEDS={seed}..{}",
-            outcome.logs.display(),
+            "seed {seed}, logs in {}; run again with SOAK_SEEDS={seed}..{}",
+            summary.logs.display(),
             seed + 1
         );
-        for finding in outcome.audit.findings.iter().take(8) {
+        for finding in summary.audit.findings.iter().take(8) {
             println!("  {finding}");
         }
     }
--- a/crates/daemon/tests/soak/operator.rs
+++ b/crates/daemon/tests/soak/operator.rs
@@ -4,8 +4,8 @@
 
 use parking_lot::Mutex;
 
-use crate::forms::{CONFIG_KEY, configuration};
 use crate::store::Store;
+use crate::store_values::{CONFIG_KEY, configuration};
 
 /// Number of valid keys.
 const VALID_KEYS: usize = 3;
--- a/crates/daemon/tests/soak/run.rs
+++ b/crates/daemon/tests/soak/run.rs
@@ -18,13 +18,13 @@
 use crate::audit::{Audit, audit};
 use crate::backend::{Backend, RecordedRequest};
 use crate::fault_log::{FaultLog, Scope};
-use crate::forms::{ServerState, registration, server_key};
 use crate::gateway::Gateway;
 use crate::load::{self, Call};
 use crate::operator::Operator;
 use crate::plan::{self, FAULT_WINDOW};
 use crate::proxy::Proxy;
 use crate::store::Store;
+use crate::store_values::{ServerState, registration, server_key};
 
 /// Number of servers per pool.
 const SERVERS_PER_POOL: usize = 4;
--- a/crates/daemon/tests/soak/run/inject.rs
+++ b/crates/daemon/tests/soak/run/inject.rs
@@ -9,10 +9,10 @@
 
 use super::{Run, Server};
 use crate::fault_log::Scope;
-use crate::forms::{ServerState, registration, server_key};
 use crate::gateway::GRACE_MS;
 use crate::plan::{Fault, Step};
 use crate::proxy::Mode;
+use crate::store_values::{ServerState, registration, server_key};
 
 /// Pushback in each rejection.
 const PUSHBACK: Duration = Duration::from_secs(2);
