--- a/crates/daemon/tests/soak/audit/notice.rs
+++ b/crates/daemon/tests/soak/audit/notice.rs
@@ -1,92 +1,94 @@
-//! What servers said of themselves, held against what they were sent.
+//! Checks of leaving announcements and pushback in responses of servers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::{Audit, DRAIN, SLACK};
+use super::{Audit, DRAIN_DELAY, TOLERANCE};
 use crate::backend::RecordedRequest;
-use crate::load::Record;
-use crate::scene::Scene;
-use crate::trouble::Place;
+use crate::fault_log::Scope;
+use crate::load::Call;
+use crate::run::Run;
 
-/// Time after a server asked for rest in which requests that were on their way may reach it.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+/// Time after a pushback in which requests already sent may arrive.
+const IN_FLIGHT: Duration = Duration::from_millis(500);
 
-/// Requests that may reach it from then until the end of its rest.
-const MOST_IN_REST: usize = 2;
+/// Maximum requests to a server from then until the end of the pushback.
+const MAX_DURING_PUSHBACK: usize = 2;
 
-/// A gateway that has passed on a server's word that it leaves sends it nothing new, in touch or
-/// not.
-pub(super) fn leaving(
+/// A gateway that has forwarded a leaving announcement sends the server no new requests, even
+/// without a connection to the store.
+pub(super) fn check_leaving(
     audit: &mut Audit,
-    scene: &Scene,
-    asked: &HashMap<&str, &Record>,
-    arrivals: &[RecordedRequest],
+    run: &Run,
+    calls_by_id: &HashMap<&str, &Call>,
+    recorded: &[RecordedRequest],
 ) {
-    let mut told: HashMap<(usize, &str), Instant> = HashMap::new();
-    let said = arrivals.iter().filter(|arrival| arrival.is_leaving);
-    for arrival in said {
-        let Some(record) = asked.get(&*arrival.id).filter(|record| record.is_sealed) else {
+    let mut announced: HashMap<(usize, &str), Instant> = HashMap::new();
+    for request in recorded.iter().filter(|request| request.is_leaving) {
+        let Some(call) = calls_by_id.get(&*request.id).filter(|call| call.is_sealed) else {
             continue;
         };
-        let at = told
-            .entry((record.gate, &arrival.server))
-            .or_insert(record.ended);
-        *at = record.ended.min(*at);
+        let at = announced
+            .entry((call.gateway, &request.server))
+            .or_insert(call.ended_at);
+        *at = call.ended_at.min(*at);
     }
-    for arrival in arrivals {
-        let Some(record) = asked.get(&*arrival.id) else {
+    for request in recorded {
+        let Some(call) = calls_by_id.get(&*request.id) else {
             continue;
         };
-        let Some(&at) = told.get(&(record.gate, &*arrival.server)) else {
+        let Some(&at) = announced.get(&(call.gateway, &*request.server)) else {
             continue;
         };
-        let is_late = record.sent > at + DRAIN + SLACK && arrival.executed;
-        let breaks = is_late
-            && scene
-                .troubles
-                .is_clear(Place::Gate(record.gate), at, arrival.received_at);
-        audit.check("server that said it leaves", !breaks, || {
-            format!("told {:?} before: {arrival:?} {record:?}", record.sent - at)
+        let is_late = call.sent_at > at + DRAIN_DELAY + TOLERANCE && request.executed;
+        let is_violation = is_late
+            && run
+                .fault_log
+                .is_fault_free(Scope::Gateway(call.gateway), at, request.received_at);
+        audit.check("leaving announcement", !is_violation, || {
+            format!(
+                "announced {:?} before: {request:?} {call:?}",
+                call.sent_at - at
+            )
         });
     }
 }
 
-/// A server that asked a gateway for rest gets hardly anything from it until that is over.
-pub(super) fn rest(
+/// A server that has pushed back gets at most a few requests from the gateway until the delay has
+/// passed.
+pub(super) fn check_pushback(
     audit: &mut Audit,
-    scene: &Scene,
-    asked: &HashMap<&str, &Record>,
-    arrivals: &[RecordedRequest],
+    run: &Run,
+    calls_by_id: &HashMap<&str, &Call>,
+    recorded: &[RecordedRequest],
 ) {
-    let gate = |arrival: &RecordedRequest| asked.get(&*arrival.id).map(|record| record.gate);
-    for arrival in arrivals {
-        let (Some(rest), Some(of)) = (arrival.pushback, gate(arrival)) else {
+    let gateway_of =
+        |request: &RecordedRequest| calls_by_id.get(&*request.id).map(|call| call.gateway);
+    for request in recorded {
+        let (Some(delay), Some(gateway)) = (request.pushback, gateway_of(request)) else {
             continue;
         };
-        let (from, to) = (arrival.received_at + ON_THE_WAY, arrival.received_at + rest);
-        // An answer that did not come through said nothing.
-        let before = arrival
+        let (from, to) = (request.received_at + IN_FLIGHT, request.received_at + delay);
+        // A fault before may have kept the gateway from receiving the response.
+        let before = request
             .received_at
-            .checked_sub(ON_THE_WAY)
-            .unwrap_or(arrival.received_at);
-        let mut places = scene
-            .host(arrival.address)
+            .checked_sub(IN_FLIGHT)
+            .unwrap_or(request.received_at);
+        let mut scopes = run
+            .server_scope(request.address)
             .into_iter()
-            .chain([Place::Gate(of)]);
-        if !places.all(|place| scene.troubles.is_clear(place, before, to)) {
+            .chain([Scope::Gateway(gateway)]);
+        if !scopes.all(|scope| run.fault_log.is_fault_free(scope, before, to)) {
             continue;
         }
-        let came = arrivals.iter().filter(|other| {
-            other.server == arrival.server
+        let during = recorded.iter().filter(|other| {
+            other.server == request.server
                 && (from..to).contains(&other.received_at)
-                && gate(other) == Some(of)
+                && gateway_of(other) == Some(gateway)
+        });
+        let count = during.count();
+        audit.check("pushback", count <= MAX_DURING_PUSHBACK, || {
+            format!("{count} requests: {request:?}")
         });
-        let count = came.count();
-        audit.check(
-            "rest that a server asked for",
-            count <= MOST_IN_REST,
-            || format!("{count} requests: {arrival:?}"),
-        );
     }
 }
