--- a/crates/daemon/src/router/role.rs
+++ b/crates/daemon/src/router/role.rs
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// A port is taken, or the fleet could not be joined.
+    /// Returns an [`Error`] if a port cannot be bound or the fleet cannot be joined.
     pub async fn spawn(settings: settings::Router, logger: Logger) -> Result<Self, Error> {
         let settings = Arc::new(settings);
         let fleet = Fleet::spawn(Arc::clone(&settings), logger.clone()).await;
--- a/crates/daemon/tests/router/outcome.rs
+++ b/crates/daemon/tests/router/outcome.rs
@@ -159,7 +159,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn unknown_request_ids_have_no_known_outcome() {
+async fn outcome_of_an_unknown_request_id_is_unknown() {
     let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({})).await;
     let response = send(fleet.address(), completion()).await;
