--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -62,19 +62,19 @@
         }
         let mut try_direct = true;
         loop {
-            let place = self.find_slot(try_direct).await?;
-            let link = Arc::clone(&place.link);
-            let sent = attempt::send(self.core, &self.call, place).await;
+            let slot = self.find_slot(try_direct).await?;
+            let link = Arc::clone(&slot.link);
+            let result = attempt::send(self.core, &self.call, slot).await;
             if self.call.attempt.number >= MAX_ATTEMPTS {
                 return Err(unreachable("too many attempts failed"));
             }
             self.failed_server = Some(link.id);
             // A server without a free slot rejected the request: queue it instead.
             try_direct = !matches!(
-                sent,
+                result,
                 AttemptResult::Rejected(Verdict::Busy | Verdict::Draining, _)
             );
-            match sent {
+            match result {
                 AttemptResult::Response(response) => return Ok(response),
                 AttemptResult::Rejected(verdict, retry_after) => {
                     self.handle_verdict(verdict, retry_after, &link)?;
@@ -100,16 +100,16 @@
     /// Finds a slot, without queueing if a server is expected to have a free one.
     async fn find_slot(&mut self, try_direct: bool) -> Result<Slot, Refusal> {
         if let Some(key) = self.call.key {
-            let place =
+            let slot =
                 home::find_slot(self.core, &self.call, key, try_direct, self.was_queued).await?;
             self.was_queued = true;
-            return Ok(place);
+            return Ok(slot);
         }
         if self.core.settings.policy == Policy::Baseline {
             return self.baseline_slot().ok_or_else(no_server);
         }
-        if try_direct && let Some(place) = self.take_free_slot() {
-            return Ok(place);
+        if try_direct && let Some(slot) = self.take_free_slot() {
+            return Ok(slot);
         }
         if !has_active_server(self.core, self.call.pool) {
             return Err(no_server());
@@ -120,7 +120,7 @@
         }
         let never = std::future::pending();
         match queueing::wait_for_slot(self.core, &self.call, None, readmit, never).await? {
-            WaitResult::Granted(place) => Ok(place),
+            WaitResult::Granted(slot) => Ok(slot),
             WaitResult::HomeChanged => Err(no_server()),
         }
     }
--- a/crates/daemon/src/router/home.rs
+++ b/crates/daemon/src/router/home.rs
@@ -40,7 +40,7 @@
         }
         let home_changed = wait_home_change(core, call, key, &link);
         match queueing::wait_for_slot(core, call, Some(home), readmit, home_changed).await? {
-            WaitResult::Granted(place) => return Ok(place),
+            WaitResult::Granted(slot) => return Ok(slot),
             WaitResult::HomeChanged => (try_direct, readmit) = (true, true),
         }
     }
--- a/crates/daemon/src/router/queueing.rs
+++ b/crates/daemon/src/router/queueing.rs
@@ -84,7 +84,7 @@
     tokio::select! {
         biased;
         result = &mut woken => match result {
-            Ok(Wakeup::Granted(place)) => Ok(WaitResult::Granted(place)),
+            Ok(Wakeup::Granted(slot)) => Ok(WaitResult::Granted(slot)),
             Ok(Wakeup::Displaced) | Err(_) => Err(displaced(core, call)),
         },
         () = tokio::time::sleep_until(clock::instant(call.deadline)) => Err(deadline_passed(core, call)),
--- a/crates/daemon/tests/router/outcome.rs
+++ b/crates/daemon/tests/router/outcome.rs
@@ -68,17 +68,17 @@
         Behavior::Verdict(Verdict::Tombstone),
         Behavior::Verdict(Verdict::Broken),
     ];
-    for act in rows {
+    for behavior in rows {
         let fake = FakeSidecar::bind("s1", MODEL, 4).await;
         let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-        fake.on_next_request(act.clone());
+        fake.on_next_request(behavior.clone());
         let caller = spawn(fleet.address(), completion());
         fake.wait_declared(crate::fleet::customer_id(), [0, 1, 0])
             .await;
         fake.grant(1, crate::fleet::customer_id());
         let response = caller.await.unwrap();
-        expect_that!(response.status.as_u16(), eq(200), "{act:?}");
-        expect_that!(outcome(&fleet, &response).await, eq("ran"), "{act:?}");
+        expect_that!(response.status.as_u16(), eq(200), "{behavior:?}");
+        expect_that!(outcome(&fleet, &response).await, eq("ran"), "{behavior:?}");
     }
 }
 
@@ -108,8 +108,8 @@
     second.on_next_request(Behavior::NoResponse);
     let caller = spawn(fleet.address(), completion());
     let (frozen, other, first_ticket) = tokio::select! {
-        arrival = first.next_request() => (&first, &mut second, arrival.ticket),
-        arrival = second.next_request() => (&second, &mut first, arrival.ticket),
+        received = first.next_request() => (&first, &mut second, received.ticket),
+        received = second.next_request() => (&second, &mut first, received.ticket),
     };
     other.clear_behaviors();
     frozen.set_frozen(true);
@@ -183,10 +183,10 @@
         (Behavior::AbortWithLength(6, "answer"), "ran"),
         (Behavior::AbortWithLength(7, "answer"), "unknown"),
     ];
-    for (act, expected) in rows {
+    for (behavior, expected) in rows {
         let mut fake = FakeSidecar::bind("s1", MODEL, 4).await;
         let fleet = Fleet::spawn(&[&fake], &json!({})).await;
-        fake.on_next_request(act.clone());
+        fake.on_next_request(behavior.clone());
         let response = receive_head(fleet.address(), completion()).await;
         let id = response.headers()["x-request-id"]
             .to_str()
@@ -199,6 +199,6 @@
         fake.next_request().await;
         let inspect = fleet.router.inspect();
         crate::fleet::wait_until(|| inspect.servers()[0].running == 0).await;
-        expect_that!(outcome_of(&fleet, &id).await, eq(expected), "{act:?}");
+        expect_that!(outcome_of(&fleet, &id).await, eq(expected), "{behavior:?}");
     }
 }
--- a/crates/daemon/tests/router/request.rs
+++ b/crates/daemon/tests/router/request.rs
@@ -178,15 +178,15 @@
     let response = send(fleet.address(), request).await;
     let text = response.body.as_deref().unwrap();
     expect_that!((response.status.as_u16(), text), eq((200, "ok")));
-    let arrival = fake.next_request().await;
-    expect_that!(arrival.path, eq("/v1/chat/completions?a=b"));
-    expect_that!(arrival.headers.get("x-own"), some(anything()));
+    let received = fake.next_request().await;
+    expect_that!(received.path, eq("/v1/chat/completions?a=b"));
+    expect_that!(received.headers.get("x-own"), some(anything()));
     for removed in ["x-hop", "authorization", "connection"] {
-        expect_that!(arrival.headers.get(removed), none(), "{removed}");
+        expect_that!(received.headers.get(removed), none(), "{removed}");
     }
-    let body: serde_json::Value = serde_json::from_slice(&arrival.body).unwrap();
+    let body: serde_json::Value = serde_json::from_slice(&received.body).unwrap();
     expect_that!(body["model"], eq(MODEL));
-    let ticket = arrival.ticket;
+    let ticket = received.ticket;
     expect_that!(ticket.customer, eq(customer_id()));
     expect_that!(ticket.class, eq(Class::Urgent));
     expect_that!(
@@ -230,10 +230,10 @@
     for (request, keyed) in [(get, false), (post("/slots/friday?room=2", "book"), true)] {
         let response = send(fleet.address(), request).await;
         expect_that!(response.status.as_u16(), eq(200));
-        let arrival = fake.next_request().await;
-        expect_that!(arrival.path, eq("/slots/friday?room=2"));
-        expect_that!(arrival.ticket.key.is_some(), eq(keyed));
-        expect_that!(arrival.ticket.cost, eq(5));
+        let received = fake.next_request().await;
+        expect_that!(received.path, eq("/slots/friday?room=2"));
+        expect_that!(received.ticket.key.is_some(), eq(keyed));
+        expect_that!(received.ticket.cost, eq(5));
     }
 }
 
