--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -41,7 +41,7 @@
     }
 }
 
-fn lose_answers(count: u64) -> Faults {
+fn lose_responses(count: u64) -> Faults {
     Faults {
         lose_answers: Some(count),
         ..Faults::default()
@@ -199,7 +199,7 @@
     let request = Request::booking("slot").with_key();
     retry_until(&fleet, 0, &request, End::Whole).await;
     // The responses to the last write of one instance and the first write of the next.
-    fleet.kv.set_faults(&lose_answers(2));
+    fleet.kv.set_faults(&lose_responses(2));
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
     fleet.sidecars[0].restart();
     retry_until(&fleet, 1, &request, End::Ran).await;
