--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -5,7 +5,7 @@
 use futures::future::join_all;
 use googletest::prelude::*;
 use mulberryyoke_event::Event;
-use mulberryyoke_standin::fleet::call::End;
+use mulberryyoke_standin::fleet::call::CallOutcome;
 use mulberryyoke_standin::kv::Faults;
 
 use crate::common::{Fleet, Request, Response, Setup, wait};
@@ -55,7 +55,12 @@
 }
 
 /// Retries a call through a router until it ends as expected.
-async fn retry_until(fleet: &Fleet, router: usize, request: &Request, expected: End) -> Response {
+async fn retry_until(
+    fleet: &Fleet,
+    router: usize,
+    request: &Request,
+    expected: CallOutcome,
+) -> Response {
     wait::until(&format!("{expected:?} of {}", request.op), async || {
         let response = request.send(fleet.caller_address(router)).await;
         let is_expected = response.end == expected;
@@ -67,7 +72,7 @@
 }
 
 /// Repeats a call through all routers and expects that it does not run again.
-async fn expect_not_run_again(fleet: &Fleet, request: &Request, expected: &[End]) {
+async fn expect_not_run_again(fleet: &Fleet, request: &Request, expected: &[CallOutcome]) {
     for response in send_through_all_routers(fleet, request).await {
         expect_that!(expected, contains(eq(&response.end)), "{response:?}");
     }
@@ -93,7 +98,7 @@
     )
     .await;
     for (request, responses) in requests.iter().zip(responses) {
-        let complete = retry_until(&fleet, 1, request, End::Whole).await;
+        let complete = retry_until(&fleet, 1, request, CallOutcome::Complete).await;
         expect_that!(complete.body, ok(contains_substring("\"ran\":1")));
         expect_that!(fleet.start_count(&request.op), eq(1), "{responses:?}");
     }
@@ -107,12 +112,12 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
     fleet.sidecars[0].restart();
-    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Unknown]).await;
     let next = Request::booking("next").with_key();
-    retry_until(&fleet, 1, &next, End::Whole).await;
-    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
+    retry_until(&fleet, 1, &next, CallOutcome::Complete).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Unknown]).await;
     expect_that!(fleet.start_count(&next.op), eq(1));
 }
 
@@ -124,10 +129,10 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
-    expect_that!(pending.await.unwrap().end, eq(End::Whole));
+    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Complete));
     fleet.sidecars[0].restart();
-    retry_until(&fleet, 1, &request, End::Ran).await;
-    expect_not_run_again(&fleet, &request, &[End::Ran]).await;
+    retry_until(&fleet, 1, &request, CallOutcome::Ran).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Ran]).await;
 }
 
 #[gtest]
@@ -138,11 +143,11 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.routers[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
-    retry_until(&fleet, 1, &request, End::Whole).await;
+    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
+    retry_until(&fleet, 1, &request, CallOutcome::Complete).await;
     fleet.routers[0].restart();
     fleet.wait_connected(0).await;
-    expect_not_run_again(&fleet, &request, &[End::Whole]).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Complete]).await;
 }
 
 #[gtest]
@@ -155,16 +160,16 @@
     // No process that knows the key is left.
     fleet.routers[0].kill().await;
     fleet.sidecars[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
     fleet.sidecars[0].restart();
     fleet.routers[0].restart();
     fleet.wait_connected(0).await;
-    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Unknown]).await;
     let indeterminate = fleet.sidecars[0]
         .wait_event(Event::KeysIndeterminate, |_| true)
         .await;
     expect_that!(indeterminate["routers"].as_u64(), some(ge(1)));
-    expect_not_run_again(&fleet, &request, &[End::Unknown]).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Unknown]).await;
 }
 
 #[gtest]
@@ -172,23 +177,23 @@
 async fn keys_are_not_run_again_after_a_sidecar_crash_during_a_kv_outage() {
     let fleet = Fleet::spawn(one_service()).await;
     let before = Request::booking("before").with_key();
-    retry_until(&fleet, 0, &before, End::Whole).await;
+    retry_until(&fleet, 0, &before, CallOutcome::Complete).await;
     fleet.kv.set_faults(&outage(true));
     let request = Request::booking("slot").with_key();
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
     fleet.sidecars[0].restart();
     fleet.sidecars[0].wait_event(Event::KvDown, |_| true).await;
     for request in [&before, &request] {
-        expect_not_run_again(&fleet, request, &[End::Unknown]).await;
+        expect_not_run_again(&fleet, request, &[CallOutcome::Unknown]).await;
     }
     fleet.kv.set_faults(&outage(false));
     let next = Request::booking("next").with_key();
-    retry_until(&fleet, 1, &next, End::Whole).await;
+    retry_until(&fleet, 1, &next, CallOutcome::Complete).await;
     for request in [&before, &request] {
-        expect_not_run_again(&fleet, request, &[End::Unknown]).await;
+        expect_not_run_again(&fleet, request, &[CallOutcome::Unknown]).await;
     }
 }
 
@@ -197,16 +202,16 @@
 async fn key_is_not_run_again_after_a_restart_that_loses_kv_responses() {
     let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot").with_key();
-    retry_until(&fleet, 0, &request, End::Whole).await;
+    retry_until(&fleet, 0, &request, CallOutcome::Complete).await;
     // The responses to the last write of one instance and the first write of the next.
     fleet.kv.set_faults(&lose_answers(2));
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
     fleet.sidecars[0].restart();
-    retry_until(&fleet, 1, &request, End::Ran).await;
+    retry_until(&fleet, 1, &request, CallOutcome::Ran).await;
     expect_that!(fleet.kv.stats().lost_answers, eq(2));
-    expect_not_run_again(&fleet, &request, &[End::Ran]).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Ran]).await;
     let next = Request::booking("next").with_key();
-    retry_until(&fleet, 0, &next, End::Whole).await;
+    retry_until(&fleet, 0, &next, CallOutcome::Complete).await;
 }
 
 #[gtest]
@@ -217,7 +222,7 @@
     let before: Vec<Request> = (0..8).map(request_with_moved_key).collect();
     let during: Vec<Request> = (8..24).map(request_with_moved_key).collect();
     for request in &before {
-        retry_until(&fleet, 0, request, End::Whole).await;
+        retry_until(&fleet, 0, request, CallOutcome::Complete).await;
     }
     let sending = join_all(
         during
@@ -229,19 +234,19 @@
         fleet.wait_connected_to(router, &fleet.sidecars[1]).await;
     }
     for request in &before {
-        expect_not_run_again(&fleet, request, &[End::Ran]).await;
+        expect_not_run_again(&fleet, request, &[CallOutcome::Ran]).await;
     }
     for (request, responses) in during.iter().zip(responses) {
         wait::until("a response that the call ran", async || {
             let response = request.send(fleet.caller_address(1)).await;
-            let has_run = matches!(response.end, End::Whole | End::Ran);
+            let has_run = matches!(response.end, CallOutcome::Complete | CallOutcome::Ran);
             has_run.then_some(()).ok_or(format!("{response:?}"))
         })
         .await;
         expect_that!(fleet.start_count(&request.op), eq(1), "{responses:?}");
     }
     let next = request_with_moved_key(24);
-    retry_until(&fleet, 0, &next, End::Whole).await;
+    retry_until(&fleet, 0, &next, CallOutcome::Complete).await;
     expect_that!(fleet.backends[1].runs(&next.op), len(eq(1)));
 }
 
@@ -254,7 +259,7 @@
     })
     .await;
     let done = Request::booking_at(&POOL, POOL[0], 0);
-    retry_until(&fleet, 0, &done, End::Whole).await;
+    retry_until(&fleet, 0, &done, CallOutcome::Complete).await;
     let request = Request::booking_at(&POOL, POOL[0], 1);
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
@@ -262,18 +267,22 @@
     for response in send_through_all_routers(&fleet, &request).await {
         expect_that!(
             response.end,
-            any![eq(End::Whole), eq(End::Ran), eq(End::Unknown)],
+            any![
+                eq(CallOutcome::Complete),
+                eq(CallOutcome::Ran),
+                eq(CallOutcome::Unknown)
+            ],
             "{response:?}"
         );
     }
-    expect_that!(pending.await.unwrap().end, eq(End::Whole));
+    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Complete));
     let next = Request::booking_at(&POOL, POOL[0], 2);
     for router in 0..2 {
-        retry_until(&fleet, router, &next, End::Whole).await;
+        retry_until(&fleet, router, &next, CallOutcome::Complete).await;
     }
     expect_that!(fleet.backends[1].runs(&next.op), len(eq(1)));
     for request in [&done, &request] {
-        expect_not_run_again(&fleet, request, &[End::Ran]).await;
+        expect_not_run_again(&fleet, request, &[CallOutcome::Ran]).await;
     }
 }
 
@@ -286,9 +295,9 @@
     })
     .await;
     let request_with_moved_key = |n: u64| Request::booking_at(&POOL, POOL[1], n);
-    retry_until(&fleet, 1, &request_with_moved_key(0), End::Whole).await;
+    retry_until(&fleet, 1, &request_with_moved_key(0), CallOutcome::Complete).await;
     let [_, data] = &fleet.sidecar_relays[0];
-    data.hold();
+    data.buffer();
     let request = request_with_moved_key(1);
     let late = request.spawn(fleet.caller_address(1));
     fleet.routers[1]
@@ -298,10 +307,10 @@
         .await;
     fleet.configure_server(0, 1).await;
     fleet.wait_connected_to(0, &fleet.sidecars[1]).await;
-    retry_until(&fleet, 0, &request, End::Whole).await;
-    data.release();
+    retry_until(&fleet, 0, &request, CallOutcome::Complete).await;
+    data.resume();
     let late = late.await.unwrap();
-    expect_that!(late.end, eq(End::Whole), "{late:?}");
+    expect_that!(late.end, eq(CallOutcome::Complete), "{late:?}");
     expect_that!(fleet.start_count(&request.op), eq(1), "{late:?}");
 }
 
@@ -309,21 +318,33 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keys_of_a_restarted_router_are_refused_during_a_kv_outage() {
     let fleet = Fleet::spawn(one_service()).await;
-    retry_until(&fleet, 0, &Request::booking("a").with_key(), End::Whole).await;
-    retry_until(&fleet, 1, &Request::booking("b").with_key(), End::Whole).await;
+    retry_until(
+        &fleet,
+        0,
+        &Request::booking("a").with_key(),
+        CallOutcome::Complete,
+    )
+    .await;
+    retry_until(
+        &fleet,
+        1,
+        &Request::booking("b").with_key(),
+        CallOutcome::Complete,
+    )
+    .await;
     fleet.kv.set_faults(&outage(true));
     let request = Request::booking("slot").with_key();
     send_through_all_routers(&fleet, &request).await;
-    retry_until(&fleet, 0, &request, End::Whole).await;
+    retry_until(&fleet, 0, &request, CallOutcome::Complete).await;
     // The restarted router cannot be added to the home record during the outage.
     fleet.routers[1].kill().await;
     fleet.routers[1].restart();
     fleet.wait_connected(1).await;
-    expect_not_run_again(&fleet, &request, &[End::Whole]).await;
+    expect_not_run_again(&fleet, &request, &[CallOutcome::Complete]).await;
     let next = Request::booking("next").with_key();
     let refused = next.send(fleet.caller_address(1)).await;
     expect_that!(refused.refusal(), eq((503, "keys_full", "unknown")));
     expect_that!(fleet.start_count(&next.op), eq(0));
     fleet.kv.set_faults(&outage(false));
-    retry_until(&fleet, 1, &next, End::Whole).await;
+    retry_until(&fleet, 1, &next, CallOutcome::Complete).await;
 }
--- a/crates/daemon/tests/proof/common/fleet.rs
+++ b/crates/daemon/tests/proof/common/fleet.rs
@@ -11,7 +11,7 @@
 use mulberryyoke_platform::vm::{Role, State, Vm};
 use mulberryyoke_standin::fleet::call::{Client, client};
 use mulberryyoke_standin::fleet::operator::{self, words};
-use mulberryyoke_standin::fleet::process::{Ports, Process};
+use mulberryyoke_standin::fleet::process::{Process, ReservedPorts};
 use mulberryyoke_standin::fleet::relay::Relay;
 use mulberryyoke_standin::{kv, vms};
 use serde_json::{Value, json};
@@ -43,7 +43,7 @@
     /// Number of servers configured at the start.
     configured_servers: usize,
     directory: PathBuf,
-    _ports: Ports,
+    _ports: ReservedPorts,
 }
 
 /// Listen addresses of one process.
@@ -55,11 +55,11 @@
 }
 
 impl Addresses {
-    fn allocate(ports: &mut Ports) -> Self {
+    fn allocate(ports: &mut ReservedPorts) -> Self {
         Self {
-            control: ports.take().unwrap(),
-            data: ports.take().unwrap(),
-            status: ports.take().unwrap(),
+            control: ports.reserve().unwrap(),
+            data: ports.reserve().unwrap(),
+            status: ports.reserve().unwrap(),
         }
     }
 }
@@ -73,7 +73,7 @@
         let directory = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&directory).unwrap();
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let mut ports = Ports::default();
+        let mut ports = ReservedPorts::default();
         let mut allocate = |_| Addresses::allocate(&mut ports);
         let routers: Vec<Addresses> = (0..setup.routers).map(&mut allocate).collect();
         let servers = setup.engines + setup.services;
@@ -232,7 +232,7 @@
     /// Sends an operator command with an ID until its result is known.
     pub(crate) async fn send_command(&self, router: usize, words: &[String], id: u64) -> Response {
         let router = self.routers[router].status_address();
-        let response = operator::settle(&self.client, router, words, id).await;
+        let response = operator::execute(&self.client, router, words, id).await;
         response.unwrap()
     }
 
--- a/crates/daemon/tests/proof/common/node.rs
+++ b/crates/daemon/tests/proof/common/node.rs
@@ -37,12 +37,12 @@
     }
 
     pub(crate) fn kill(&self) -> impl Future<Output = Option<i32>> {
-        self.process.end(Signal::KILL)
+        self.process.terminate(Signal::KILL)
     }
 
     /// Shuts the process down gracefully; returns its exit code.
     pub(crate) fn stop(&self) -> impl Future<Output = Option<i32>> {
-        self.process.end(Signal::TERM)
+        self.process.terminate(Signal::TERM)
     }
 
     pub(crate) fn suspend(&self) {
@@ -82,7 +82,7 @@
             let mut events = self.events(event);
             let index = events.iter().position(&predicate);
             let found = index.map(|index| events.swap_remove(index));
-            found.ok_or_else(|| self.process.tail())
+            found.ok_or_else(|| self.process.log_tail())
         })
         .await
     }
--- a/crates/daemon/tests/proof/common/request.rs
+++ b/crates/daemon/tests/proof/common/request.rs
@@ -10,8 +10,8 @@
 use hyper_util::rt::TokioIo;
 use mulberryyoke_decide::home;
 use mulberryyoke_model::{CustomerId, KeyId, Server, ServerId, State};
-use mulberryyoke_standin::fleet::Work;
-use mulberryyoke_standin::fleet::call::{End, judge};
+use mulberryyoke_standin::fleet::OperationKind;
+use mulberryyoke_standin::fleet::call::{CallOutcome, classify_body};
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
@@ -24,7 +24,7 @@
     customer: &'static str,
     /// Operation ID that the backend records, `CUSTOMER/NAME`.
     pub(crate) op: String,
-    work: Work,
+    work: OperationKind,
     headers: Vec<(&'static str, String)>,
 }
 
@@ -44,19 +44,19 @@
     /// Body, or the reason why it is incomplete.
     pub(crate) body: Result<String, String>,
     /// Classification of the response.
-    pub(crate) end: End,
+    pub(crate) end: CallOutcome,
 }
 
 impl Request {
     /// Streamed chat completion of `tokens` tokens.
     pub(crate) fn chat(name: &str, tokens: u32) -> Self {
         let streamed = true;
-        Self::new(name, Work::Chat { tokens, streamed })
+        Self::new(name, OperationKind::Chat { tokens, streamed })
     }
 
     /// Call of the service, which is not idempotent.
     pub(crate) fn booking(name: &str) -> Self {
-        Self::new(name, Work::Booking)
+        Self::new(name, OperationKind::Booking)
     }
 
     /// Call with an idempotency key whose home in `pool` is `home`.
@@ -70,7 +70,7 @@
         requests.find(is_home).unwrap()
     }
 
-    fn new(name: &str, work: Work) -> Self {
+    fn new(name: &str, work: OperationKind) -> Self {
         Self {
             customer: "scouts",
             op: format!("scouts/{name}"),
@@ -100,8 +100,8 @@
     fn to_http(&self) -> hyper::Request<Full<Bytes>> {
         let op = &self.op;
         let (path, body) = match self.work {
-            Work::Booking => ("/bookings", json!({"op": op})),
-            Work::Chat { tokens, streamed } => {
+            OperationKind::Booking => ("/bookings", json!({"op": op})),
+            OperationKind::Chat { tokens, streamed } => {
                 let body = json!({
                     "model": "assistant",
                     "stream": streamed,
@@ -141,10 +141,11 @@
         router: SocketAddr,
     ) -> Result<hyper::Response<Incoming>, Response> {
         let stream = TcpStream::connect(router).await;
-        let stream = stream.map_err(|error| Response::missing(End::NotRun, &error.to_string()))?;
+        let stream =
+            stream.map_err(|error| Response::missing(CallOutcome::NotRun, &error.to_string()))?;
         stream.set_nodelay(true).unwrap();
         let disconnected =
-            |error: hyper::Error| Response::missing(End::Unknown, &error.to_string());
+            |error: hyper::Error| Response::missing(CallOutcome::Unknown, &error.to_string());
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(disconnected)?;
@@ -178,24 +179,24 @@
             id: header("x-request-id").to_owned(),
             retry_after: header("retry-after").parse().ok(),
             body: text,
-            end: End::Unknown,
+            end: CallOutcome::Unknown,
         };
         response.end = self.classify(&response);
         response
     }
 
-    fn classify(&self, response: &Response) -> End {
+    fn classify(&self, response: &Response) -> CallOutcome {
         match (&response.body, response.status, response.outcome.as_str()) {
-            (Ok(text), 200, _) => judge(text.as_bytes(), &self.op, self.work),
-            (_, _, "not-run") => End::NotRun,
-            (_, _, "ran") => End::Ran,
-            _ => End::Unknown,
+            (Ok(text), 200, _) => classify_body(text.as_bytes(), &self.op, self.work),
+            (_, _, "not-run") => CallOutcome::NotRun,
+            (_, _, "ran") => CallOutcome::Ran,
+            _ => CallOutcome::Unknown,
         }
     }
 }
 
 impl Response {
-    fn missing(end: End, reason: &str) -> Self {
+    fn missing(end: CallOutcome, reason: &str) -> Self {
         Self {
             status: 0,
             outcome: String::new(),
--- a/crates/daemon/tests/proof/fairness.rs
+++ b/crates/daemon/tests/proof/fairness.rs
@@ -4,7 +4,7 @@
 
 use futures::future::join_all;
 use googletest::prelude::*;
-use mulberryyoke_standin::fleet::call::End;
+use mulberryyoke_standin::fleet::call::CallOutcome;
 use serde_json::json;
 
 use crate::common::{Fleet, Request, Setup};
@@ -33,7 +33,11 @@
             .collect();
         for response in join_all(pending).await {
             let response = response.unwrap();
-            assert_that!(response.end, eq(End::Whole), "{round}: {response:?}");
+            assert_that!(
+                response.end,
+                eq(CallOutcome::Complete),
+                "{round}: {response:?}"
+            );
         }
     }
 }
--- a/crates/daemon/tests/proof/leaving.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -3,7 +3,7 @@
 use futures::future::join_all;
 use googletest::prelude::*;
 use mulberryyoke_platform::vm::State;
-use mulberryyoke_standin::fleet::call::End;
+use mulberryyoke_standin::fleet::call::CallOutcome;
 use mulberryyoke_standin::fleet::operator::words;
 use mulberryyoke_standin::kv::Faults;
 use mulberryyoke_standin::vms;
@@ -88,7 +88,7 @@
         .collect();
     for response in join_all(responses).await {
         let response = response.unwrap();
-        expect_that!(response.end, eq(End::Whole), "{response:?}");
+        expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
     }
     fleet.backends[0].journal().runs().len() - before
 }
--- a/crates/daemon/tests/proof/outcomes.rs
+++ b/crates/daemon/tests/proof/outcomes.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use mulberryyoke_event::Event;
 use mulberryyoke_model::{Attempt, Outcome};
-use mulberryyoke_standin::fleet::call::End;
+use mulberryyoke_standin::fleet::call::CallOutcome;
 use mulberryyoke_wire::connect_router;
 use serde_json::json;
 
@@ -64,7 +64,7 @@
 /// Expects that requests reported as not run did not run.
 fn expect_not_run(fleet: &Fleet, requests: &[Request], responses: &[Response]) {
     for (request, response) in requests.iter().zip(responses) {
-        if response.end == End::NotRun {
+        if response.end == CallOutcome::NotRun {
             expect_that!(fleet.start_count(&request.op), eq(0), "{response:?}");
         }
     }
@@ -94,7 +94,7 @@
     expect_that!(
         responses
             .iter()
-            .filter(|response| response.end == End::Whole)
+            .filter(|response| response.end == CallOutcome::Complete)
             .count(),
         ge(4)
     );
@@ -117,7 +117,7 @@
     drop(running);
     // The next request gets the free slot; the expired one is never started.
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(End::Whole));
+    expect_that!(next.end, eq(CallOutcome::Complete));
     expect_that!(fleet.start_count(&request.op), eq(0));
 }
 
@@ -168,7 +168,7 @@
     }
     drop(running);
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(End::Whole));
+    expect_that!(next.end, eq(CallOutcome::Complete));
     expect_not_run(&fleet, &requests, &responses);
 }
 
@@ -225,11 +225,14 @@
             "{response:?}"
         );
     }
-    expect_that!(responses, contains(field!(&Response.end, eq(End::Unknown))));
+    expect_that!(
+        responses,
+        contains(field!(&Response.end, eq(CallOutcome::Unknown)))
+    );
     fleet.sidecars[0].resume();
     fleet.wait_reconnected(0, 0).await;
     let next = Request::booking("next").send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(End::Whole), "{next:?}");
+    expect_that!(next.end, eq(CallOutcome::Complete), "{next:?}");
     for (request, response) in requests.iter().zip(&responses) {
         expect_correct_outcome(&fleet, 0, request, &response.id).await;
     }
@@ -245,13 +248,13 @@
     })
     .await;
     let [control, data] = &fleet.sidecar_relays[0];
-    control.hold();
-    data.hold();
+    control.buffer();
+    data.buffer();
     let request = Request::booking("slot");
     let response = request.send(fleet.caller_address(0)).await;
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
-    data.stop();
-    control.release();
+    data.stop_reading();
+    control.resume();
     let withdrawn = fleet.sidecars[0]
         .wait_event(Event::Withdrawn, |_| true)
         .await;
@@ -261,7 +264,7 @@
         (outcome == "not-run").then_some(()).ok_or(outcome)
     })
     .await;
-    data.pass_late();
+    data.flush();
     let rejected = fleet.sidecars[0]
         .wait_event(Event::Rejected, |_| true)
         .await;
@@ -282,8 +285,8 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     let [_, data] = &fleet.sidecar_relays[0];
-    data.cut();
-    data.mend();
+    data.block();
+    data.unblock();
     let response = pending.await.unwrap();
     expect_that!(response.refusal(), eq((502, "outcome_unknown", "unknown")));
     for router in 0..2 {
@@ -300,13 +303,13 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.routers[0].wait_event(Event::Routed, |_| true).await;
     fleet.routers[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(End::Unknown));
+    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
     let repeat = request.send(fleet.caller_address(1)).await;
     expect_that!(repeat.outcome.as_str(), eq("unknown"), "{repeat:?}");
     fleet.sidecars[0].resume();
     let completed = wait::until("a complete response", async || {
         let response = request.send(fleet.caller_address(1)).await;
-        (response.end == End::Whole)
+        (response.end == CallOutcome::Complete)
             .then_some(())
             .ok_or(format!("{response:?}"))
     });
@@ -320,7 +323,7 @@
     let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot");
     let response = request.send(fleet.caller_address(0)).await;
-    expect_that!(response.end, eq(End::Whole));
+    expect_that!(response.end, eq(CallOutcome::Complete));
     fleet.routers[0].kill().await;
     fleet.routers[0].restart();
     fleet.wait_connected(0).await;
--- a/crates/daemon/tests/proof/responses.rs
+++ b/crates/daemon/tests/proof/responses.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use googletest::prelude::*;
 use mulberryyoke_event::Event;
-use mulberryyoke_standin::fleet::call::End;
+use mulberryyoke_standin::fleet::call::CallOutcome;
 use serde_json::json;
 
 use crate::common::{Fleet, Request, Setup, Stream, wait};
@@ -70,7 +70,7 @@
     expect_that!(body, err(anything()));
     // The engine slot is released for other requests.
     let next = Request::chat("b", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(End::Whole));
+    expect_that!(next.end, eq(CallOutcome::Complete));
 }
 
 #[gtest]
@@ -85,10 +85,10 @@
         .map(|request| request.spawn(fleet.caller_address(0)))
         .collect();
     wait_streaming(&fleet, 0).await;
-    fleet.backends[0].relay.cut();
-    fleet.backends[0].relay.mend();
+    fleet.backends[0].relay.block();
+    fleet.backends[0].relay.unblock();
     for response in join_all(pending).await {
-        expect_that!(response.unwrap().end, eq(End::Whole));
+        expect_that!(response.unwrap().end, eq(CallOutcome::Complete));
     }
     expect_that!(fleet.sidecars[0].events(Event::Resumed), not(is_empty()));
     for request in &requests {
@@ -106,12 +106,16 @@
     )
     .await;
     stream.read_tokens(3).await;
-    fleet.backends[0].relay.cut();
+    fleet.backends[0].relay.block();
     let body = stream.read_to_end().await;
     expect_that!(body, err(anything()));
-    fleet.backends[0].relay.mend();
+    fleet.backends[0].relay.unblock();
     let next = Request::chat("b", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, any![eq(End::Whole), eq(End::NotRun)], "{next:?}");
+    expect_that!(
+        next.end,
+        any![eq(CallOutcome::Complete), eq(CallOutcome::NotRun)],
+        "{next:?}"
+    );
 }
 
 #[gtest]
@@ -134,7 +138,7 @@
         let response = response.unwrap();
         expect_that!(
             response.end,
-            any![eq(End::Whole), eq(End::Unknown)],
+            any![eq(CallOutcome::Complete), eq(CallOutcome::Unknown)],
             "{response:?}"
         );
     }
@@ -183,11 +187,15 @@
         let response = response.unwrap();
         expect_that!(
             response.end,
-            any![eq(End::Whole), eq(End::Unknown), eq(End::NotRun)],
+            any![
+                eq(CallOutcome::Complete),
+                eq(CallOutcome::Unknown),
+                eq(CallOutcome::NotRun)
+            ],
             "{}: {response:?}",
             request.op
         );
-        complete += u32::from(response.end == End::Whole);
+        complete += u32::from(response.end == CallOutcome::Complete);
     }
     // At least the requests at the third server complete.
     expect_that!(complete, ge(8));
@@ -209,7 +217,7 @@
     for round in 0..2 {
         for request in &requests {
             let response = request.send(fleet.caller_address(round)).await;
-            expect_that!(response.end, eq(End::Whole), "{response:?}");
+            expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
         }
     }
 }
@@ -235,7 +243,7 @@
         let next = Request::chat(&format!("{n}"), 50)
             .send(fleet.caller_address(0))
             .await;
-        expect_that!(next.end, eq(End::Whole));
+        expect_that!(next.end, eq(CallOutcome::Complete));
     }
     let body = stream.read_to_end().await.unwrap();
     expect_that!(
--- a/crates/daemon/tests/proof/shutdown.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use googletest::prelude::*;
 use mulberryyoke_event::Event;
-use mulberryyoke_standin::fleet::call::End;
+use mulberryyoke_standin::fleet::call::CallOutcome;
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
@@ -56,7 +56,7 @@
 async fn expect_complete(pending: Vec<tokio::task::JoinHandle<Response>>) {
     for response in join_all(pending).await {
         let response = response.unwrap();
-        expect_that!(response.end, eq(End::Whole), "{response:?}");
+        expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
     }
 }
 
@@ -69,9 +69,9 @@
     expect_complete(pending).await;
     expect_that!(fleet.routers[0].events(Event::Truncated), is_empty());
     let refused = Request::chat("next", 4).send(fleet.caller_address(0)).await;
-    expect_that!(refused.end, eq(End::NotRun));
+    expect_that!(refused.end, eq(CallOutcome::NotRun));
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(End::Whole));
+    expect_that!(next.end, eq(CallOutcome::Complete));
 }
 
 #[gtest]
@@ -90,7 +90,7 @@
     expect_that!(codes, each(some(eq(&0))));
     expect_complete(pending).await;
     for response in responses {
-        expect_that!(response.end, eq(End::Whole), "{response:?}");
+        expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
     }
 }
 
@@ -137,7 +137,7 @@
         expect_that!(fleet.outcome(1, &id).await, eq("unknown"));
     }
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(End::Whole));
+    expect_that!(next.end, eq(CallOutcome::Complete));
     expect_that!(fleet.start_count(&queued.op), eq(0));
 }
 
@@ -205,7 +205,11 @@
     let results = results.concat();
     expect_that!(results.len(), ge(8));
     for (op, response) in results {
-        expect_that!(response.end, eq(End::Whole), "{op}: {response:?}");
+        expect_that!(
+            response.end,
+            eq(CallOutcome::Complete),
+            "{op}: {response:?}"
+        );
         expect_that!(fleet.start_count(&op), eq(1), "{op}");
     }
 }
@@ -267,7 +271,7 @@
                     attempt % 2
                 };
                 let response = request.send(fleet.caller_address(router)).await;
-                let is_final = response.end != End::NotRun;
+                let is_final = response.end != CallOutcome::NotRun;
                 is_final
                     .then(|| response.clone())
                     .ok_or(format!("{response:?}"))
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -41,9 +41,9 @@
 pub use self::error::Error;
 pub use self::fault::Fault;
 pub use self::flags::{Deployment, Flags, Policy};
-pub use self::gap::{Gap, gap, utilisation};
+pub use self::gap::{FairnessGap, fairness_gap, utilisation};
 pub use self::meter::Sample;
-pub use self::op::Work;
+pub use self::op::OperationKind;
 pub use self::report::Report;
 
 /// Faults begin and end after these parts of the load.
@@ -178,7 +178,7 @@
         .iter()
         .map(|customer| customer.share)
         .collect();
-    let gap = gap::gap(samples, &shares);
+    let gap = gap::fairness_gap(samples, &shares);
     let faults = plan.flags.fault.iter();
     let audit = audit::audit(records, runs);
     let may_cut = faults.clone().any(|fault| fault.cuts());
--- a/crates/standin/src/fleet/audit.rs
+++ b/crates/standin/src/fleet/audit.rs
@@ -6,7 +6,7 @@
 
 use crate::journal::{Run, Stage};
 
-use super::call::{Call, End};
+use super::call::{Call, CallOutcome};
 use super::load::Record;
 
 /// Findings kept one by one, at most.
@@ -69,17 +69,26 @@
         };
         let whole = runs(last).iter().any(|run| run.stage == Stage::Complete);
         match record.end() {
-            End::Whole if whole => self.answered += 1,
-            End::Whole => self.find(|audit| &mut audit.lost, "answered without a run", record),
-            End::NotRun => self.refused += 1,
-            End::Ran if started(last) > 0 => self.told_ran += 1,
-            End::Ran => self.find(|audit| &mut audit.lost, "told ran without a run", record),
-            End::Unknown => self.find(|audit| &mut audit.unknown, ran(started(last)), record),
-            End::Lost => self.find(|audit| &mut audit.lost, "never ended", record),
-            End::Truncated => self.find(|audit| &mut audit.truncated, "truncated", record),
-            End::Crossed => self.find(|audit| &mut audit.crossed, "crossed", record),
+            CallOutcome::Complete if whole => self.answered += 1,
+            CallOutcome::Complete => {
+                self.find(|audit| &mut audit.lost, "answered without a run", record);
+            }
+            CallOutcome::NotRun => self.refused += 1,
+            CallOutcome::Ran if started(last) > 0 => self.told_ran += 1,
+            CallOutcome::Ran => {
+                self.find(|audit| &mut audit.lost, "told ran without a run", record);
+            }
+            CallOutcome::Unknown => {
+                self.find(|audit| &mut audit.unknown, ran(started(last)), record);
+            }
+            CallOutcome::TimedOut => self.find(|audit| &mut audit.lost, "never ended", record),
+            CallOutcome::Truncated => self.find(|audit| &mut audit.truncated, "truncated", record),
+            CallOutcome::Mismatched => self.find(|audit| &mut audit.crossed, "crossed", record),
         }
-        let refusals = record.calls.iter().filter(|call| call.end == End::NotRun);
+        let refusals = record
+            .calls
+            .iter()
+            .filter(|call| call.end == CallOutcome::NotRun);
         self.refusals += refusals.count();
         self.count_runs(record, started);
     }
@@ -99,7 +108,7 @@
         } else if most > 1 {
             self.reruns += 1;
         }
-        let denied = |call: &&Call| call.end == End::NotRun;
+        let denied = |call: &&Call| call.end == CallOutcome::NotRun;
         let is_false = if keyed {
             record.calls.iter().all(|call| denied(&call)) && sum > 0
         } else {
--- a/crates/standin/src/fleet/call.rs
+++ b/crates/standin/src/fleet/call.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use tokio::time::{Instant, timeout};
 
-use super::op::Work;
+use super::op::OperationKind;
 
 /// A client that keeps connections, as callers and operators use it.
 pub type Client = Pool<HttpConnector, Full<Bytes>>;
@@ -23,9 +23,9 @@
 
 /// What a caller holds at the end of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     /// The whole answer to its own request.
-    Whole,
+    Complete,
     /// Told, or sure itself, that the request did not run.
     NotRun,
     /// Told that it ran and that the answer is not kept.
@@ -35,9 +35,9 @@
     /// Something that passes for a whole answer and is none.
     Truncated,
     /// Something of another's answer.
-    Crossed,
+    Mismatched,
     /// Nothing, until it stopped waiting.
-    Lost,
+    TimedOut,
 }
 
 /// A call and its end.
@@ -45,7 +45,7 @@
 pub(crate) struct Call {
     /// Identity of the attempt.
     pub(crate) attempt: String,
-    pub(crate) end: End,
+    pub(crate) end: CallOutcome,
     /// Time to the first byte of the answer's body.
     pub(crate) first: Option<Duration>,
     pub(crate) took: Duration,
@@ -67,12 +67,12 @@
     client: &Client,
     request: Request<Full<Bytes>>,
     attempt: String,
-    work: Work,
+    work: OperationKind,
 ) -> Call {
     let sent = Instant::now();
     let mut call = Call {
         attempt,
-        end: End::Lost,
+        end: CallOutcome::TimedOut,
         first: None,
         took: LONGEST,
         retry: None,
@@ -89,16 +89,20 @@
 async fn make(
     client: &Client,
     request: Request<Full<Bytes>>,
-    work: Work,
+    work: OperationKind,
     sent: Instant,
     call: &mut Call,
-) -> End {
+) -> CallOutcome {
     let answer = match client.request(request).await {
         Ok(answer) => answer,
         Err(error) => {
             call.note = format!("{error:?}");
             let unsent = error.is_connect();
-            return if unsent { End::NotRun } else { End::Unknown };
+            return if unsent {
+                CallOutcome::NotRun
+            } else {
+                CallOutcome::Unknown
+            };
         }
     };
     call.note = header(&answer, "x-request-id").unwrap_or_default();
@@ -113,17 +117,17 @@
         let code = &body["error"]["code"];
         call.note = format!("{} {status} {outcome:?} {code}", call.note);
         return match outcome.as_deref() {
-            Some("not-run") => End::NotRun,
-            Some("ran") => End::Ran,
-            _ => End::Unknown,
+            Some("not-run") => CallOutcome::NotRun,
+            Some("ran") => CallOutcome::Ran,
+            _ => CallOutcome::Unknown,
         };
     }
     let mut body = answer.into_body();
     let Some(bytes) = read(&mut body, sent, &mut call.first).await else {
         call.note += " broken off";
-        return End::Unknown;
+        return CallOutcome::Unknown;
     };
-    judge(&bytes, &call.attempt, work)
+    classify_body(&bytes, &call.attempt, work)
 }
 
 fn header(answer: &Response<Incoming>, name: &str) -> Option<String> {
@@ -146,18 +150,18 @@
 
 /// Compares a body that ended well with the answer that is due.
 #[must_use]
-pub fn judge(bytes: &[u8], attempt: &str, work: Work) -> End {
+pub fn classify_body(bytes: &[u8], attempt: &str, work: OperationKind) -> CallOutcome {
     let text = String::from_utf8_lossy(bytes);
     match work {
-        Work::Booking => {
+        OperationKind::Booking => {
             let answer: Value = serde_json::from_str(&text).unwrap_or_default();
             match answer["op"].as_str() {
-                Some(op) if op == attempt => End::Whole,
-                Some(_) => End::Crossed,
-                None => End::Truncated,
+                Some(op) if op == attempt => CallOutcome::Complete,
+                Some(_) => CallOutcome::Mismatched,
+                None => CallOutcome::Truncated,
             }
         }
-        Work::Chat { tokens, streamed } => {
+        OperationKind::Chat { tokens, streamed } => {
             let due = (0..tokens).map(|token| format!("{attempt}:{token} "));
             let due = due.collect::<Vec<_>>().concat();
             let (held, done) = if streamed {
@@ -168,12 +172,12 @@
                 (content.unwrap_or_default().to_owned(), true)
             };
             if held == due && done {
-                return End::Whole;
+                return CallOutcome::Complete;
             }
             if due.starts_with(&held) {
-                End::Truncated
+                CallOutcome::Truncated
             } else {
-                End::Crossed
+                CallOutcome::Mismatched
             }
         }
     }
--- a/crates/standin/src/fleet/gap.rs
+++ b/crates/standin/src/fleet/gap.rs
@@ -4,15 +4,15 @@
 
 /// Samples between the starts of two windows: one second.
 const GRID: usize = 1000 / STEP.as_millis() as usize;
-/// Shortest window of [`Gap::fraction_5s`], in grid steps.
+/// Shortest window of [`FairnessGap::fraction_5s`], in grid steps.
 const SHORTEST: usize = 5;
-/// Part of the samples in which a customer counted by [`Gap::backlogged`] waits.
+/// Part of the samples in which a customer counted by [`FairnessGap::backlogged`] waits.
 const STEADY: (usize, usize) = (9, 10);
 
 /// The largest difference in service by share between two customers who were
 /// both backlogged throughout a window, over all windows on a grid of a second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gap {
+pub struct FairnessGap {
     /// In tokens per share.
     pub tokens: f64,
     /// The same over the service by share of all customers backlogged
@@ -28,11 +28,11 @@
 
 /// Measures the gap of customers with `shares` over evenly spaced samples.
 #[must_use]
-pub fn gap(samples: &[Sample], shares: &[u32]) -> Gap {
+pub fn fairness_gap(samples: &[Sample], shares: &[u32]) -> FairnessGap {
     let steady = |customer: &usize| is_steady(samples, *customer);
-    let mut gap = Gap {
+    let mut gap = FairnessGap {
         backlogged: (0..shares.len()).filter(steady).count(),
-        ..Gap::default()
+        ..FairnessGap::default()
     };
     let marks: Vec<usize> = (0..samples.len()).step_by(GRID).collect();
     let ends = backlog_ends(samples, shares.len());
@@ -59,7 +59,7 @@
     let over = |second: usize| {
         let from = second * GRID;
         let window = samples.get(from..=from + SHORTEST * GRID)?;
-        Some(gap(window, shares).fraction_5s)
+        Some(fairness_gap(window, shares).fraction_5s)
     };
     let before = (0..begin.saturating_sub(SHORTEST)).filter_map(over);
     let usual = before.fold(0.0, f64::max);
@@ -69,7 +69,7 @@
         .map(|(second, _)| second - end)
 }
 
-impl Gap {
+impl FairnessGap {
     /// Takes one window into account.
     fn take(&mut self, services: &[(f64, f64)], seconds: usize) {
         if services.len() < 2 {
--- a/crates/standin/src/fleet/load.rs
+++ b/crates/standin/src/fleet/load.rs
@@ -16,8 +16,8 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::call::{self, Call, Client, End};
-use super::op::{self, Op, Work};
+use super::call::{self, Call, CallOutcome, Client};
+use super::op::{self, Op, OperationKind};
 use super::plan::{Demand, LIGHT_DEMAND, Plan};
 
 /// Most attempts at one thing.
@@ -38,8 +38,10 @@
 
 impl Record {
     /// What the caller holds in the end.
-    pub(crate) fn end(&self) -> End {
-        self.calls.last().map_or(End::NotRun, |call| call.end)
+    pub(crate) fn end(&self) -> CallOutcome {
+        self.calls
+            .last()
+            .map_or(CallOutcome::NotRun, |call| call.end)
     }
 }
 
@@ -157,9 +159,13 @@
             let (end, retry) = (call.end, call.retry);
             calls.push(call);
             let again = match end {
-                End::NotRun => true,
-                End::Unknown => op.keyed,
-                End::Whole | End::Ran | End::Truncated | End::Crossed | End::Lost => false,
+                CallOutcome::NotRun => true,
+                CallOutcome::Unknown => op.keyed,
+                CallOutcome::Complete
+                | CallOutcome::Ran
+                | CallOutcome::Truncated
+                | CallOutcome::Mismatched
+                | CallOutcome::TimedOut => false,
             };
             if !again {
                 break;
@@ -178,7 +184,7 @@
         let key = format!("Bearer {}", self.plan.customers[op.customer].key);
         let key = HeaderValue::try_from(key).expect("keys are plain text");
         request.headers_mut().insert(AUTHORIZATION, key);
-        let chat = op.work != Work::Booking;
+        let chat = op.work != OperationKind::Booking;
         let outstanding = &self.outstanding[op.customer];
         outstanding.fetch_add(u32::from(chat), Ordering::Relaxed);
         let call = call::call(&self.client, request, attempt, op.work).await;
--- a/crates/standin/src/fleet/node.rs
+++ b/crates/standin/src/fleet/node.rs
@@ -9,7 +9,7 @@
 
 use super::operator;
 use super::plan::Plan;
-use super::process::Ports;
+use super::process::ReservedPorts;
 use super::relay::Relay;
 
 /// Calls that a plain service runs at once.
@@ -25,13 +25,17 @@
 }
 
 impl Node {
-    pub(crate) fn new(name: String, zone: &'static str, ports: &mut Ports) -> io::Result<Self> {
+    pub(crate) fn new(
+        name: String,
+        zone: &'static str,
+        ports: &mut ReservedPorts,
+    ) -> io::Result<Self> {
         Ok(Self {
             name,
             zone,
-            control: ports.take()?,
-            data: ports.take()?,
-            status: ports.take()?,
+            control: ports.reserve()?,
+            data: ports.reserve()?,
+            status: ports.reserve()?,
         })
     }
 
--- a/crates/standin/src/fleet/op.rs
+++ b/crates/standin/src/fleet/op.rs
@@ -28,7 +28,7 @@
 
 /// What is wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum OperationKind {
     /// A model answer of a number of tokens.
     Chat {
         /// Tokens of the answer.
@@ -46,7 +46,7 @@
     pub(crate) customer: usize,
     pub(crate) id: String,
     pub(crate) class: Class,
-    pub(crate) work: Work,
+    pub(crate) work: OperationKind,
     /// Whether every attempt carries the same `Idempotency-Key`.
     pub(crate) keyed: bool,
     /// Whether it is part of a flood.
@@ -59,7 +59,7 @@
     /// Draws a model request.
     pub(crate) fn chat(plan: &Plan, customer: usize, number: &str, rng: &mut StdRng) -> Self {
         let tokens = draw(rng, MEAN_TOKENS, SPREAD);
-        let work = Work::Chat {
+        let work = OperationKind::Chat {
             tokens,
             streamed: rng.random_bool(0.8),
         };
@@ -72,14 +72,22 @@
     /// Draws a call of the plain service.
     pub(crate) fn booking(plan: &Plan, customer: usize, number: &str, rng: &mut StdRng) -> Self {
         let keyed = rng.random_bool(0.9);
-        Self::new(plan, customer, number, Work::Booking, keyed, 0, rng)
+        Self::new(
+            plan,
+            customer,
+            number,
+            OperationKind::Booking,
+            keyed,
+            0,
+            rng,
+        )
     }
 
     fn new(
         plan: &Plan,
         customer: usize,
         number: &str,
-        work: Work,
+        work: OperationKind,
         keyed: bool,
         hint: u32,
         rng: &mut StdRng,
@@ -103,7 +111,7 @@
 
     /// Whether running twice would do harm.
     pub(crate) fn is_once(&self) -> bool {
-        self.keyed || self.work == Work::Booking
+        self.keyed || self.work == OperationKind::Booking
     }
 
     /// Identity that the backend notes. Attempts without a key differ in it.
@@ -117,8 +125,8 @@
     /// The request of an attempt, without authority.
     pub(crate) fn request(&self, plan: &Plan, attempt: &str) -> Request<Full<Bytes>> {
         let (path, body) = match self.work {
-            Work::Booking => (plan.path, json!({"op": attempt})),
-            Work::Chat { tokens, streamed } => {
+            OperationKind::Booking => (plan.path, json!({"op": attempt})),
+            OperationKind::Chat { tokens, streamed } => {
                 let body = body(plan.model, self.customer, attempt, tokens, streamed);
                 ("/v1/chat/completions", body)
             }
--- a/crates/standin/src/fleet/operator.rs
+++ b/crates/standin/src/fleet/operator.rs
@@ -58,7 +58,7 @@
 /// # Errors
 ///
 /// A command whose result did not become known.
-pub async fn settle(
+pub async fn execute(
     client: &Client,
     router: SocketAddr,
     words: &[String],
--- a/crates/standin/src/fleet/overhead.rs
+++ b/crates/standin/src/fleet/overhead.rs
@@ -3,8 +3,8 @@
 use hyper::Uri;
 use hyper::header::AUTHORIZATION;
 
-use super::call::{self, End};
-use super::op::{self, Work};
+use super::call::{self, CallOutcome};
+use super::op::{self, OperationKind};
 use super::setup::Fleet;
 use super::stats::quantile;
 
@@ -42,10 +42,10 @@
     request
         .headers_mut()
         .insert(AUTHORIZATION, key.parse().ok()?);
-    let work = Work::Chat {
+    let work = OperationKind::Chat {
         tokens: TOKENS,
         streamed: true,
     };
     let call = call::call(&fleet.client, request, op.to_owned(), work).await;
-    (call.end == End::Whole).then_some(call.took.as_secs_f64() * 1000.0)
+    (call.end == CallOutcome::Complete).then_some(call.took.as_secs_f64() * 1000.0)
 }
--- a/crates/standin/src/fleet/process.rs
+++ b/crates/standin/src/fleet/process.rs
@@ -24,17 +24,17 @@
 /// Ports of the loopback address, kept for processes to bind, again and again,
 /// until dropped.
 #[derive(Debug, Default)]
-pub struct Ports {
+pub struct ReservedPorts {
     held: Vec<TcpSocket>,
 }
 
-impl Ports {
+impl ReservedPorts {
     /// Takes a port.
     ///
     /// # Errors
     ///
     /// What the operating system says when there is none.
-    pub fn take(&mut self) -> io::Result<SocketAddr> {
+    pub fn reserve(&mut self) -> io::Result<SocketAddr> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         // From now on one may listen there; what just needs any port gets another.
@@ -127,7 +127,7 @@
     }
 
     /// Sends a signal that ends the process; returns its exit code, if any.
-    pub async fn end(&self, signal: Signal) -> Option<i32> {
+    pub async fn terminate(&self, signal: Signal) -> Option<i32> {
         self.signal(signal);
         let mut child = self.child.lock().take()?;
         let ended = timeout(LONGEST_END, child.wait()).await;
@@ -136,7 +136,7 @@
     }
 
     /// Whether the process has ended by itself.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         let mut child = self.child.lock();
         let ended = child
             .as_mut()
@@ -153,7 +153,7 @@
 
     /// The end of its log.
     #[must_use]
-    pub fn tail(&self) -> String {
+    pub fn log_tail(&self) -> String {
         let log = fs::read(&self.log).unwrap_or_default();
         let start = log.len().saturating_sub(LOG_TAIL);
         String::from_utf8_lossy(&log[start..]).into_owned()
--- a/crates/standin/src/fleet/relay.rs
+++ b/crates/standin/src/fleet/relay.rs
@@ -59,12 +59,12 @@
     }
 
     /// Cuts every link and refuses new ones.
-    pub fn cut(&self) {
+    pub fn block(&self) {
         self.links.lock().cancel();
     }
 
     /// Lets new links through again.
-    pub fn mend(&self) {
+    pub fn unblock(&self) {
         let mut links = self.links.lock();
         if links.is_cancelled() {
             *links = CancellationToken::new();
@@ -72,22 +72,22 @@
     }
 
     /// Keeps what comes, either way, until released; the links stay open.
-    pub fn hold(&self) {
+    pub fn buffer(&self) {
         self.flow.send_replace(Flow::Kept);
     }
 
     /// Reads no more of what comes.
-    pub fn stop(&self) {
+    pub fn stop_reading(&self) {
         self.flow.send_replace(Flow::Stopped);
     }
 
     /// Passes on what came before the stop, and nothing after it.
-    pub fn pass_late(&self) {
+    pub fn flush(&self) {
         self.flow.send_replace(Flow::Late);
     }
 
     /// Passes on what was kept and all that follows.
-    pub fn release(&self) {
+    pub fn resume(&self) {
         self.flow.send_replace(Flow::Open);
     }
 }
--- a/crates/standin/src/fleet/report.rs
+++ b/crates/standin/src/fleet/report.rs
@@ -6,9 +6,9 @@
 use serde::Serialize;
 
 use super::audit::Audit;
-use super::call::End;
+use super::call::CallOutcome;
 use super::load::Record;
-use super::op::Work;
+use super::op::OperationKind;
 use super::stats::quantile;
 
 /// What a run showed.
@@ -83,9 +83,9 @@
         times.insert(class.as_str(), Vec::new());
     }
     for record in records.iter().filter(|record| !record.op.flood) {
-        let streamed = matches!(record.op.work, Work::Chat { streamed: true, .. });
+        let streamed = matches!(record.op.work, OperationKind::Chat { streamed: true, .. });
         let first = record.calls.last().and_then(|call| call.first);
-        if let (true, End::Whole, Some(first)) = (streamed, record.end(), first) {
+        if let (true, CallOutcome::Complete, Some(first)) = (streamed, record.end(), first) {
             let times = times.entry(record.op.class.as_str()).or_default();
             times.push(first.as_secs_f64() * 1000.0);
         }
--- a/crates/standin/src/fleet/scene.rs
+++ b/crates/standin/src/fleet/scene.rs
@@ -65,7 +65,7 @@
 
     async fn kill_router(&self) -> Result<(), Error> {
         let router = &self.fleet.routers[0];
-        router.end(Signal::KILL).await;
+        router.terminate(Signal::KILL).await;
         sleep_until(self.until).await;
         router.start()?;
         self.fleet.ready(router).await
@@ -73,7 +73,7 @@
 
     async fn stop_router(&self, found: &mut Vec<String>) -> Result<(), Error> {
         let router = self.fleet.routers.last().expect("there is a router");
-        let code = router.end(Signal::TERM).await;
+        let code = router.terminate(Signal::TERM).await;
         if code != Some(0) {
             found.push(format!("{} ended with {code:?}", router.name));
         }
@@ -87,7 +87,7 @@
         let service = self.fleet.engines.len();
         self.set_down(0, true);
         let pair = [&self.fleet.sidecars[0], &self.fleet.sidecars[service]];
-        let codes = join(pair[0].end(signal), pair[1].end(signal)).await;
+        let codes = join(pair[0].terminate(signal), pair[1].terminate(signal)).await;
         if signal == Signal::TERM && codes != (Some(0), Some(0)) {
             found.push(format!("sidecars ended with {codes:?}"));
         }
@@ -129,17 +129,17 @@
     }
 
     async fn partition(&self) -> Result<(), Error> {
-        self.fleet.relays.iter().for_each(Relay::cut);
+        self.fleet.relays.iter().for_each(Relay::block);
         sleep_until(self.until).await;
-        self.fleet.relays.iter().for_each(Relay::mend);
+        self.fleet.relays.iter().for_each(Relay::unblock);
         Ok(())
     }
 
     async fn lose_exchange(&self) -> Result<(), Error> {
         while Instant::now() < self.until {
             for relay in &self.fleet.relays {
-                relay.cut();
-                relay.mend();
+                relay.block();
+                relay.unblock();
             }
             sleep(LOSS_STEP).await;
         }
@@ -209,7 +209,7 @@
 
     async fn send(&self, router: usize, words: &[String]) -> Result<Response, Error> {
         let address = self.fleet.routers[router].status;
-        operator::settle(&self.fleet.client, address, words, rand::random()).await
+        operator::execute(&self.fleet.client, address, words, rand::random()).await
     }
 
     async fn flood(&self) -> Result<(), Error> {
--- a/crates/standin/src/fleet/setup.rs
+++ b/crates/standin/src/fleet/setup.rs
@@ -19,7 +19,7 @@
 use super::node::{self, Node};
 use super::operator;
 use super::plan::Plan;
-use super::process::{Ports, Process};
+use super::process::{Process, ReservedPorts};
 use super::relay::Relay;
 use super::scrape;
 
@@ -53,7 +53,7 @@
     pub(crate) callers: Vec<SocketAddr>,
     /// Where settings and logs are.
     pub(crate) directory: PathBuf,
-    _ports: Ports,
+    _ports: ReservedPorts,
 }
 
 fn stand_in(source: io::Error) -> Error {
@@ -68,7 +68,7 @@
         let directory = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&directory).map_err(Error::Settings)?;
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let mut ports = Ports::default();
+        let mut ports = ReservedPorts::default();
         let kv = kv::Store::bind(any).await.map_err(stand_in)?;
         let (engines, services) = backends(&plan, any).await.map_err(stand_in)?;
         let routers: Vec<Node> = (0..plan.flags.routers)
@@ -129,7 +129,7 @@
     /// Waits until a process says that it is ready.
     pub(crate) async fn ready(&self, process: &Process) -> Result<(), Error> {
         let until = Instant::now() + READY;
-        while Instant::now() < until && !process.has_ended() {
+        while Instant::now() < until && !process.has_exited() {
             if scrape::get(&self.client, process.status, "/readyz")
                 .await
                 .is_some()
@@ -140,7 +140,7 @@
         }
         Err(Error::Ready {
             name: process.name.clone(),
-            log: process.tail(),
+            log: process.log_tail(),
         })
     }
 
@@ -148,7 +148,7 @@
     pub(crate) async fn command(&self, router: usize, words: &[String]) -> Result<(), Error> {
         let address = self.routers[router].status;
         let id = rand::random();
-        let reply = operator::settle(&self.client, address, words, id).await?;
+        let reply = operator::execute(&self.client, address, words, id).await?;
         match reply.error {
             None => Ok(()),
             Some(refusal) => Err(Error::Command {
