--- a/crates/standin/src/fleet/build.rs
+++ b/crates/standin/src/fleet/build.rs
@@ -1,4 +1,4 @@
-//! Finding and building of the daemon.
+//! Locates and builds the daemon.
 
 use std::env;
 use std::path::PathBuf;
@@ -7,10 +7,11 @@
 
 use super::error::Error;
 
-/// The daemon beside this program, built anew when cargo started the program.
+/// Returns the path of the daemon in the target directory of this program, after building it if
+/// the program was started by Cargo.
 pub(crate) async fn daemon() -> Result<PathBuf, Error> {
-    let own = env::current_exe().map_err(|error| Error::Build(error.to_string()))?;
-    let target = own
+    let executable = env::current_exe().map_err(|error| Error::Build(error.to_string()))?;
+    let target = executable
         .ancestors()
         .nth(2)
         .map(PathBuf::from)
@@ -20,7 +21,7 @@
         return if daemon.exists() {
             Ok(daemon)
         } else {
-            Err(Error::Build(format!("{} is missing", daemon.display())))
+            Err(Error::Build(format!("{} does not exist", daemon.display())))
         };
     };
     let mut build = Command::new(cargo);
--- a/crates/standin/src/fleet/error.rs
+++ b/crates/standin/src/fleet/error.rs
@@ -4,36 +4,36 @@
 
 use displaydoc::Display;
 
-/// Why a run could not be made.
+/// Errors that abort a run.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// could not build mulberryyoked: {0}
+    /// failed to build mulberryyoked: {0}
     Build(String),
-    /// could not start {name}: {source}
+    /// failed to start {name}: {source}
     Start {
-        /// The process or stand-in.
+        /// Name of the process or stand-in.
         name: String,
-        /// What the operating system said.
+        /// I/O error.
         source: io::Error,
     },
-    /// could not see {name} become ready; its last log lines:
+    /// {name} did not become ready; end of its log:
     /// {log}
     Ready {
-        /// The process.
+        /// Name of the process.
         name: String,
         /// End of its log.
         log: String,
     },
-    /// could not carry out operators' command {words}: {reason}
+    /// operator command `{words}` failed: {reason}
     Command {
         /// Words of the command.
         words: String,
-        /// The answer.
+        /// Error message.
         reason: String,
     },
-    /// could not write settings: {0}
+    /// failed to write settings: {0}
     Settings(io::Error),
-    /// stopped by a signal
+    /// interrupted by a signal
     Interrupted,
 }
 
--- a/crates/standin/src/fleet/operator.rs
+++ b/crates/standin/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' commands, sent to a router's operator port.
+//! Client of the routers' operator API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 use super::call::Client;
 use super::error::Error;
 
-/// Bearer key of the launcher's operator.
+/// Bearer token of the launcher.
 pub const KEY: &str = "key-of-the-launchers-operator";
-/// Most sendings of one command.
-const MOST_SENDINGS: usize = 40;
-/// Pause between two of them.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Maximum number of attempts of a command.
+const MAX_ATTEMPTS: usize = 40;
+/// Delay between attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Sends a command once.
+/// Sends a command once with the given ID.
 ///
 /// # Errors
 ///
-/// An answer that did not come or cannot be read.
+/// If there is no response or it cannot be decoded.
 ///
 /// # Panics
 ///
-/// Never: every command has a JSON form and every address is one of a URI.
+/// Never: commands can be encoded as JSON, and socket addresses are valid URI authorities.
 pub async fn send(
     client: &Client,
     router: SocketAddr,
@@ -38,26 +38,26 @@
         words: words.to_vec(),
         command: Some(id),
     };
-    let body = serde_json::to_vec(&command).expect("commands have a JSON form");
+    let body = serde_json::to_vec(&command).expect("commands can be encoded as JSON");
     let request = Request::post(format!("http://{router}/v1/command"))
         .header("authorization", format!("Bearer {KEY}"))
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body)))
-        .expect("addresses make addresses");
-    let answer = client
+        .expect("the address is a valid authority");
+    let response = client
         .request(request)
         .await
         .map_err(|error| format!("{error:?}"))?;
-    let body = answer.into_body().collect().await;
+    let body = response.into_body().collect().await;
     let bytes = body.map_err(|error| error.to_string())?.to_bytes();
     serde_json::from_slice(&bytes).map_err(|error| format!("{error}: {bytes:?}"))
 }
 
-/// Sends a command under one id until its result is known.
+/// Sends a command, retrying with the same ID until its outcome is known.
 ///
 /// # Errors
 ///
-/// A command whose result did not become known.
+/// If the outcome is still unknown after the last attempt.
 pub async fn execute(
     client: &Client,
     router: SocketAddr,
@@ -65,22 +65,22 @@
     id: u64,
 ) -> Result<Response, Error> {
     let mut reason = String::new();
-    for _ in 0..MOST_SENDINGS {
+    for _ in 0..MAX_ATTEMPTS {
         match send(client, router, words, id).await {
             Ok(Response {
                 error:
                     Some(
-                        refusal @ CommandError {
+                        error @ CommandError {
                             code: ErrorCode::Unavailable | ErrorCode::Unknown,
                             ..
                         },
                     ),
                 ..
-            }) => reason = refusal.to_string(),
-            Ok(reply) => return Ok(reply),
+            }) => reason = error.to_string(),
+            Ok(response) => return Ok(response),
             Err(error) => reason = error,
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
     let words = words.join(" ");
     Err(Error::Command { words, reason })
--- a/crates/standin/src/fleet/process.rs
+++ b/crates/standin/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the system under test.
+//! Router and sidecar processes.
 
 use std::fs::{self, File};
 use std::io;
@@ -16,31 +16,31 @@
 
 use super::error::Error;
 
-/// Longest time that a process may take to end; then it is killed.
-const LONGEST_END: Duration = Duration::from_secs(75);
-/// Bytes of a log that are shown when a process fails.
-const LOG_TAIL: usize = 2_000;
+/// Time that a process has to exit before it is killed.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(75);
+/// Length of the end of a log that errors contain.
+const LOG_TAIL_BYTES: usize = 2_000;
 
-/// Ports of the loopback address, kept for processes to bind, again and again,
-/// until dropped.
+/// Ports of the loopback address that are reserved until this is dropped. Processes can bind them
+/// any number of times.
 #[derive(Debug, Default)]
 pub struct ReservedPorts {
-    held: Vec<TcpSocket>,
+    sockets: Vec<TcpSocket>,
 }
 
 impl ReservedPorts {
-    /// Takes a port.
+    /// Reserves a port.
     ///
     /// # Errors
     ///
-    /// What the operating system says when there is none.
+    /// If no port can be bound.
     pub fn reserve(&mut self) -> io::Result<SocketAddr> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-        // From now on one may listen there; what just needs any port gets another.
+        // Lets a process listen on the port, while sockets bound to port 0 do not get it.
         socket.set_reuseaddr(true)?;
         let address = socket.local_addr()?;
-        self.held.push(socket);
+        self.sockets.push(socket);
         Ok(address)
     }
 }
@@ -50,23 +50,23 @@
 pub struct Process {
     /// Name in the settings.
     pub name: String,
-    /// Where health and metrics are served.
+    /// Address of the health checks and metrics, and of a router's operator API.
     pub status: SocketAddr,
     daemon: PathBuf,
     role: &'static str,
     settings: PathBuf,
     log: PathBuf,
     child: Mutex<Option<Child>>,
-    /// Its id while it has not been waited for.
+    /// Process ID, until the process has been waited for.
     pid: Mutex<Option<Pid>>,
 }
 
 impl Process {
-    /// Writes settings and starts the process.
+    /// Writes the settings file and starts the process.
     ///
     /// # Errors
     ///
-    /// Settings that cannot be written, or a process that cannot be started.
+    /// If the settings cannot be written or the process cannot be started.
     pub fn spawn(
         daemon: &Path,
         directory: &Path,
@@ -90,13 +90,13 @@
         Ok(process)
     }
 
-    /// Starts the process, again if it has run before.
+    /// Starts or restarts the process.
     ///
     /// # Errors
     ///
-    /// A process that cannot be started.
+    /// If the process cannot be started.
     pub fn start(&self) -> Result<(), Error> {
-        let child = self.launch().map_err(|source| Error::Start {
+        let child = self.spawn_child().map_err(|source| Error::Start {
             name: self.name.clone(),
             source,
         })?;
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    fn launch(&self) -> io::Result<Child> {
+    fn spawn_child(&self) -> io::Result<Child> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         Command::new(&self.daemon)
             .arg(self.role)
@@ -119,43 +119,43 @@
             .spawn()
     }
 
-    /// Sends a signal; a process that has been waited for gets none.
+    /// Sends a signal, unless the process has been waited for.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = *self.pid.lock() {
             kill_process(pid, signal).ok();
         }
     }
 
-    /// Sends a signal that ends the process; returns its exit code, if any.
+    /// Sends a terminating signal, waits for the process and returns its exit code, if any.
     pub async fn terminate(&self, signal: Signal) -> Option<i32> {
         self.signal(signal);
         let mut child = self.child.lock().take()?;
-        let ended = timeout(LONGEST_END, child.wait()).await;
+        let exited = timeout(EXIT_TIMEOUT, child.wait()).await;
         *self.pid.lock() = None;
-        ended.ok()?.ok()?.code()
+        exited.ok()?.ok()?.code()
     }
 
-    /// Whether the process has ended by itself.
+    /// Whether the process has exited without being terminated.
     pub fn has_exited(&self) -> bool {
         let mut child = self.child.lock();
-        let ended = child
+        let exited = child
             .as_mut()
             .map(|child| matches!(child.try_wait(), Ok(Some(_))));
-        ended.unwrap_or(false)
+        exited.unwrap_or(false)
     }
 
-    /// Its log, over restarts.
+    /// Log of the process, including previous starts.
     #[must_use]
     pub fn log(&self) -> String {
         let log = fs::read(&self.log).unwrap_or_default();
         String::from_utf8_lossy(&log).into_owned()
     }
 
-    /// The end of its log.
+    /// End of the log.
     #[must_use]
     pub fn log_tail(&self) -> String {
         let log = fs::read(&self.log).unwrap_or_default();
-        let start = log.len().saturating_sub(LOG_TAIL);
+        let start = log.len().saturating_sub(LOG_TAIL_BYTES);
         String::from_utf8_lossy(&log[start..]).into_owned()
     }
 }
--- a/crates/standin/src/fleet/relay.rs
+++ b/crates/standin/src/fleet/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes, whose links can be cut or held.
+//! TCP relay that injects network faults between two processes.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,134 +12,138 @@
 use tokio::sync::watch;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// A relay to one address.
+/// A running relay to one address. Dropping it closes the listener.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Cancels the links; cancelled for as long as the relay is cut.
-    links: Arc<Mutex<CancellationToken>>,
-    flow: watch::Sender<Flow>,
-    _stop: DropGuard,
+    /// Closes the connections; stays cancelled while the relay is blocked.
+    connections: Arc<Mutex<CancellationToken>>,
+    mode: watch::Sender<Mode>,
+    _listener: DropGuard,
 }
 
-/// What becomes of the bytes of a link.
+/// Handling of data on all connections, in both directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Flow {
-    /// They are passed on.
-    Open,
-    /// They are kept.
-    Kept,
-    /// None are read; those kept stay so.
-    Stopped,
-    /// None are read; those kept are passed on.
-    Late,
+enum Mode {
+    /// Reads and forwards data.
+    Forward,
+    /// Reads data and buffers it.
+    Buffer,
+    /// Neither reads nor forwards data.
+    Stop,
+    /// Forwards buffered data and reads no more.
+    Flush,
 }
 
 impl Relay {
-    /// Binds a relay to `target`.
+    /// Starts a relay to `target`.
     ///
     /// # Errors
     ///
-    /// What the operating system says when no port can be bound.
+    /// If no port can be bound.
     pub async fn bind(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let links = Arc::new(Mutex::new(CancellationToken::new()));
-        let flow = watch::Sender::new(Flow::Open);
+        let connections = Arc::new(Mutex::new(CancellationToken::new()));
+        let mode = watch::Sender::new(Mode::Forward);
         let stop = CancellationToken::new();
-        let accepting = accept(listener, target, Arc::clone(&links), flow.clone());
-        tokio::spawn(stop.clone().run_until_cancelled_owned(accepting));
+        let accept = accept(listener, target, Arc::clone(&connections), mode.clone());
+        tokio::spawn(stop.clone().run_until_cancelled_owned(accept));
         Ok(Self {
             address,
-            links,
-            flow,
-            _stop: stop.drop_guard(),
+            connections,
+            mode,
+            _listener: stop.drop_guard(),
         })
     }
 
-    /// Cuts every link and refuses new ones.
+    /// Closes all connections, and new ones as soon as they are accepted.
     pub fn block(&self) {
-        self.links.lock().cancel();
+        self.connections.lock().cancel();
     }
 
-    /// Lets new links through again.
+    /// Relays new connections again.
     pub fn unblock(&self) {
-        let mut links = self.links.lock();
-        if links.is_cancelled() {
-            *links = CancellationToken::new();
+        let mut connections = self.connections.lock();
+        if connections.is_cancelled() {
+            *connections = CancellationToken::new();
         }
     }
 
-    /// Keeps what comes, either way, until released; the links stay open.
+    /// Buffers data instead of forwarding it. The connections stay open.
     pub fn buffer(&self) {
-        self.flow.send_replace(Flow::Kept);
+        self.mode.send_replace(Mode::Buffer);
     }
 
-    /// Reads no more of what comes.
+    /// Stops reading and forwarding data. Buffered data is kept.
     pub fn stop_reading(&self) {
-        self.flow.send_replace(Flow::Stopped);
+        self.mode.send_replace(Mode::Stop);
     }
 
-    /// Passes on what came before the stop, and nothing after it.
+    /// Forwards buffered data without reading more.
     pub fn flush(&self) {
-        self.flow.send_replace(Flow::Late);
+        self.mode.send_replace(Mode::Flush);
     }
 
-    /// Passes on what was kept and all that follows.
+    /// Forwards buffered and new data.
     pub fn resume(&self) {
-        self.flow.send_replace(Flow::Open);
+        self.mode.send_replace(Mode::Forward);
     }
 }
 
 async fn accept(
     listener: TcpListener,
     target: SocketAddr,
-    links: Arc<Mutex<CancellationToken>>,
-    flow: watch::Sender<Flow>,
+    connections: Arc<Mutex<CancellationToken>>,
+    mode: watch::Sender<Mode>,
 ) {
     loop {
-        let Ok((near, _)) = listener.accept().await else {
+        let Ok((client, _)) = listener.accept().await else {
             continue;
         };
-        let link = links.lock().clone();
-        let passing = pass(near, target, flow.subscribe());
-        tokio::spawn(link.run_until_cancelled_owned(passing));
+        let cancellation = connections.lock().clone();
+        let relay = relay(client, target, mode.subscribe());
+        tokio::spawn(cancellation.run_until_cancelled_owned(relay));
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, flow: watch::Receiver<Flow>) -> io::Result<()> {
-    let far = TcpStream::connect(target).await?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = copy(near_read, far_write, flow.clone());
-    let back = copy(far_read, near_write, flow);
-    tokio::try_join!(there, back)?;
+async fn relay(
+    client: TcpStream,
+    target: SocketAddr,
+    mode: watch::Receiver<Mode>,
+) -> io::Result<()> {
+    let server = TcpStream::connect(target).await?;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let requests = copy(client_read, server_write, mode.clone());
+    let responses = copy(server_read, client_write, mode);
+    tokio::try_join!(requests, responses)?;
     Ok(())
 }
 
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut flow: watch::Receiver<Flow>,
+    mut mode: watch::Receiver<Mode>,
 ) -> io::Result<()> {
-    let mut kept = BytesMut::new();
-    let mut is_ended = false;
+    let mut buffer = BytesMut::new();
+    let mut is_eof = false;
     loop {
-        let now = *flow.borrow_and_update();
-        if matches!(now, Flow::Open | Flow::Late) {
-            to.write_all_buf(&mut kept).await?;
+        let current = *mode.borrow_and_update();
+        if matches!(current, Mode::Forward | Mode::Flush) {
+            to.write_all_buf(&mut buffer).await?;
         }
-        if is_ended && now == Flow::Open {
+        if is_eof && current == Mode::Forward {
             return to.shutdown().await;
         }
-        let reads = !is_ended && matches!(now, Flow::Open | Flow::Kept);
+        let can_read = !is_eof && matches!(current, Mode::Forward | Mode::Buffer);
         tokio::select! {
-            read = from.read_buf(&mut kept), if reads => is_ended = read? == 0,
-            // The sender lives as long as the relay.
-            Ok(()) = flow.changed() => {}
+            read = from.read_buf(&mut buffer), if can_read => is_eof = read? == 0,
+            // Fails only once the relay and its listener are dropped.
+            Ok(()) = mode.changed() => {}
         }
     }
 }
--- a/crates/standin/src/fleet/stats.rs
+++ b/crates/standin/src/fleet/stats.rs
@@ -1,14 +1,14 @@
-//! Quantiles.
+//! Statistics.
 
-/// A quantile of values, which are sorted; 0 of none.
+/// Sorts the values and returns the `q`-quantile, or 0 without values.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss,
-    reason = "an index of a run's values is small and positive"
+    reason = "indices are small and not negative"
 )]
-pub(crate) fn quantile(values: &mut [f64], part: f64) -> f64 {
+pub(crate) fn quantile(values: &mut [f64], q: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let place = (values.len().saturating_sub(1) as f64 * part).round() as usize;
-    values.get(place).copied().unwrap_or(0.0)
+    let index = (values.len().saturating_sub(1) as f64 * q).round() as usize;
+    values.get(index).copied().unwrap_or(0.0)
 }
