--- a/crates/standin/examples/fleet.rs
+++ b/crates/standin/examples/fleet.rs
@@ -1,5 +1,5 @@
-//! Starts a fleet of real processes on loopback, drives a load and prints what
-//! it showed as one JSON object in the last line.
+//! Runs a fleet of real processes on the loopback address under load, and prints the report as a
+//! JSON object in the last line.
 
 use std::process::ExitCode;
 
@@ -12,7 +12,7 @@
     match fleet::run(flags).await {
         Ok(report) => {
             let line = serde_json::to_string(&report);
-            println!("{}", line.expect("reports have a JSON form"));
+            println!("{}", line.expect("reports can be encoded as JSON"));
             ExitCode::from(u8::from(!report.is_clean()))
         }
         Err(error) => {
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,25 +1,25 @@
-//! A launcher of real processes on loopback: it starts routers, sidecars and
-//! stand-ins, drives a load, brings faults about, and compares what callers
-//! hold with what engines and services ran.
+//! Launcher of fleets of real processes on the loopback address. It starts routers, sidecars and
+//! stand-ins, generates load, injects faults, and compares the outcomes that callers saw with the
+//! runs that engines and services recorded.
 
 mod audit;
 mod build;
 pub mod call;
 mod error;
+mod fairness;
 mod fault;
 mod flags;
-mod gap;
+mod injection;
 mod load;
-mod meter;
 mod node;
-mod op;
+mod operation;
 pub mod operator;
 mod overhead;
 mod plan;
 pub mod process;
 pub mod relay;
 mod report;
-mod scene;
+mod sampling;
 mod scrape;
 mod setup;
 mod stats;
@@ -33,38 +33,39 @@
 
 use crate::journal::Run;
 
-use self::load::{Load, Record};
+use self::injection::Injector;
+use self::load::{LoadGenerator, OperationRecord};
 use self::plan::Plan;
-use self::scene::Scene;
 use self::setup::Fleet;
 
 pub use self::error::Error;
+pub use self::fairness::{FairnessGap, fairness_gap, utilisation};
 pub use self::fault::Fault;
 pub use self::flags::{Deployment, Flags, Policy};
-pub use self::gap::{FairnessGap, fairness_gap, utilisation};
-pub use self::meter::Sample;
-pub use self::op::OperationKind;
+pub use self::operation::OperationKind;
 pub use self::report::Report;
+pub use self::sampling::Sample;
 
-/// Faults begin and end after these parts of the load.
-const FAULT_BEGIN: f64 = 0.3;
+/// Start of the faults, as a fraction of the load's duration.
+const FAULT_START: f64 = 0.3;
+/// End of the faults, as a fraction of the load's duration.
 const FAULT_END: f64 = 0.6;
 
-/// Files beside the logs that keep samples and findings.
-const SAMPLES: &str = "samples.json";
-const FINDINGS: &str = "findings.txt";
-/// Findings shown, at most.
-const MOST_SHOWN: usize = 20;
+/// File of the samples, in the directory of the logs.
+const SAMPLES_FILE: &str = "samples.json";
+/// File of the findings, in the directory of the logs.
+const FINDINGS_FILE: &str = "findings.txt";
+/// Maximum number of findings that are printed.
+const MAX_PRINTED_FINDINGS: usize = 20;
 
-/// Makes a run; a signal that ends the launcher ends the run and all it started.
+/// Runs a fleet. SIGINT and SIGTERM stop the fleet and all its processes.
 ///
 /// # Errors
 ///
 /// See [`Error`].
 pub async fn run(flags: Flags) -> Result<Report, Error> {
-    let settings = |error| Error::Settings(error);
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(settings)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(settings)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(Error::Settings)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(Error::Settings)?;
     tokio::select! {
         report = launch(flags) => report,
         _ = interrupt.recv() => Err(Error::Interrupted),
@@ -80,81 +81,84 @@
     let plan = Arc::new(Plan::new(flags));
     let fleet = Arc::new(Fleet::spawn(Arc::clone(&plan), daemon).await?);
     eprintln!("logs in {}", fleet.directory.display());
-    let added = overhead::measure(&fleet).await;
-    let load = Arc::new(Load::new(Arc::clone(&plan), fleet.callers.clone()));
-    let begin = Instant::now();
-    let length = Duration::from_secs(plan.flags.seconds);
-    let end = begin + length;
-    let calls = fleet.kv.stats().total;
+    let added_ms = overhead::measure(&fleet).await;
+    let load = Arc::new(LoadGenerator::new(
+        Arc::clone(&plan),
+        fleet.caller_addresses.clone(),
+    ));
+    let start = Instant::now();
+    let duration = Duration::from_secs(plan.flags.seconds);
+    let end = start + duration;
+    let kv_calls_before = fleet.kv.stats().total;
     load.start(end);
-    let (samples, control, faults, ()) = tokio::join!(
-        meter::watch(Arc::clone(&fleet), Arc::clone(&load), end),
-        scrape::control(Arc::clone(&fleet), end),
-        play(&fleet, &load, begin, length),
-        progress(&load, begin, end),
+    let (samples, control_bytes, violations, ()) = tokio::join!(
+        sampling::sample_until(Arc::clone(&fleet), Arc::clone(&load), end),
+        scrape::control_bytes(Arc::clone(&fleet), end),
+        inject_faults(&fleet, &load, start, duration),
+        print_progress(&load, start, end),
     );
-    let calls = fleet.kv.stats().total - calls;
-    let records = load.finish().await;
-    let drained = end.elapsed();
-    let mut report = report(&plan, &samples, &records, &runs(&fleet));
+    let kv_calls = fleet.kv.stats().total - kv_calls_before;
+    let records = load.stop().await;
+    let drain = end.elapsed();
+    let mut report = build_report(&plan, &samples, &records, &collect_runs(&fleet));
     #[expect(clippy::cast_precision_loss, reason = "counts of a run are small")]
     {
-        let seconds = length.as_secs_f64();
+        let seconds = duration.as_secs_f64();
         let nodes = (fleet.routers.len() + fleet.sidecars.len()) as f64;
-        report.control_bytes_per_node_s = control / nodes / seconds;
-        report.control_bytes_per_request = control / (records.len() as f64).max(1.0);
-        report.kv_calls_per_s = calls as f64 / seconds;
+        report.control_bytes_per_node_s = control_bytes / nodes / seconds;
+        report.control_bytes_per_request = control_bytes / (records.len() as f64).max(1.0);
+        report.kv_calls_per_s = kv_calls as f64 / seconds;
     }
-    report.drain_s = drained.as_secs_f64();
-    [report.added_ms_p50, report.added_ms_p95] = added;
-    report.broken_promises = faults.len();
-    let findings = report.audit.findings.iter().chain(&faults);
-    for finding in findings.clone().take(MOST_SHOWN) {
+    report.drain_s = drain.as_secs_f64();
+    [report.added_ms_p50, report.added_ms_p95] = added_ms;
+    report.broken_promises = violations.len();
+    let findings = report.audit.findings.iter().chain(&violations);
+    for finding in findings.clone().take(MAX_PRINTED_FINDINGS) {
         eprintln!("{finding}");
     }
     let findings = findings.map(|finding| format!("{finding}\n"));
     std::fs::write(
-        fleet.directory.join(FINDINGS),
+        fleet.directory.join(FINDINGS_FILE),
         findings.collect::<Vec<_>>().concat(),
     )
     .ok();
-    let kept = serde_json::to_vec(&samples).expect("samples have a JSON form");
-    std::fs::write(fleet.directory.join(SAMPLES), kept).ok();
+    let samples = serde_json::to_vec(&samples).expect("samples can be encoded as JSON");
+    std::fs::write(fleet.directory.join(SAMPLES_FILE), samples).ok();
     if report.is_clean() && !plan.flags.keep {
         std::fs::remove_dir_all(&fleet.directory).ok();
     }
     Ok(report)
 }
 
-/// Brings every fault about at once; tells the promises that were not kept.
-async fn play(
+/// Injects all faults at the same time and returns the violations of guarantees.
+async fn inject_faults(
     fleet: &Arc<Fleet>,
-    load: &Arc<Load>,
-    begin: Instant,
-    length: Duration,
+    load: &Arc<LoadGenerator>,
+    start: Instant,
+    duration: Duration,
 ) -> Vec<String> {
     let faults = &fleet.plan.flags.fault;
     if faults.is_empty() {
         return Vec::new();
     }
-    sleep_until(begin + length.mul_f64(FAULT_BEGIN)).await;
-    let scene = Scene {
+    sleep_until(start + duration.mul_f64(FAULT_START)).await;
+    let injector = Injector {
         fleet: Arc::clone(fleet),
         load: Arc::clone(load),
-        until: begin + length.mul_f64(FAULT_END),
+        until: start + duration.mul_f64(FAULT_END),
     };
-    let played = faults.iter().map(|fault| scene.clone().play(*fault));
-    futures::future::join_all(played).await.concat()
+    let injections = faults.iter().map(|fault| injector.clone().inject(*fault));
+    futures::future::join_all(injections).await.concat()
 }
 
-/// Shows progress on a terminal.
-async fn progress(load: &Load, begin: Instant, end: Instant) {
+/// Prints progress if standard error is a terminal.
+async fn print_progress(load: &LoadGenerator, start: Instant, end: Instant) {
     let mut ticks = interval(Duration::from_secs(1));
     while Instant::now() < end {
         ticks.tick().await;
         if io::stderr().is_terminal() {
-            let seconds = begin.elapsed().as_secs();
-            eprint!("\r{seconds} s, {} settled ", load.settled());
+            let seconds = start.elapsed().as_secs();
+            eprint!("\r{seconds} s, {} completed ", load.completed());
             io::stderr().flush().ok();
         }
     }
@@ -163,7 +167,7 @@
     }
 }
 
-fn runs(fleet: &Fleet) -> Vec<Run> {
+fn collect_runs(fleet: &Fleet) -> Vec<Run> {
     let engines = fleet.engines.iter().map(|engine| engine.journal().runs());
     let services = fleet
         .services
@@ -172,18 +176,23 @@
     engines.chain(services).flatten().collect()
 }
 
-fn report(plan: &Plan, samples: &[Sample], records: &[Record], runs: &[Run]) -> Report {
+fn build_report(
+    plan: &Plan,
+    samples: &[Sample],
+    records: &[OperationRecord],
+    runs: &[Run],
+) -> Report {
     let shares: Vec<u32> = plan
         .customers
         .iter()
         .map(|customer| customer.share)
         .collect();
-    let gap = gap::fairness_gap(samples, &shares);
+    let gap = fairness::fairness_gap(samples, &shares);
     let faults = plan.flags.fault.iter();
     let audit = audit::audit(records, runs);
-    let may_cut = faults.clone().any(|fault| fault.cuts());
+    let may_interrupt = faults.clone().any(|fault| fault.may_interrupt_responses());
     Report {
-        cut_off: if may_cut { 0 } else { audit.unknown },
+        cut_off: if may_interrupt { 0 } else { audit.unknown },
         audit,
         broken_promises: 0,
         fairness_gap: gap.fraction,
@@ -191,31 +200,31 @@
         fairness_gap_5s: gap.fraction_5s,
         fairness_gap_window_s: gap.seconds,
         backlogged: gap.backlogged,
-        recovery_s: recovery(plan, samples, &shares),
-        utilisation: gap::utilisation(samples),
+        recovery_s: recovery_seconds(plan, samples, &shares),
+        utilisation: fairness::utilisation(samples),
         control_bytes_per_node_s: 0.0,
         control_bytes_per_request: 0.0,
         kv_calls_per_s: 0.0,
-        first_token_ms_p50: report::first_token(records, 0.5),
-        first_token_ms_p95: report::first_token(records, 0.95),
+        first_token_ms_p50: report::first_token_ms(records, 0.5),
+        first_token_ms_p95: report::first_token_ms(records, 0.95),
         drain_s: 0.0,
-        longest_ms: report::longest(records),
+        longest_ms: report::max_duration_ms(records),
         added_ms_p50: 0.0,
         added_ms_p95: 0.0,
-        policy: plan.flags.policy.word(),
-        faults: faults.map(|fault| fault.word()).collect(),
+        policy: plan.flags.policy.name(),
+        faults: faults.map(|fault| fault.name()).collect(),
         seed: plan.flags.seed,
     }
 }
 
-/// Seconds after the faults until the gap is as before.
-fn recovery(plan: &Plan, samples: &[Sample], shares: &[u32]) -> Option<usize> {
+/// Seconds from the end of the faults until the fairness gap is no larger than before them.
+fn recovery_seconds(plan: &Plan, samples: &[Sample], shares: &[u32]) -> Option<usize> {
     if plan.flags.fault.is_empty() {
         return None;
     }
-    let second = |part: f64| {
-        let length = Duration::from_secs(plan.flags.seconds);
-        usize::try_from(length.mul_f64(part).as_secs()).ok()
+    let second = |fraction: f64| {
+        let duration = Duration::from_secs(plan.flags.seconds);
+        usize::try_from(duration.mul_f64(fraction).as_secs()).ok()
     };
-    gap::recovery(samples, shares, second(FAULT_BEGIN)?, second(FAULT_END)?)
+    fairness::recovery_seconds(samples, shares, second(FAULT_START)?, second(FAULT_END)?)
 }
--- a/crates/standin/src/fleet/audit.rs
+++ b/crates/standin/src/fleet/audit.rs
@@ -1,4 +1,4 @@
-//! Comparison of what callers hold with what engines and services ran.
+//! Compares the outcomes that callers saw with the runs that engines and services recorded.
 
 use std::collections::HashMap;
 
@@ -7,59 +7,60 @@
 use crate::journal::{Run, Stage};
 
 use super::call::{Call, CallOutcome};
-use super::load::Record;
+use super::load::OperationRecord;
 
-/// Findings kept one by one, at most.
-const MOST_KEPT: usize = 200;
+/// Maximum number of findings that are kept.
+const MAX_FINDINGS: usize = 200;
 
-/// Counts of a run; all after `unknown` should be 0 but `reruns`.
+/// Counts of operations by outcome and of violations. All fields after `unknown` except `reruns`
+/// should be 0.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Audit {
-    /// Whole answers held by callers.
+    /// Operations with a complete response.
     pub(crate) answered: usize,
-    /// Given up after every attempt was told not to have run.
+    /// Operations abandoned after the last attempt did not run.
     pub(crate) refused: usize,
-    /// Attempts that were told not to have run.
+    /// Attempts reported as not run.
     pub(crate) refusals: usize,
-    /// Told to have run, without the answer.
+    /// Operations reported as run, without the result.
     pub(crate) told_ran: usize,
-    /// Ended without knowledge.
+    /// Operations with an unknown outcome.
     pub(crate) unknown: usize,
-    /// No end at all, or an end whose run nobody made.
+    /// Operations that timed out, or were reported as complete or run without a run.
     pub(crate) lost: usize,
-    /// Work that must run once and ran more often.
+    /// At-most-once operations that ran more than once.
     pub(crate) doubled: usize,
-    /// Answers with something of another's.
+    /// Responses with data of another request.
     pub(crate) crossed: usize,
-    /// Answers that pass for whole and are not.
+    /// Incomplete responses that ended without an error.
     pub(crate) truncated: usize,
-    /// Told not to have run, and had run.
+    /// Operations reported as not run that had run.
     pub(crate) false_not_run: usize,
-    /// Repeatable work that ran more than once under one attempt.
+    /// Repeatable operations of which one attempt ran more than once.
     pub(crate) reruns: usize,
-    /// What was found, for people.
+    /// Descriptions of the violations and of unknown outcomes.
     #[serde(skip)]
     pub(crate) findings: Vec<String>,
 }
 
-/// Compares.
-pub(crate) fn audit(records: &[Record], runs: &[Run]) -> Audit {
-    let mut by_op: HashMap<&str, Vec<&Run>> = HashMap::new();
+/// Compares all operations with the runs.
+pub(crate) fn audit(records: &[OperationRecord], runs: &[Run]) -> Audit {
+    let mut runs_by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in runs {
-        by_op.entry(&run.op).or_default().push(run);
+        runs_by_id.entry(&run.op).or_default().push(run);
     }
     let mut audit = Audit::default();
     for record in records {
-        audit.take(record, &by_op);
+        audit.add(record, &runs_by_id);
     }
     audit
 }
 
 impl Audit {
-    fn take(&mut self, record: &Record, by_op: &HashMap<&str, Vec<&Run>>) {
+    fn add(&mut self, record: &OperationRecord, runs_by_id: &HashMap<&str, Vec<&Run>>) {
         let runs = |call: &Call| {
-            by_op
-                .get(call.attempt.as_str())
+            runs_by_id
+                .get(call.attempt_id.as_str())
                 .cloned()
                 .unwrap_or_default()
         };
@@ -67,87 +68,101 @@
         let Some(last) = record.calls.last() else {
             return;
         };
-        let whole = runs(last).iter().any(|run| run.stage == Stage::Complete);
-        match record.end() {
-            CallOutcome::Complete if whole => self.answered += 1,
+        let is_complete = runs(last).iter().any(|run| run.stage == Stage::Complete);
+        match record.outcome() {
+            CallOutcome::Complete if is_complete => self.answered += 1,
             CallOutcome::Complete => {
-                self.find(|audit| &mut audit.lost, "answered without a run", record);
+                self.add_finding(|audit| &mut audit.lost, "complete without a run", record);
             }
             CallOutcome::NotRun => self.refused += 1,
             CallOutcome::Ran if started(last) > 0 => self.told_ran += 1,
             CallOutcome::Ran => {
-                self.find(|audit| &mut audit.lost, "told ran without a run", record);
+                self.add_finding(
+                    |audit| &mut audit.lost,
+                    "reported as run, did not run",
+                    record,
+                );
             }
             CallOutcome::Unknown => {
-                self.find(|audit| &mut audit.unknown, ran(started(last)), record);
+                let description = if started(last) > 0 {
+                    "unknown, ran"
+                } else {
+                    "unknown, did not run"
+                };
+                self.add_finding(|audit| &mut audit.unknown, description, record);
+            }
+            CallOutcome::TimedOut => {
+                self.add_finding(|audit| &mut audit.lost, "timed out", record);
+            }
+            CallOutcome::Truncated => {
+                self.add_finding(|audit| &mut audit.truncated, "truncated", record);
+            }
+            CallOutcome::Mismatched => {
+                self.add_finding(|audit| &mut audit.crossed, "mismatched", record);
             }
-            CallOutcome::TimedOut => self.find(|audit| &mut audit.lost, "never ended", record),
-            CallOutcome::Truncated => self.find(|audit| &mut audit.truncated, "truncated", record),
-            CallOutcome::Mismatched => self.find(|audit| &mut audit.crossed, "crossed", record),
         }
         let refusals = record
             .calls
             .iter()
-            .filter(|call| call.end == CallOutcome::NotRun);
+            .filter(|call| call.outcome == CallOutcome::NotRun);
         self.refusals += refusals.count();
-        self.count_runs(record, started);
+        self.check_runs(record, started);
     }
 
-    fn count_runs(&mut self, record: &Record, started: impl Fn(&Call) -> usize) {
-        let keyed = record.op.keyed;
-        // Attempts with one key are one identity.
-        let identities = if keyed {
+    /// Checks the number of runs, and that attempts reported as not run did not run.
+    fn check_runs(&mut self, record: &OperationRecord, started: impl Fn(&Call) -> usize) {
+        let has_idempotency_key = record.operation.has_idempotency_key;
+        // Attempts with an idempotency key share one ID.
+        let attempts = if has_idempotency_key {
             &record.calls[..1]
         } else {
             &record.calls
         };
-        let most = identities.iter().map(&started).max().unwrap_or(0);
-        let sum: usize = identities.iter().map(&started).sum();
-        if record.op.is_once() && sum > 1 {
-            self.find(|audit| &mut audit.doubled, "ran more than once", record);
-        } else if most > 1 {
+        let max = attempts.iter().map(&started).max().unwrap_or(0);
+        let sum: usize = attempts.iter().map(&started).sum();
+        if record.operation.runs_at_most_once() && sum > 1 {
+            self.add_finding(|audit| &mut audit.doubled, "ran more than once", record);
+        } else if max > 1 {
             self.reruns += 1;
         }
-        let denied = |call: &&Call| call.end == CallOutcome::NotRun;
-        let is_false = if keyed {
-            record.calls.iter().all(|call| denied(&call)) && sum > 0
+        let is_not_run = |call: &&Call| call.outcome == CallOutcome::NotRun;
+        let is_false = if has_idempotency_key {
+            record.calls.iter().all(|call| is_not_run(&call)) && sum > 0
         } else {
             record
                 .calls
                 .iter()
-                .filter(denied)
+                .filter(is_not_run)
                 .any(|call| started(call) > 0)
         };
         if is_false {
-            self.find(
+            self.add_finding(
                 |audit| &mut audit.false_not_run,
-                "told not run, ran",
+                "reported as not run, ran",
                 record,
             );
         }
     }
 
-    fn find(&mut self, count: fn(&mut Self) -> &mut usize, what: &str, record: &Record) {
+    fn add_finding(
+        &mut self,
+        count: fn(&mut Self) -> &mut usize,
+        description: &str,
+        record: &OperationRecord,
+    ) {
         *count(self) += 1;
-        if self.findings.len() >= MOST_KEPT {
+        if self.findings.len() >= MAX_FINDINGS {
             return;
         }
         let calls = record.calls.iter();
         let calls: Vec<String> = calls
-            .map(|call| format!("{} {:?} {}", call.attempt, call.end, call.note))
+            .map(|call| format!("{} {:?} {}", call.attempt_id, call.outcome, call.detail))
             .collect();
-        let op = &record.op;
+        let operation = &record.operation;
         let calls = calls.join("; ");
-        self.findings
-            .push(format!("{what}: {} {:?}: {calls}", op.id, op.work));
-    }
-}
-
-/// What an unknown end turned out to be.
-fn ran(started: usize) -> &'static str {
-    if started > 0 {
-        "unknown, ran"
-    } else {
-        "unknown, had not run"
+        self.findings.push(format!(
+            "{description}: {} {:?}: {calls}",
+            operation.id, operation.kind
+        ));
     }
 }
--- a/crates/standin/src/fleet/call.rs
+++ b/crates/standin/src/fleet/call.rs
@@ -1,4 +1,4 @@
-//! One call of a caller, judged by what the caller holds at its end.
+//! Calls of callers and the classification of their outcomes.
 
 use std::time::Duration;
 
@@ -12,169 +12,171 @@
 use serde_json::Value;
 use tokio::time::{Instant, timeout};
 
-use super::op::OperationKind;
+use super::operation::OperationKind;
 
-/// A client that keeps connections, as callers and operators use it.
+/// HTTP client with a connection pool.
 pub type Client = Pool<HttpConnector, Full<Bytes>>;
 
-/// No call takes longer, since a router gives up after two minutes; one that
-/// does has been lost.
-const LONGEST: Duration = Duration::from_secs(130);
+/// Timeout of a call; longer than the two minutes after which a router gives up.
+const TIMEOUT: Duration = Duration::from_secs(130);
 
-/// What a caller holds at the end of a call.
+/// Outcome of a call as the caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The whole answer to its own request.
+    /// The complete response to the request arrived.
     Complete,
-    /// Told, or sure itself, that the request did not run.
+    /// The response says that the request did not run, or the connection failed.
     NotRun,
-    /// Told that it ran and that the answer is not kept.
+    /// The response says that the request ran but its result is not available.
     Ran,
-    /// Told that nothing is known, or cut off.
+    /// The response says that the outcome is unknown, or it was interrupted.
     Unknown,
-    /// Something that passes for a whole answer and is none.
+    /// The response ended without an error but is incomplete.
     Truncated,
-    /// Something of another's answer.
+    /// The response contains data of another request.
     Mismatched,
-    /// Nothing, until it stopped waiting.
+    /// The call timed out.
     TimedOut,
 }
 
-/// A call and its end.
+/// A call and its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
-    /// Identity of the attempt.
-    pub(crate) attempt: String,
-    pub(crate) end: CallOutcome,
-    /// Time to the first byte of the answer's body.
-    pub(crate) first: Option<Duration>,
-    pub(crate) took: Duration,
-    /// When to come back, as told.
-    pub(crate) retry: Option<Duration>,
-    /// The fleet's name of the request, or what went wrong.
-    pub(crate) note: String,
+    /// ID of the attempt.
+    pub(crate) attempt_id: String,
+    pub(crate) outcome: CallOutcome,
+    /// Time to the first byte of the response body.
+    pub(crate) time_to_first_byte: Option<Duration>,
+    pub(crate) duration: Duration,
+    /// Delay given by the `Retry-After` header.
+    pub(crate) retry_after: Option<Duration>,
+    /// Request ID and error, for findings.
+    pub(crate) detail: String,
 }
 
-/// Opens a client.
+/// Creates a client.
 #[must_use]
 pub fn client() -> Client {
     let mut builder = Pool::builder(TokioExecutor::new());
     builder.pool_timer(TokioTimer::new()).build_http()
 }
 
-/// Makes a call.
-pub(crate) async fn call(
+/// Sends a request and classifies the outcome.
+pub(crate) async fn send(
     client: &Client,
     request: Request<Full<Bytes>>,
-    attempt: String,
-    work: OperationKind,
+    attempt_id: String,
+    kind: OperationKind,
 ) -> Call {
-    let sent = Instant::now();
+    let start = Instant::now();
     let mut call = Call {
-        attempt,
-        end: CallOutcome::TimedOut,
-        first: None,
-        took: LONGEST,
-        retry: None,
-        note: String::new(),
+        attempt_id,
+        outcome: CallOutcome::TimedOut,
+        time_to_first_byte: None,
+        duration: TIMEOUT,
+        retry_after: None,
+        detail: String::new(),
     };
-    let making = make(client, request, work, sent, &mut call);
-    if let Ok(end) = timeout(LONGEST, making).await {
-        call.end = end;
-        call.took = sent.elapsed();
+    let exchange = exchange(client, request, kind, start, &mut call);
+    if let Ok(outcome) = timeout(TIMEOUT, exchange).await {
+        call.outcome = outcome;
+        call.duration = start.elapsed();
     }
     call
 }
 
-async fn make(
+async fn exchange(
     client: &Client,
     request: Request<Full<Bytes>>,
-    work: OperationKind,
-    sent: Instant,
+    kind: OperationKind,
+    start: Instant,
     call: &mut Call,
 ) -> CallOutcome {
-    let answer = match client.request(request).await {
-        Ok(answer) => answer,
+    let response = match client.request(request).await {
+        Ok(response) => response,
         Err(error) => {
-            call.note = format!("{error:?}");
-            let unsent = error.is_connect();
-            return if unsent {
+            call.detail = format!("{error:?}");
+            return if error.is_connect() {
                 CallOutcome::NotRun
             } else {
                 CallOutcome::Unknown
             };
         }
     };
-    call.note = header(&answer, "x-request-id").unwrap_or_default();
-    if answer.status() != StatusCode::OK {
-        let retry = header(&answer, "retry-after").and_then(|text| text.parse().ok());
-        call.retry = retry.map(Duration::from_secs);
-        let outcome = header(&answer, "x-outcome");
-        let status = answer.status();
-        let body = answer.into_body().collect().await;
+    call.detail = header(&response, "x-request-id").unwrap_or_default();
+    if response.status() != StatusCode::OK {
+        let retry_after = header(&response, "retry-after").and_then(|text| text.parse().ok());
+        call.retry_after = retry_after.map(Duration::from_secs);
+        let outcome = header(&response, "x-outcome");
+        let status = response.status();
+        let body = response.into_body().collect().await;
         let body = body.map(Collected::to_bytes).unwrap_or_default();
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
         let code = &body["error"]["code"];
-        call.note = format!("{} {status} {outcome:?} {code}", call.note);
+        call.detail = format!("{} {status} {outcome:?} {code}", call.detail);
         return match outcome.as_deref() {
             Some("not-run") => CallOutcome::NotRun,
             Some("ran") => CallOutcome::Ran,
             _ => CallOutcome::Unknown,
         };
     }
-    let mut body = answer.into_body();
-    let Some(bytes) = read(&mut body, sent, &mut call.first).await else {
-        call.note += " broken off";
+    let mut body = response.into_body();
+    let Some(bytes) = read_body(&mut body, start, &mut call.time_to_first_byte).await else {
+        call.detail += " interrupted";
         return CallOutcome::Unknown;
     };
-    classify_body(&bytes, &call.attempt, work)
+    classify_body(&bytes, &call.attempt_id, kind)
 }
 
-fn header(answer: &Response<Incoming>, name: &str) -> Option<String> {
-    let value = answer.headers().get(name)?.to_str().ok()?;
+fn header(response: &Response<Incoming>, name: &str) -> Option<String> {
+    let value = response.headers().get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
-/// Reads a body; `None` when it breaks off.
-async fn read(body: &mut Incoming, sent: Instant, first: &mut Option<Duration>) -> Option<Vec<u8>> {
+/// Reads a body; returns `None` if it is interrupted.
+async fn read_body(
+    body: &mut Incoming,
+    start: Instant,
+    time_to_first_byte: &mut Option<Duration>,
+) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        first.get_or_insert_with(|| sent.elapsed());
+        time_to_first_byte.get_or_insert_with(|| start.elapsed());
         bytes.extend_from_slice(&data);
     }
     Some(bytes)
 }
 
-/// Compares a body that ended well with the answer that is due.
+/// Compares a body that ended without an error with the expected one.
 #[must_use]
-pub fn classify_body(bytes: &[u8], attempt: &str, work: OperationKind) -> CallOutcome {
+pub fn classify_body(bytes: &[u8], attempt_id: &str, kind: OperationKind) -> CallOutcome {
     let text = String::from_utf8_lossy(bytes);
-    match work {
+    match kind {
         OperationKind::Booking => {
-            let answer: Value = serde_json::from_str(&text).unwrap_or_default();
-            match answer["op"].as_str() {
-                Some(op) if op == attempt => CallOutcome::Complete,
+            let response: Value = serde_json::from_str(&text).unwrap_or_default();
+            match response["op"].as_str() {
+                Some(op) if op == attempt_id => CallOutcome::Complete,
                 Some(_) => CallOutcome::Mismatched,
                 None => CallOutcome::Truncated,
             }
         }
         OperationKind::Chat { tokens, streamed } => {
-            let due = (0..tokens).map(|token| format!("{attempt}:{token} "));
-            let due = due.collect::<Vec<_>>().concat();
-            let (held, done) = if streamed {
-                events(&text)
+            let expected = (0..tokens).map(|token| format!("{attempt_id}:{token} "));
+            let expected = expected.collect::<Vec<_>>().concat();
+            let (actual, is_done) = if streamed {
+                parse_events(&text)
             } else {
-                let answer: Value = serde_json::from_str(&text).unwrap_or_default();
-                let content = answer["choices"][0]["message"]["content"].as_str();
+                let response: Value = serde_json::from_str(&text).unwrap_or_default();
+                let content = response["choices"][0]["message"]["content"].as_str();
                 (content.unwrap_or_default().to_owned(), true)
             };
-            if held == due && done {
+            if actual == expected && is_done {
                 return CallOutcome::Complete;
             }
-            if due.starts_with(&held) {
+            if expected.starts_with(&actual) {
                 CallOutcome::Truncated
             } else {
                 CallOutcome::Mismatched
@@ -183,16 +185,16 @@
     }
 }
 
-/// The text of server-sent events, and whether the last one says that it is all.
-fn events(text: &str) -> (String, bool) {
-    let mut held = String::new();
+/// Returns the text of server-sent events and whether they end with `[DONE]`.
+fn parse_events(text: &str) -> (String, bool) {
+    let mut content = String::new();
     for data in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if data == "[DONE]" {
-            return (held, true);
+            return (content, true);
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
-        let content = event["choices"][0]["delta"]["content"].as_str();
-        held.push_str(content.unwrap_or_default());
+        let delta = event["choices"][0]["delta"]["content"].as_str();
+        content.push_str(delta.unwrap_or_default());
     }
-    (held, false)
+    (content, false)
 }
--- a/crates/standin/src/fleet/fault.rs
+++ b/crates/standin/src/fleet/fault.rs
@@ -1,47 +1,47 @@
-//! Faults by name.
+//! Faults that the launcher injects.
 
 use std::str::FromStr;
 
-/// A fault.
+/// A fault to inject during the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A router is killed and later started again.
     RouterKill,
-    /// A sidecar of an engine and one of a service are killed and started again.
+    /// The sidecars of an engine and of a service are killed and later started again.
     SidecarKill,
-    /// Such two are frozen and wake later.
+    /// The sidecars of an engine and of a service are suspended and later resumed.
     SidecarFreeze,
-    /// Half of the routers are cut off from the other half.
+    /// The two groups of routers cannot connect to each other.
     RouterPartition,
-    /// The key-value service is down.
+    /// The key-value service is unavailable.
     KvOutage,
-    /// Answers of the key-value service are lost after writes took effect.
-    KvLostAnswer,
-    /// Leases lapse while a sidecar is paused.
-    LeaseLapse,
-    /// Two operators change one customer at the same moment.
+    /// The key-value service applies writes without sending a response.
+    KvLostResponse,
+    /// Leases expire while sidecars are suspended.
+    LeaseExpiry,
+    /// Two operators change a customer concurrently.
     OperatorRace,
-    /// A customer asks for twenty times its portion.
+    /// A customer sends twenty times the rate that would use its share of the slots.
     Flood,
     /// An operator drains a server.
     ServerDrain,
-    /// A router is stopped as planned.
+    /// A router is shut down gracefully and later started again.
     RouterStop,
-    /// Sidecars are stopped as planned and started again.
+    /// The sidecars of an engine and of a service are shut down gracefully and restarted.
     SidecarRestart,
-    /// Links between the halves of the routers break again and again.
+    /// Connections between the two groups of routers are closed repeatedly.
     ExchangeLoss,
 }
 
-/// Every fault and its word.
-const WORDS: [(Fault, &str); 13] = [
+/// Names of the faults on the command line.
+const NAMES: [(Fault, &str); 13] = [
     (Fault::RouterKill, "router-kill"),
     (Fault::SidecarKill, "sidecar-kill"),
     (Fault::SidecarFreeze, "sidecar-freeze"),
     (Fault::RouterPartition, "router-partition"),
     (Fault::KvOutage, "kv-outage"),
-    (Fault::KvLostAnswer, "kv-lost-answer"),
-    (Fault::LeaseLapse, "lease-lapse"),
+    (Fault::KvLostResponse, "kv-lost-answer"),
+    (Fault::LeaseExpiry, "lease-lapse"),
     (Fault::OperatorRace, "operator-race"),
     (Fault::Flood, "flood"),
     (Fault::ServerDrain, "server-drain"),
@@ -51,19 +51,19 @@
 ];
 
 impl Fault {
-    /// The word of the flag.
-    pub(crate) fn word(self) -> &'static str {
-        let known = WORDS.iter().find(|(fault, _)| *fault == self);
-        known.map_or("", |(_, word)| word)
+    /// Name on the command line.
+    pub(crate) fn name(self) -> &'static str {
+        let entry = NAMES.iter().find(|(fault, _)| *fault == self);
+        entry.map_or("", |(_, name)| name)
     }
 
-    /// Whether it may cut answers off; other faults must not.
-    pub(crate) const fn cuts(self) -> bool {
+    /// Whether the fault may interrupt responses.
+    pub(crate) const fn may_interrupt_responses(self) -> bool {
         match self {
-            Self::RouterKill | Self::SidecarKill | Self::SidecarFreeze | Self::LeaseLapse => true,
+            Self::RouterKill | Self::SidecarKill | Self::SidecarFreeze | Self::LeaseExpiry => true,
             Self::RouterPartition
             | Self::KvOutage
-            | Self::KvLostAnswer
+            | Self::KvLostResponse
             | Self::OperatorRace
             | Self::Flood
             | Self::ServerDrain
@@ -77,11 +77,11 @@
 impl FromStr for Fault {
     type Err = String;
 
-    fn from_str(word: &str) -> Result<Self, String> {
-        let known = WORDS.iter().find(|(_, known)| *known == word);
-        let allowed = || WORDS.map(|(_, word)| word).join(", ");
-        known
+    fn from_str(name: &str) -> Result<Self, String> {
+        let entry = NAMES.iter().find(|(_, known)| *known == name);
+        let names = || NAMES.map(|(_, name)| name).join(", ");
+        entry
             .map(|(fault, _)| *fault)
-            .ok_or_else(|| format!("allowed are {}", allowed()))
+            .ok_or_else(|| format!("expected one of {}", names()))
     }
 }
--- a/crates/standin/src/fleet/node.rs
+++ b/crates/standin/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes, and the VM list that they see.
+//! Addresses and settings of the processes, and the VM list.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use super::process::ReservedPorts;
 use super::relay::Relay;
 
-/// Calls that a plain service runs at once.
+/// Number of calls that a plain service runs concurrently.
 const SERVICE_SLOTS: usize = 8;
 
-/// Ports of one process.
+/// Name, zone and addresses of a process.
 pub(crate) struct Node {
     pub(crate) name: String,
     pub(crate) zone: &'static str,
@@ -52,27 +52,41 @@
 }
 
 impl Plan {
-    pub(crate) fn server(&self, index: usize) -> String {
-        let (pool, _) = self.pool(index);
+    /// Name of a server.
+    pub(crate) fn server_name(&self, index: usize) -> String {
+        let (pool, _) = self.pool_and_slots(index);
         format!("{pool}-{index}")
     }
 
-    /// Pool and slots of a server.
-    pub(crate) fn pool(&self, index: usize) -> (&'static str, usize) {
-        if index < self.models {
-            (self.model, self.flags.slots)
+    /// Pool and number of slots of a server.
+    pub(crate) fn pool_and_slots(&self, index: usize) -> (&'static str, usize) {
+        if index < self.model_servers {
+            (self.model_pool, self.flags.slots)
         } else {
-            (self.service, SERVICE_SLOTS)
+            (self.service_pool, SERVICE_SLOTS)
         }
     }
 }
 
-/// The VM list as one half of the routers sees it.
-pub(crate) fn list(routers: &[Node], servers: &[Node], relays: &[Relay], half: usize) -> Vec<Vm> {
+/// Builds the VM list for a group of routers, in which routers of the other group have the address
+/// of their relay.
+pub(crate) fn vm_list(
+    routers: &[Node],
+    servers: &[Node],
+    relays: &[Relay],
+    group: usize,
+) -> Vec<Vm> {
     let routers = routers.iter().zip(relays).enumerate();
     let routers = routers.map(|(index, (node, relay))| {
-        let own = index % 2 == half;
-        node.vm(Role::Router, if own { node.control } else { relay.address })
+        let is_same_group = index % 2 == group;
+        node.vm(
+            Role::Router,
+            if is_same_group {
+                node.control
+            } else {
+                relay.address
+            },
+        )
     });
     let servers = servers
         .iter()
@@ -80,7 +94,7 @@
     routers.chain(servers).collect()
 }
 
-pub(crate) fn router(plan: &Plan, node: &Node, kv: SocketAddr, vms: SocketAddr) -> Value {
+pub(crate) fn router_settings(plan: &Plan, node: &Node, kv: SocketAddr, vms: SocketAddr) -> Value {
     json!({
         "name": node.name,
         "zone": node.zone,
@@ -92,29 +106,29 @@
         "operator_keys": [{"name": "launcher", "key": KeyHash::of(operator::KEY)}],
         "limits": {"subset": plan.flags.subset},
         "exchange_ms": plan.flags.exchange_ms,
-        "policy": plan.flags.policy.word(),
+        "policy": plan.flags.policy.name(),
     })
 }
 
-pub(crate) fn sidecar(
+pub(crate) fn sidecar_settings(
     plan: &Plan,
     node: &Node,
     index: usize,
     backend: SocketAddr,
     kv: SocketAddr,
 ) -> Value {
-    let (pool, slots) = plan.pool(index);
+    let (pool, slots) = plan.pool_and_slots(index);
     json!({
         "name": node.name,
         "zone": node.zone,
         "pool": pool,
-        "kind": if index < plan.models { "model" } else { "service" },
+        "kind": if index < plan.model_servers { "model" } else { "service" },
         "control": node.control,
         "data": node.data,
         "status": node.status,
         "backend": backend,
         "slots": slots,
         "kv": [kv],
-        "policy": plan.flags.policy.word(),
+        "policy": plan.flags.policy.name(),
     })
 }
--- a/crates/standin/src/fleet/scrape.rs
+++ b/crates/standin/src/fleet/scrape.rs
@@ -1,4 +1,4 @@
-//! Reading of the processes' own counters.
+//! Scrapes the metrics of the processes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,35 +13,35 @@
 use super::call::Client;
 use super::setup::Fleet;
 
-/// Time between two readings of a process.
-const STEP: Duration = Duration::from_secs(1);
-/// Longest time of a reading.
-const LONGEST: Duration = Duration::from_millis(800);
-/// Counters of control traffic, and the label of bytes sent: what one process
-/// sends another receives.
-const CONTROL: &str = "control_bytes_total";
-const SENT: &str = "way=\"out\"";
+/// Interval between scrapes.
+const INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a request and of reading its response.
+const TIMEOUT: Duration = Duration::from_millis(800);
+/// Name of the counter of control traffic, without its prefix.
+const CONTROL_BYTES_METRIC: &str = "control_bytes_total";
+/// Label of sent bytes. Received bytes are skipped, since another process counts them as sent.
+const SENT_LABEL: &str = "way=\"out\"";
 
-/// Reads a path; `None` unless the answer is OK.
+/// Sends a GET request; returns the body if the status is a success.
 pub(crate) async fn get(client: &Client, address: SocketAddr, path: &str) -> Option<String> {
     let request = Request::get(format!("http://{address}{path}"));
     let request = request.body(Full::new(Bytes::new())).ok()?;
-    let answer = timeout(LONGEST, client.request(request)).await.ok()?.ok()?;
-    if !answer.status().is_success() {
+    let response = timeout(TIMEOUT, client.request(request)).await.ok()?.ok()?;
+    if !response.status().is_success() {
         return None;
     }
-    let body = timeout(LONGEST, answer.into_body().collect())
+    let body = timeout(TIMEOUT, response.into_body().collect())
         .await
         .ok()?
         .ok()?;
     String::from_utf8(body.to_bytes().to_vec()).ok()
 }
 
-/// Sums control bytes of every process until an instant, over restarts.
-pub(crate) async fn control(fleet: Arc<Fleet>, until: Instant) -> f64 {
+/// Sums the control bytes sent by all processes until an instant, including restarted processes.
+pub(crate) async fn control_bytes(fleet: Arc<Fleet>, until: Instant) -> f64 {
     let mut last: HashMap<&str, f64> = HashMap::new();
     let mut total = 0.0;
-    let mut ticks = interval(STEP);
+    let mut ticks = interval(INTERVAL);
     let mut is_first = true;
     while Instant::now() < until {
         ticks.tick().await;
@@ -49,21 +49,26 @@
             let Some(text) = get(&fleet.client, process.status, "/metrics").await else {
                 continue;
             };
-            let now = sent(&text);
-            let before = last.insert(&process.name, now).unwrap_or(0.0);
-            // A process that has begun again counts from 0.
-            let grown = if now < before { now } else { now - before };
-            total += if is_first { 0.0 } else { grown };
+            let current = sent_control_bytes(&text);
+            let previous = last.insert(&process.name, current).unwrap_or(0.0);
+            // The counters of a restarted process start at 0.
+            let increase = if current < previous {
+                current
+            } else {
+                current - previous
+            };
+            total += if is_first { 0.0 } else { increase };
         }
         is_first = false;
     }
     total
 }
 
-/// Control bytes that a process has sent.
-fn sent(metrics: &str) -> f64 {
+/// Sums the counters of sent control bytes.
+fn sent_control_bytes(metrics: &str) -> f64 {
     let lines = metrics.lines().filter(|line| !line.starts_with('#'));
-    let sent = lines.filter(|line| line.contains(CONTROL) && line.contains(SENT));
+    let sent =
+        lines.filter(|line| line.contains(CONTROL_BYTES_METRIC) && line.contains(SENT_LABEL));
     let values = sent.filter_map(|line| line.rsplit_once(' ')?.1.parse::<f64>().ok());
     values.sum()
 }
