--- a/crates/standin/tests/fleet/world.rs
+++ b/crates/standin/tests/fleet/environment.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-ins and the routers of a test.
+//! Stand-ins of the platform, and routers that use them.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -16,52 +16,53 @@
 
 pub const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Longest time that anything may take.
-const LIMIT: Duration = Duration::from_mins(1);
+/// An address on which nothing listens.
+const UNREACHABLE: &str = "127.0.0.1:1";
 
-/// The platform's stand-ins.
-pub struct World {
+const TIMEOUT: Duration = Duration::from_mins(1);
+
+/// Stand-ins of the platform.
+pub struct Environment {
     pub kv: Handle,
     pub vms: vms::Handle,
     pub client: Etcd,
 }
 
-/// A router's knowledge of the fleet, and its log.
+/// The fleet state of a router, and its log.
 pub struct Router {
     pub fleet: Arc<Fleet>,
     pub log: Log,
 }
 
-/// Fails a test that waits too long.
-pub async fn limit<T>(wait: impl Future<Output = T>) -> T {
-    let ended = tokio::time::timeout(LIMIT, wait).await;
-    ended.expect("the test waits too long")
+/// Waits for a future; panics after [`TIMEOUT`].
+pub async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
+    let result = tokio::time::timeout(TIMEOUT, future).await;
+    result.expect("the operation completes within the timeout")
 }
 
-impl World {
-    pub async fn open() -> Self {
+impl Environment {
+    pub async fn spawn() -> Self {
         let kv = Store::bind(LOOPBACK).await.unwrap();
         let vms = vms::List::bind(LOOPBACK, Vec::new()).await.unwrap();
         let client = Etcd::new(vec![kv.address()], Options::default());
         Self { kv, vms, client }
     }
 
-    /// Starts a router of a zone and enters it in the VM list.
-    pub async fn router(&self, name: &str, zone: &str) -> Router {
-        let nowhere = "127.0.0.1:1";
+    /// Starts a router and adds it to the VM list.
+    pub async fn spawn_router(&self, name: &str, zone: &str) -> Router {
         let settings = json!({
-            "name": name, "zone": zone, "callers": nowhere, "operators": nowhere,
+            "name": name, "zone": zone, "callers": UNREACHABLE, "operators": UNREACHABLE,
             "control": LOOPBACK, "kv": [self.kv.address()], "vms": self.vms.address(),
             "prefix": "/test/", "exchange_ms": 20,
         });
         let settings = Arc::new(serde_json::from_value(settings).unwrap());
-        let log = Log::open();
+        let log = Log::new();
         let fleet = Fleet::spawn(settings, log.logger()).await.unwrap();
-        self.list(name, zone, Role::Router, fleet.control());
+        self.add_vm(name, zone, Role::Router, fleet.control());
         Router { fleet, log }
     }
 
-    pub fn list(&self, name: &str, zone: &str, role: Role, control: SocketAddr) {
+    pub fn add_vm(&self, name: &str, zone: &str, role: Role, control: SocketAddr) {
         let vm = Vm {
             name: name.to_owned(),
             role,
@@ -76,27 +77,28 @@
         });
     }
 
-    pub fn outage(&self, outage: bool) {
+    pub fn set_kv_outage(&self, outage: bool) {
         self.kv.set_faults(&Faults {
             outage: Some(outage),
             ..Faults::default()
         });
     }
 
-    pub fn order(&self, order: Action) {
+    pub fn execute_kv_action(&self, action: Action) {
         self.kv.set_faults(&Faults {
-            once: vec![order],
+            once: vec![action],
             ..Faults::default()
         });
     }
 
-    /// Accepts a pool into the configuration.
-    pub async fn accept(&self, name: &str) -> Revision {
+    /// Writes the configuration of a pool.
+    pub async fn put_pool(&self, name: &str) -> Revision {
         self.put(name, value(name)).await
     }
 
+    /// Writes a value under the key of a pool.
     pub async fn put(&self, name: &str, value: Vec<u8>) -> Revision {
-        // A new connection, since a test may have cut the others.
+        // A new client, since the test may have closed the other connections.
         let client = Etcd::new(vec![self.kv.address()], Options::default());
         put(&client, name, Some(value)).await
     }
@@ -107,11 +109,11 @@
     let key = format!("/test/config/pool/{name}");
     match client.swap(&key, Expect::Any, value, None).await.unwrap() {
         Swap::Done(revision) => revision,
-        Swap::Conflict(_) => panic!("conflict without a condition"),
+        Swap::Conflict(_) => panic!("conflict without a precondition"),
     }
 }
 
-/// The configured value of a pool.
+/// Configuration value of a pool.
 pub fn value(name: &str) -> Vec<u8> {
     let entry = Entry {
         object: Some(pool(name)),
@@ -129,14 +131,14 @@
 }
 
 impl Router {
-    /// Waits until a revision is in force.
-    pub async fn reach(&self, revision: Revision) {
-        let mut watch = self.fleet.watch();
-        let reached = watch.wait_for(|held| *held >= revision);
-        limit(reached).await.expect("the fleet goes on");
+    /// Waits until a revision is applied.
+    pub async fn wait_for_revision(&self, revision: Revision) {
+        let mut applied = self.fleet.watch();
+        let reached = applied.wait_for(|applied| *applied >= revision);
+        with_timeout(reached).await.expect("the fleet is running");
     }
 
-    /// Names of the pools in force.
+    /// Names of the configured pools.
     pub fn pools(&self) -> Vec<String> {
         let view = self.fleet.view();
         let mut pools: Vec<String> = view.pools().map(|pool| pool.name.clone()).collect();
@@ -144,13 +146,13 @@
         pools
     }
 
-    /// Waits until something holds that no event tells.
-    pub async fn until(&self, holds: impl Fn(&Fleet) -> bool) {
-        let polled = async {
-            while !holds(&self.fleet) {
+    /// Polls until a condition holds.
+    pub async fn wait_until(&self, condition: impl Fn(&Fleet) -> bool) {
+        let poll = async {
+            while !condition(&self.fleet) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        limit(polled).await;
+        with_timeout(poll).await;
     }
 }
--- a/crates/standin/tests/fleet/exchange.rs
+++ b/crates/standin/tests/fleet/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange between routers.
+//! Exchange of usage, membership and outcomes between routers.
 
 use std::collections::BTreeMap;
 use std::pin::Pin;
@@ -13,7 +13,7 @@
 };
 use mulberryyoked::fleet::{Fleet, LocalRequests};
 
-use crate::world::{Router, World, limit};
+use crate::environment::{Environment, Router, with_timeout};
 
 fn usage(customer: u32, tokens: u64) -> Usage {
     Usage {
@@ -23,27 +23,28 @@
     }
 }
 
-/// The sidecar that reports to a router.
+/// Sends usage reports of a sidecar to a router.
 #[derive(Default)]
-struct Sidecar {
+struct Reporter {
     sequence: u64,
-    charged: BTreeMap<u32, u64>,
+    tokens: BTreeMap<u32, u64>,
 }
 
-impl Sidecar {
-    fn charge(&mut self, router: &Router, customer: u32, tokens: u64) {
+impl Reporter {
+    /// Reports additional tokens of a customer.
+    fn report(&mut self, router: &Router, customer: u32, tokens: u64) {
         self.sequence += 1;
-        let charged = self.charged.entry(customer).or_default();
-        *charged += tokens;
+        let total = self.tokens.entry(customer).or_default();
+        *total += tokens;
         let report = Report {
             sequence: self.sequence,
-            usage: vec![usage(customer, *charged)],
+            usage: vec![usage(customer, *total)],
         };
         let incarnation = Incarnation(router.fleet.member().incarnation.0 ^ 1);
+        // A repeated report is not counted again.
         for _ in 0..2 {
-            // A repeat changes nothing.
-            let counted = router.fleet.collect(incarnation, &report);
-            assert_that!(counted, eq(self.sequence));
+            let sequence = router.fleet.collect(incarnation, &report);
+            assert_that!(sequence, eq(self.sequence));
         }
     }
 }
@@ -54,47 +55,47 @@
     totals.next().map_or(0, |total| total.tokens)
 }
 
-async fn three(world: &World) -> Vec<Router> {
+async fn spawn_three(environment: &Environment) -> Vec<Router> {
     let mut routers = Vec::new();
     for name in ["r1", "r2", "r3"] {
-        routers.push(world.router(name, "a").await);
+        routers.push(environment.spawn_router(name, "a").await);
     }
     for router in &routers {
-        router.until(|fleet| fleet.members().len() == 3).await;
+        router.wait_until(|fleet| fleet.members().len() == 3).await;
     }
     routers
 }
 
-/// Waits until every router counts what each other one does: a life that is older
-/// counts from the first word.
-async fn acquaint(routers: &[Router]) -> Vec<Sidecar> {
-    let mut sidecars = Vec::new();
+/// Reports usage to each router until all routers count it, since a router counts the usage of an
+/// older instance only from the first exchange on. Returns the reporters.
+async fn wait_for_exchange(routers: &[Router]) -> Vec<Reporter> {
+    let mut reporters = Vec::new();
     for (customer, router) in (1_000..).zip(routers) {
-        let mut sidecar = Sidecar::default();
+        let mut reporter = Reporter::default();
         let counts = |router: &Router| total(&router.fleet, customer) > 0;
-        let acquainted = async {
+        let exchanged = async {
             while !routers.iter().all(counts) {
-                sidecar.charge(router, customer, 1);
+                reporter.report(router, customer, 1);
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        limit(acquainted).await;
-        sidecars.push(sidecar);
+        with_timeout(exchanged).await;
+        reporters.push(reporter);
     }
-    sidecars
+    reporters
 }
 
 #[tokio::test]
-async fn every_router_learns_the_totals() {
-    let world = World::open().await;
-    let routers = three(&world).await;
-    let mut sidecars = acquaint(&routers).await;
-    for (router, sidecar) in routers.iter().zip(&mut sidecars) {
-        sidecar.charge(router, 7, 100);
-        sidecar.charge(router, 7, 50);
+async fn every_router_gets_the_usage_totals() {
+    let environment = Environment::spawn().await;
+    let routers = spawn_three(&environment).await;
+    let mut reporters = wait_for_exchange(&routers).await;
+    for (router, reporter) in routers.iter().zip(&mut reporters) {
+        reporter.report(router, 7, 100);
+        reporter.report(router, 7, 50);
     }
     for router in &routers {
-        router.until(|fleet| total(fleet, 7) >= 450).await;
+        router.wait_until(|fleet| total(fleet, 7) >= 450).await;
         assert_that!(total(&router.fleet, 7), eq(450));
     }
     for router in &routers {
@@ -103,33 +104,36 @@
 }
 
 #[tokio::test]
-async fn a_restarted_router_counts_from_its_start() {
-    let world = World::open().await;
-    let mut routers = three(&world).await;
-    let mut sidecars = acquaint(&routers).await;
-    sidecars[0].charge(&routers[0], 7, 500);
-    routers[1].until(|fleet| total(fleet, 7) == 500).await;
+async fn a_restarted_router_counts_only_usage_after_its_start() {
+    let environment = Environment::spawn().await;
+    let mut routers = spawn_three(&environment).await;
+    let mut reporters = wait_for_exchange(&routers).await;
+    reporters[0].report(&routers[0], 7, 500);
+    routers[1].wait_until(|fleet| total(fleet, 7) == 500).await;
     let stopped = routers.remove(2);
     stopped.fleet.stop().await;
-    routers.push(world.router("r3", "a").await);
-    acquaint(&routers[2..]).await;
-    let fresh = &routers[2].fleet;
-    let mut charged = 500;
-    while total(fresh, 7) == 0 {
-        sidecars[0].charge(&routers[0], 7, 30);
-        charged += 30;
-        routers[1].until(|fleet| total(fleet, 7) == charged).await;
-    }
-    assert_that!(total(fresh, 7) % 30, eq(0));
-    assert_that!(total(fresh, 7), le(charged - 500));
+    routers.push(environment.spawn_router("r3", "a").await);
+    wait_for_exchange(&routers[2..]).await;
+    let restarted = &routers[2].fleet;
+    let mut tokens = 500;
+    while total(restarted, 7) == 0 {
+        reporters[0].report(&routers[0], 7, 30);
+        tokens += 30;
+        routers[1]
+            .wait_until(|fleet| total(fleet, 7) == tokens)
+            .await;
+    }
+    assert_that!(total(restarted, 7) % 30, eq(0));
+    assert_that!(total(restarted, 7), le(tokens - 500));
     for router in &routers {
         router.fleet.stop().await;
     }
 }
 
-struct Answers;
+/// Reports request 1 as run and all others as not run.
+struct FixedOutcomes;
 
-impl LocalRequests for Answers {
+impl LocalRequests for FixedOutcomes {
     fn outcome(&self, attempt: Attempt) -> Pin<Box<dyn Future<Output = Outcome> + Send + '_>> {
         let ran = attempt.request == 1;
         Box::pin(async move { if ran { Outcome::Ran } else { Outcome::NotRun } })
@@ -141,28 +145,28 @@
 }
 
 #[tokio::test]
-async fn outcomes_and_hints_are_asked_of_peers() {
-    let world = World::open().await;
-    let routers = three(&world).await;
-    routers[2].fleet.set_local_requests(Arc::new(Answers));
+async fn outcomes_and_idle_servers_are_queried_from_peers() {
+    let environment = Environment::spawn().await;
+    let routers = spawn_three(&environment).await;
+    routers[2].fleet.set_local_requests(Arc::new(FixedOutcomes));
     let attempt = |origin, request| Attempt {
         origin,
         request,
         number: 0,
     };
     let origin = routers[2].fleet.member().incarnation;
-    let rows = [
+    let cases = [
         (origin, 1, Outcome::Ran),
         (origin, 2, Outcome::NotRun),
         (Incarnation(3), 1, Outcome::Unknown),
     ];
-    for (origin, request, expected) in rows {
+    for (origin, request, expected) in cases {
         let outcome = routers[0].fleet.outcome(attempt(origin, request)).await;
         assert_that!(outcome, eq(expected));
     }
     routers[2].fleet.set_idle(vec![ServerId(4)]);
     routers[0]
-        .until(|fleet| fleet.idle() == [ServerId(4)])
+        .wait_until(|fleet| fleet.idle() == [ServerId(4)])
         .await;
     for router in &routers {
         router.fleet.stop().await;
@@ -170,15 +174,15 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_is_told_and_no_longer_a_member() {
-    let world = World::open().await;
-    let mut routers = three(&world).await;
-    let gone = routers.remove(1);
-    gone.fleet.stop().await;
-    drop(gone);
+async fn a_stopped_peer_is_logged_and_removed_from_the_members() {
+    let environment = Environment::spawn().await;
+    let mut routers = spawn_three(&environment).await;
+    let stopped = routers.remove(1);
+    stopped.fleet.stop().await;
+    drop(stopped);
     for router in &routers {
-        limit(router.log.wait(Event::PeerDown, 1)).await;
-        router.until(|fleet| fleet.members().len() == 2).await;
+        with_timeout(router.log.wait_for(Event::PeerDown, 1)).await;
+        router.wait_until(|fleet| fleet.members().len() == 2).await;
     }
     for router in &routers {
         router.fleet.stop().await;
@@ -186,35 +190,35 @@
 }
 
 #[tokio::test]
-async fn a_large_fleet_exchanges_in_a_tree() {
+async fn a_large_fleet_exchanges_usage_in_a_tree() {
     const ROUTERS: usize = 27;
-    let world = World::open().await;
+    let environment = Environment::spawn().await;
     let mut routers = Vec::new();
     for index in 0..ROUTERS {
         let zone = format!("z{}", index % 3);
-        routers.push(world.router(&format!("r{index}"), &zone).await);
+        routers.push(environment.spawn_router(&format!("r{index}"), &zone).await);
     }
-    // Every router but the three zones' roots has a parent, most of them no children.
+    // All routers but the roots of the three zones have a parent, and most have no children.
     let is_leaf = |router: &Router| router.fleet.members().len() == 2;
-    let settled = async {
+    let tree_built = async {
         while routers.iter().filter(|router| is_leaf(router)).count() < ROUTERS / 2 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    limit(settled).await;
-    let revision = world.accept("one").await;
+    with_timeout(tree_built).await;
+    let revision = environment.put_pool("one").await;
     for router in &routers {
-        router.reach(revision).await;
+        router.wait_for_revision(revision).await;
     }
-    let mut sidecars = acquaint(&routers[..1]).await;
+    let mut reporters = wait_for_exchange(&routers[..1]).await;
     let counts = |router: &Router| total(&router.fleet, 1_000) > 0;
     while !routers.iter().all(counts) {
-        sidecars[0].charge(&routers[0], 1_000, 1);
+        reporters[0].report(&routers[0], 1_000, 1);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    sidecars[0].charge(&routers[0], 7, 1_000);
+    reporters[0].report(&routers[0], 7, 1_000);
     for router in &routers {
-        router.until(|fleet| total(fleet, 7) >= 1_000).await;
+        router.wait_until(|fleet| total(fleet, 7) >= 1_000).await;
         assert_that!(total(&router.fleet, 7), eq(1_000));
     }
     for router in &routers {
--- a/crates/standin/tests/fleet/log.rs
+++ b/crates/standin/tests/fleet/log.rs
@@ -1,15 +1,15 @@
-//! A log that tests can wait on.
+//! In-memory log that tests can wait on.
 
 use mulberryyoke_event::Event;
 use mulberryyoke_event::slog::{Drain, Logger, Never, OwnedKVList, Record, o};
 use tokio::sync::watch;
 
-/// Texts of the events logged so far.
+/// Messages of the events logged so far.
 #[derive(Clone)]
 pub struct Log(watch::Sender<Vec<String>>);
 
 impl Log {
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self(watch::Sender::new(Vec::new()))
     }
 
@@ -17,19 +17,22 @@
         Logger::root(self.clone(), o!())
     }
 
-    /// How often an event was logged.
+    /// Number of times that an event was logged.
     pub fn count(&self, event: Event) -> usize {
         let texts = self.0.borrow();
         texts.iter().filter(|text| *text == event.text()).count()
     }
 
-    /// Waits until an event was logged a number of times.
-    pub async fn wait(&self, event: Event, count: usize) {
+    /// Waits until an event was logged at least `count` times.
+    pub async fn wait_for(&self, event: Event, count: usize) {
         let mut logged = self.0.subscribe();
-        let enough = |texts: &Vec<String>| {
+        let is_reached = |texts: &Vec<String>| {
             texts.iter().filter(|text| *text == event.text()).count() >= count
         };
-        logged.wait_for(enough).await.expect("the log stays open");
+        logged
+            .wait_for(is_reached)
+            .await
+            .expect("the log holds a sender");
     }
 }
 
--- a/crates/standin/tests/fleet/main.rs
+++ b/crates/standin/tests/fleet/main.rs
@@ -1,7 +1,7 @@
-//! What routers know of the fleet, over real sockets and against the stand-ins.
+//! Fleet state of routers, over real sockets and against the stand-ins.
 
 mod configuration;
+mod environment;
 mod exchange;
 mod log;
 mod sidecar;
-mod world;
--- a/crates/standin/tests/fleet/sidecar.rs
+++ b/crates/standin/tests/fleet/sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar that only remembers configuration.
+//! Sidecar that only serves configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,38 +11,38 @@
 use tarpc::context::Context;
 use tarpc::server::Channel;
 
-use crate::world::LOOPBACK;
+use crate::environment::LOOPBACK;
 
 #[derive(Clone)]
-struct Memory(Arc<Vec<Change>>);
+struct ConfigServer(Arc<Vec<Change>>);
 
-/// Serves some configuration; returns the control port.
+/// Serves these changes and returns the control address.
 pub async fn serve(changes: Vec<Change>) -> SocketAddr {
     let bytes = Arc::new(ByteCounter::default());
     let listener = Listener::bind(LOOPBACK, bytes).await.unwrap();
     let address = listener.address().unwrap();
-    let memory = Memory(Arc::new(changes));
+    let server = ConfigServer(Arc::new(changes));
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let channel = wire::sidecar_channel(stream, listener.bytes());
-            let calls = channel.execute(wire::Sidecar::serve(memory.clone()));
+            let calls = channel.execute(wire::Sidecar::serve(server.clone()));
             tokio::spawn(wire::spawn_calls(calls.boxed()));
         }
     });
     address
 }
 
-impl wire::Sidecar for Memory {
+impl wire::Sidecar for ConfigServer {
     async fn declare(self, _: Context, _: Incarnation, _: bool, _: Vec<Interest>) {}
 
     async fn poll(self, _: Context, _: Poll) -> PollResponse {
-        unreachable!("nobody polls")
+        unreachable!("routers send no polls in these tests")
     }
 
     async fn decline(self, _: Context, _: Vec<u64>) {}
 
     async fn withdraw(self, _: Context, _: Attempt, _: Option<KeyId>) -> Withdrawal {
-        unreachable!("nobody withdraws")
+        unreachable!("routers send no withdrawals in these tests")
     }
 
     async fn outcome(self, _: Context, _: Attempt, _: Option<KeyId>) -> Outcome {
