--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -47,7 +47,7 @@
         .build()
         .map_err(Error::Runtime)?;
     let result = runtime.block_on(dispatch(&session, &command, args.words));
-    result.map_err(|error| told(error, command.json()))
+    result.map_err(|error| format_error(error, command.json()))
 }
 
 async fn dispatch(session: &Session, command: &Command, words: Vec<String>) -> Result<(), Error> {
@@ -85,7 +85,7 @@
 }
 
 fn unexpected() -> Error {
-    Error::Answer("not what was asked for".to_owned())
+    Error::Protocol("unexpected type of output".to_owned())
 }
 
 fn help(args: &Args) -> Error {
@@ -98,19 +98,19 @@
     if args.help {
         Error::Help(text)
     } else {
-        Error::Usage(format!("a command is missing\n\n{text}"))
+        Error::Usage(format!("command missing\n\n{text}"))
     }
 }
 
-/// A refusal in the form that was asked for.
-fn told(error: Error, json: bool) -> Error {
+/// Formats an error of a command as JSON, if requested.
+fn format_error(error: Error, json: bool) -> Error {
     match error {
-        Error::Refused(refusal) if json => {
-            let code = refusal.code;
-            let reply = Response::from(Err(refusal));
-            let text = serde_json::to_string_pretty(&reply).unwrap_or_default();
-            Error::RefusedJson(code, text)
+        Error::Command(error) if json => {
+            let code = error.code;
+            let response = Response::from(Err(error));
+            let text = serde_json::to_string_pretty(&response).unwrap_or_default();
+            Error::CommandJson(code, text)
         }
-        other => other,
+        error => error,
     }
 }
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the client.
+//! Errors of the client.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,83 +8,83 @@
 use mulberryyoke_command::api::{CommandError, ErrorCode};
 use mulberryyoke_settings as settings;
 
-/// Why a command was not done.
+/// Error of a run of the client.
 #[derive(Debug, Display)]
 pub(crate) enum Error {
     /// {0}
     Help(String),
-    /// could not read command line: {0}
+    /// could not parse command line: {0}
     Usage(String),
     /// {0}
     Settings(settings::Error),
-    /// could not read key: {path}: {source}
+    /// could not read bearer key: {path}: {source}
     Key {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// could not read key: give --key-file, or the variable `MULBERRYYOKE_KEY`
+    /// bearer key missing; use --key-file or set `MULBERRYYOKE_KEY`
     NoKey,
     /// could not start runtime: {0}
     Runtime(io::Error),
-    /// could not reach a router: {0}
+    /// could not reach any router: {0}
     Unreachable(String),
-    /// could not understand answer: {0}
-    Answer(String),
+    /// protocol error: {0}
+    Protocol(String),
     /// {0}
-    Refused(CommandError),
+    Command(CommandError),
     /// {1}
-    RefusedJson(ErrorCode, String),
-    /// could not see revision {revision} in force everywhere in time; lagging: {nodes}
+    CommandJson(ErrorCode, String),
+    /// revision {revision} not yet applied by every node; lagging: {nodes}
     Lagging {
-        /// The revision.
+        /// Revision of the change.
         revision: u64,
-        /// Nodes that lag, with what is known of them.
+        /// Lagging nodes and the revisions that they have applied.
         nodes: String,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// The command was refused.
-const REFUSED: u8 = 1;
-/// The command line or the settings are wrong.
-const USAGE: u8 = 2;
-/// Nothing was reached, or the outcome is unknown.
-const UNKNOWN: u8 = 3;
+/// The router rejected the command.
+const EXIT_REJECTED: u8 = 1;
+/// The command line or the settings are invalid.
+const EXIT_USAGE: u8 = 2;
+/// No router was reached, the outcome is unknown, or nodes have not yet applied the change.
+const EXIT_UNCONFIRMED: u8 = 3;
 
 impl Error {
-    /// Prints it: help and JSON to standard output, the rest to standard error.
+    /// Prints help and JSON to standard output, other errors to standard error.
     pub(crate) fn print(&self) {
         match self {
-            Self::Help(text) | Self::RefusedJson(_, text) => println!("{text}"),
+            Self::Help(text) | Self::CommandJson(_, text) => println!("{text}"),
             _ => eprintln!("mulberryyoke: {self}"),
         }
     }
 
-    /// The process's exit code.
+    /// Exit code of the process.
     pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
             Self::Help(_) => ExitCode::SUCCESS,
             Self::Usage(_) | Self::Settings(_) | Self::Key { .. } | Self::NoKey => {
-                ExitCode::from(USAGE)
+                ExitCode::from(EXIT_USAGE)
             }
-            Self::Refused(refusal) => ExitCode::from(refused(refusal.code)),
-            Self::RefusedJson(code, _) => ExitCode::from(refused(*code)),
-            Self::Runtime(_) | Self::Unreachable(_) | Self::Answer(_) | Self::Lagging { .. } => {
-                ExitCode::from(UNKNOWN)
+            Self::Command(error) => ExitCode::from(command_exit_code(error.code)),
+            Self::CommandJson(code, _) => ExitCode::from(command_exit_code(*code)),
+            Self::Runtime(_) | Self::Unreachable(_) | Self::Protocol(_) | Self::Lagging { .. } => {
+                ExitCode::from(EXIT_UNCONFIRMED)
             }
         }
     }
 }
 
-const fn refused(code: ErrorCode) -> u8 {
+const fn command_exit_code(code: ErrorCode) -> u8 {
     match code {
-        ErrorCode::Usage => USAGE,
-        ErrorCode::Unavailable | ErrorCode::Unknown => UNKNOWN,
+        ErrorCode::Usage => EXIT_USAGE,
+        ErrorCode::Unavailable | ErrorCode::Unknown => EXIT_UNCONFIRMED,
         ErrorCode::Denied | ErrorCode::Conflict | ErrorCode::Missing | ErrorCode::Refused => {
-            REFUSED
+            EXIT_REJECTED
         }
     }
 }
--- a/crates/client/src/force.rs
+++ b/crates/client/src/force.rs
@@ -24,7 +24,7 @@
         match session.query(&words).await {
             Ok(Output::Status(status)) if status.nodes.is_empty() => return Ok(()),
             Ok(Output::Status(status)) => lagging = status.nodes,
-            Ok(_) => return Err(Error::Answer("not a status".to_owned())),
+            Ok(_) => return Err(Error::Protocol("expected a status".to_owned())),
             Err(error) if lagging.is_empty() => return Err(error),
             Err(_) => {}
         }
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Refused`] by a router, [`Error::Unreachable`] without an answer.
+    /// [`Error::Command`] by a router, [`Error::Unreachable`] without an answer.
     pub(crate) async fn send(&self, words: &[String]) -> Result<Output, Error> {
         self.ask(words, Some(self.command)).await
     }
@@ -76,7 +76,8 @@
     async fn ask(&self, words: &[String], command: Option<u64>) -> Result<Output, Error> {
         let words = words.to_vec();
         let request = Request { words, command };
-        let body = serde_json::to_vec(&request).map_err(|e| Error::Answer(e.to_string()))?;
+        let body = serde_json::to_vec(&request)
+            .map_err(|e| Error::Protocol(format!("could not serialize request: {e}")))?;
         let body = Bytes::from(body);
         let mut last = None;
         loop {
@@ -88,7 +89,9 @@
                 }
             }
             if Instant::now() + PAUSE >= self.deadline {
-                return Err(last.unwrap_or_else(|| Error::Unreachable("no time left".to_owned())));
+                return Err(
+                    last.unwrap_or_else(|| Error::Unreachable("no router configured".to_owned()))
+                );
             }
             sleep(PAUSE).await;
         }
@@ -96,15 +99,17 @@
 
     async fn post(&self, router: SocketAddr, body: &Bytes) -> Result<Output, Error> {
         let post = http::post(router, &self.key, body.clone());
-        let late = |_| Error::Unreachable(format!("{router}: no answer in time"));
+        let late = |_| Error::Unreachable(format!("{router}: timed out waiting for a response"));
         let bytes = timeout_at(self.deadline.into(), post).await.map_err(late)?;
         let bytes = bytes.map_err(Error::Unreachable)?;
-        let reply: Response =
-            serde_json::from_slice(&bytes).map_err(|e| Error::Answer(e.to_string()))?;
-        match (reply.answer, reply.error) {
-            (Some(answer), _) => Ok(answer),
-            (None, Some(refusal)) => Err(Error::Refused(refusal)),
-            (None, None) => Err(Error::Answer("neither answer nor error".to_owned())),
+        let response: Response = serde_json::from_slice(&bytes)
+            .map_err(|e| Error::Protocol(format!("could not parse response: {e}")))?;
+        match (response.answer, response.error) {
+            (Some(output), _) => Ok(output),
+            (None, Some(error)) => Err(Error::Command(error)),
+            (None, None) => Err(Error::Protocol(
+                "response has neither output nor error".to_owned(),
+            )),
         }
     }
 }
@@ -113,7 +118,7 @@
 fn is_final(error: &Error) -> bool {
     match error {
         Error::Unreachable(_) => false,
-        Error::Refused(CommandError { code, conflict, .. }) => {
+        Error::Command(CommandError { code, conflict, .. }) => {
             *code != ErrorCode::Unknown || conflict.is_some()
         }
         _ => true,
@@ -129,7 +134,7 @@
     };
     let routers = text.split(',').map(|address| address.trim().parse());
     let routers = routers.collect::<Result<Vec<SocketAddr>, _>>();
-    routers.map_err(|e| Error::Usage(format!("{ROUTER}: {text}: {e}; allowed is IP:PORT,...")))
+    routers.map_err(|e| Error::Usage(format!("{ROUTER}: {text}: {e}; expected IP:PORT,...")))
 }
 
 fn key(args: &Args) -> Result<String, Error> {
