--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -41,7 +41,7 @@
         command::ParseError::Help(text) => Error::Help(text),
         command::ParseError::Usage(reason) => Error::Usage(reason),
     })?;
-    let session = Session::open(&args)?;
+    let session = Session::from_args(&args)?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,4 +1,4 @@
-//! One request to a router's operator port.
+//! HTTP requests to the operator port of a router.
 
 use std::net::SocketAddr;
 
@@ -10,26 +10,30 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Largest answer that is read, in bytes.
-const ANSWER_BYTES: usize = 64 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Posts a command and returns the body of the answer, or why there is none.
+/// Posts a command and returns the response body, or an error message with the router's
+/// address.
 pub(crate) async fn post(router: SocketAddr, key: &str, body: Bytes) -> Result<Bytes, String> {
-    let failed = |e: &dyn std::fmt::Display| format!("{router}: {e}");
-    let stream = TcpStream::connect(router).await.map_err(|e| failed(&e))?;
+    let message = |e: &dyn std::fmt::Display| format!("{router}: {e}");
+    let stream = TcpStream::connect(router).await.map_err(|e| message(&e))?;
     let io = TokioIo::new(stream);
-    let (mut sender, connection) = http1::handshake(io).await.map_err(|e| failed(&e))?;
+    let (mut sender, connection) = http1::handshake(io).await.map_err(|e| message(&e))?;
     let connection = tokio::spawn(connection);
     let request = Request::post("/v1/command")
         .header(HOST, router.to_string())
         .header(AUTHORIZATION, format!("Bearer {key}"))
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body))
-        .map_err(|e| failed(&e))?;
-    let response = sender.send_request(request).await.map_err(|e| failed(&e))?;
-    let body = Limited::new(response.into_body(), ANSWER_BYTES)
+        .map_err(|e| message(&e))?;
+    let response = sender
+        .send_request(request)
+        .await
+        .map_err(|e| message(&e))?;
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await;
     connection.abort();
-    Ok(body.map_err(|e| failed(&e))?.to_bytes())
+    Ok(body.map_err(|e| message(&e))?.to_bytes())
 }
