--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -16,7 +16,7 @@
 use crate::args::Args;
 use crate::error::Error;
 use crate::session::Session;
-use crate::{force, print};
+use crate::{print, rollout};
 
 /// Runs what the command line says.
 ///
@@ -75,7 +75,7 @@
         }
         return Ok(());
     }
-    let in_force = force::wait(session, written.revision).await;
+    let in_force = rollout::wait(session, written.revision).await;
     if command.json() {
         print::json(answer, &[("in_force", in_force.is_ok().into())]);
     } else if in_force.is_ok() {
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -1,11 +1,11 @@
-//! The operators' client of mulberryyoke.
+//! Command-line client for operators of mulberryyoke.
 
 mod args;
 mod cmd;
 mod error;
-mod force;
 mod http;
 mod print;
+mod rollout;
 mod session;
 
 use std::process::ExitCode;
--- a/crates/client/src/force.rs
+++ b/crates/client/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Waiting until a change is in force everywhere.
+//! Waiting until every node has applied a change.
 
 use std::time::{Duration, Instant};
 
@@ -9,14 +9,15 @@
 use crate::error::Error;
 use crate::session::Session;
 
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Delay between queries of the lagging nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Waits until a revision is in force on every node.
+/// Waits until every node has applied a revision.
 ///
 /// # Errors
 ///
-/// [`Error::Lagging`] at the session's deadline.
+/// [`Error::Lagging`] at the session's deadline; the error of the query if it fails before
+/// any lagging node is known.
 pub(crate) async fn wait(session: &Session, revision: Revision) -> Result<(), Error> {
     let words = ["status", "--behind", &revision.to_string()].map(str::to_owned);
     let mut lagging = Vec::new();
@@ -28,16 +29,16 @@
             Err(error) if lagging.is_empty() => return Err(error),
             Err(_) => {}
         }
-        if Instant::now() + PAUSE >= session.deadline() {
-            let nodes: Vec<String> = lagging.iter().map(name).collect();
+        if Instant::now() + POLL_INTERVAL >= session.deadline() {
+            let nodes: Vec<String> = lagging.iter().map(describe).collect();
             let nodes = nodes.join(", ");
             return Err(Error::Lagging { revision, nodes });
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn name(node: &Node) -> String {
+fn describe(node: &Node) -> String {
     let role = match node.role {
         Role::Router => "router",
         Role::Sidecar => "sidecar",
