--- a/crates/client/src/cmd/config.rs
+++ b/crates/client/src/cmd/config.rs
@@ -4,44 +4,44 @@
 use mulberryyoke_command::api::{ConfigEntry, HistoryEntry, Output};
 use mulberryyoke_model::Object;
 
-use crate::cmd::{customer, pool, server, unexpected};
+use crate::cmd::{customer, pool, server, unexpected_output};
 use crate::error::Error;
 use crate::print::{self, Table, stamp};
 use crate::session::Session;
 
-/// Shows the configuration or its history.
+/// Prints the configuration or its history.
 pub(crate) async fn run(
     session: &Session,
     command: &Command,
     words: Vec<String>,
 ) -> Result<(), Error> {
-    let answer = session.send(&words).await?;
+    let output = session.send(&words).await?;
     if command.json() {
-        print::json(&answer, &[]);
+        print::json(&output, &[]);
         return Ok(());
     }
-    match &answer {
-        Output::Items(items) => show(items),
-        Output::History(writes) => print!("{}", history(writes)),
-        _ => return Err(unexpected()),
+    match &output {
+        Output::Items(entries) => print_tables(entries),
+        Output::History(writes) => print!("{}", history_table(writes)),
+        _ => return Err(unexpected_output()),
     }
     Ok(())
 }
 
-fn show(items: &[ConfigEntry]) {
-    let any = |wanted: fn(&Object) -> bool| items.iter().any(|item| wanted(&item.object));
+fn print_tables(entries: &[ConfigEntry]) {
+    let any = |matches: fn(&Object) -> bool| entries.iter().any(|entry| matches(&entry.object));
     if any(|object| matches!(object, Object::Customer(_))) {
-        println!("{}", customer::table(items));
+        println!("{}", customer::table(entries));
     }
     if any(|object| matches!(object, Object::Pool(_))) {
-        println!("{}", pool::table(items));
+        println!("{}", pool::table(entries));
     }
     if any(|object| matches!(object, Object::Server(_))) {
-        println!("{}", server::table(items));
+        println!("{}", server::table(entries));
     }
 }
 
-fn history(writes: &[HistoryEntry]) -> Table {
+fn history_table(writes: &[HistoryEntry]) -> Table {
     let mut table = Table::new(&["REVISION", "AT", "OPERATOR", "COMMAND", "KEY", "WORDS"]);
     for write in writes {
         let command = format!("{:016x}", write.command);
--- a/crates/client/src/cmd/customer.rs
+++ b/crates/client/src/cmd/customer.rs
@@ -4,37 +4,37 @@
 use mulberryyoke_command::{Command, CustomerAction};
 use mulberryyoke_model::Object;
 
-use crate::cmd::report;
+use crate::cmd::report_write;
 use crate::error::Error;
 use crate::print::{self, Table};
 use crate::session::Session;
 
-/// Carries out a command on customers.
+/// Runs a command on customers.
 pub(crate) async fn run(
     session: &Session,
     command: &Command,
     mut words: Vec<String>,
 ) -> Result<(), Error> {
-    let key = needs_key(command).then(new_key);
+    let key = needs_key(command).then(generate_key);
     if let Some(key) = &key {
         words.extend(["--key".to_owned(), key.clone()]);
-        // Before the command is sent, so that a lost answer does not lose the key.
+        // Printed before sending: a lost response must not lose the key.
         eprintln!("bearer key, shown once: {key}");
     }
-    let answer = session.send(&words).await?;
-    match &answer {
-        Output::Items(items) if !command.json() => print!("{}", table(items)),
-        Output::Items(_) => print::json(&answer, &[]),
-        _ => return report(session, command, &answer).await,
+    let output = session.send(&words).await?;
+    match &output {
+        Output::Items(entries) if !command.json() => print!("{}", table(entries)),
+        Output::Items(_) => print::json(&output, &[]),
+        _ => return report_write(session, command, &output).await,
     }
     Ok(())
 }
 
-/// Customers as a table.
-pub(crate) fn table(items: &[ConfigEntry]) -> Table {
+/// Table of the customers among the entries.
+pub(crate) fn table(entries: &[ConfigEntry]) -> Table {
     let mut table = Table::new(&["CUSTOMER", "SHARE", "CLASS", "QUEUE", "KEYS", "REVISION"]);
-    for item in items {
-        let Object::Customer(customer) = &item.object else {
+    for entry in entries {
+        let Object::Customer(customer) = &entry.object else {
             continue;
         };
         let queue = customer.queue.map_or("-".to_owned(), |n| n.to_string());
@@ -50,12 +50,13 @@
             &class,
             &queue,
             &keys,
-            &item.revision,
+            &entry.revision,
         ]);
     }
     table
 }
 
+/// Whether the command adds a customer without a bearer key.
 fn needs_key(command: &Command) -> bool {
     let Command::Customer(customer) = command else {
         return false;
@@ -63,8 +64,8 @@
     matches!(&customer.action, Some(CustomerAction::Add(add)) if add.key.is_empty())
 }
 
-/// A key of 192 random bits.
-fn new_key() -> String {
+/// Generates a bearer key of 192 random bits.
+fn generate_key() -> String {
     let words: [u64; 3] = rand::random();
     words.map(|word| format!("{word:016x}")).concat()
 }
--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! What each word of the command line does.
+//! Commands of the client.
 
 mod check;
 mod config;
@@ -18,11 +18,11 @@
 use crate::session::Session;
 use crate::{print, rollout};
 
-/// Runs what the command line says.
+/// Parses the command line and runs its command.
 ///
 /// # Errors
 ///
-/// See [`Error`].
+/// Any [`Error`]; help is returned as [`Error::Help`].
 pub(crate) fn run(args: impl Iterator<Item = String>) -> Result<(), Error> {
     let args: Vec<String> = args.collect();
     let usage = |e: gumdrop::Error| Error::Usage(e.to_string());
@@ -61,30 +61,30 @@
     }
 }
 
-/// Reports an accepted change and waits until it is in force, if asked to.
-async fn report(session: &Session, command: &Command, answer: &Output) -> Result<(), Error> {
-    let Output::Written(written) = answer else {
-        return Err(unexpected());
+/// Prints the result of a change and, with `--wait`, waits until every node has applied it.
+async fn report_write(session: &Session, command: &Command, output: &Output) -> Result<(), Error> {
+    let Output::Written(result) = output else {
+        return Err(unexpected_output());
     };
     if !command.json() {
-        print::written(written);
+        print::written(result);
     }
     if !command.wait() {
         if command.json() {
-            print::json(answer, &[]);
+            print::json(output, &[]);
         }
         return Ok(());
     }
-    let in_force = rollout::wait(session, written.revision).await;
+    let applied = rollout::wait(session, result.revision).await;
     if command.json() {
-        print::json(answer, &[("in_force", in_force.is_ok().into())]);
-    } else if in_force.is_ok() {
-        println!("{}: in force everywhere", written.key);
+        print::json(output, &[("in_force", applied.is_ok().into())]);
+    } else if applied.is_ok() {
+        println!("{}: in force everywhere", result.key);
     }
-    in_force
+    applied
 }
 
-fn unexpected() -> Error {
+fn unexpected_output() -> Error {
     Error::Protocol("unexpected type of output".to_owned())
 }
 
--- a/crates/client/src/cmd/pool.rs
+++ b/crates/client/src/cmd/pool.rs
@@ -4,44 +4,44 @@
 use mulberryyoke_command::api::{ConfigEntry, Output};
 use mulberryyoke_model::{Kind, Object, Route};
 
-use crate::cmd::report;
+use crate::cmd::report_write;
 use crate::error::Error;
 use crate::print::{self, Table};
 use crate::session::Session;
 
-/// Carries out a command on pools.
+/// Runs a command on pools.
 pub(crate) async fn run(
     session: &Session,
     command: &Command,
     words: Vec<String>,
 ) -> Result<(), Error> {
-    let answer = session.send(&words).await?;
-    match &answer {
-        Output::Items(items) if !command.json() => print!("{}", table(items)),
-        Output::Items(_) => print::json(&answer, &[]),
-        _ => return report(session, command, &answer).await,
+    let output = session.send(&words).await?;
+    match &output {
+        Output::Items(entries) if !command.json() => print!("{}", table(entries)),
+        Output::Items(_) => print::json(&output, &[]),
+        _ => return report_write(session, command, &output).await,
     }
     Ok(())
 }
 
-/// Pools as a table.
-pub(crate) fn table(items: &[ConfigEntry]) -> Table {
+/// Table of the pools among the entries.
+pub(crate) fn table(entries: &[ConfigEntry]) -> Table {
     let mut table = Table::new(&["POOL", "KIND", "REVISION", "ROUTES"]);
-    for item in items {
-        let Object::Pool(pool) = &item.object else {
+    for entry in entries {
+        let Object::Pool(pool) = &entry.object else {
             continue;
         };
         let kind = match pool.kind {
             Kind::Model => "model",
             Kind::Service => "service",
         };
-        let routes: Vec<String> = pool.routes.iter().map(route).collect();
-        table.row([&pool.name, &kind, &item.revision, &routes.join("; ")]);
+        let routes: Vec<String> = pool.routes.iter().map(format_route).collect();
+        table.row([&pool.name, &kind, &entry.revision, &routes.join("; ")]);
     }
     table
 }
 
-fn route(route: &Route) -> String {
+fn format_route(route: &Route) -> String {
     let repeat = if route.idempotent {
         "repeatable"
     } else {
--- a/crates/client/src/cmd/server.rs
+++ b/crates/client/src/cmd/server.rs
@@ -4,33 +4,33 @@
 use mulberryyoke_command::api::{ConfigEntry, Output};
 use mulberryyoke_model::{Object, State};
 
-use crate::cmd::report;
+use crate::cmd::report_write;
 use crate::error::Error;
 use crate::print::{self, Table};
 use crate::session::Session;
 
-/// Carries out a command on servers.
+/// Runs a command on servers.
 pub(crate) async fn run(
     session: &Session,
     command: &Command,
     words: Vec<String>,
 ) -> Result<(), Error> {
-    let answer = session.send(&words).await?;
-    match &answer {
-        Output::Items(items) if !command.json() => print!("{}", table(items)),
-        Output::Items(_) => print::json(&answer, &[]),
-        _ => return report(session, command, &answer).await,
+    let output = session.send(&words).await?;
+    match &output {
+        Output::Items(entries) if !command.json() => print!("{}", table(entries)),
+        Output::Items(_) => print::json(&output, &[]),
+        _ => return report_write(session, command, &output).await,
     }
     Ok(())
 }
 
-/// Servers as a table.
-pub(crate) fn table(items: &[ConfigEntry]) -> Table {
+/// Table of the servers among the entries.
+pub(crate) fn table(entries: &[ConfigEntry]) -> Table {
     let mut table = Table::new(&[
         "SERVER", "POOL", "ZONE", "STATE", "SLOTS", "CONTROL", "DATA", "REVISION",
     ]);
-    for item in items {
-        let Object::Server(server) = &item.object else {
+    for entry in entries {
+        let Object::Server(server) = &entry.object else {
             continue;
         };
         let state = match server.state {
@@ -46,7 +46,7 @@
             &server.slots,
             &server.control,
             &server.data,
-            &item.revision,
+            &entry.revision,
         ]);
     }
     table
--- a/crates/client/src/cmd/status.rs
+++ b/crates/client/src/cmd/status.rs
@@ -3,45 +3,45 @@
 use mulberryyoke_command::Command;
 use mulberryyoke_command::api::{Node, Output, Role, Status};
 
-use crate::cmd::unexpected;
+use crate::cmd::unexpected_output;
 use crate::error::Error;
 use crate::print::{self, Table};
 use crate::session::Session;
 
-/// Shows the state of the fleet.
+/// Prints the state of the fleet.
 pub(crate) async fn run(
     session: &Session,
     command: &Command,
     words: Vec<String>,
 ) -> Result<(), Error> {
-    let answer = session.send(&words).await?;
-    let Output::Status(status) = &answer else {
-        return Err(unexpected());
+    let output = session.send(&words).await?;
+    let Output::Status(status) = &output else {
+        return Err(unexpected_output());
     };
     if command.json() {
-        print::json(&answer, &[]);
+        print::json(&output, &[]);
         return Ok(());
     }
-    print!("{}", head(status));
-    print!("{}", table(&status.nodes));
+    print!("{}", summary(status));
+    print!("{}", node_table(&status.nodes));
     Ok(())
 }
 
-fn head(status: &Status) -> String {
+fn summary(status: &Status) -> String {
     let kv = if status.kv {
         "reachable"
     } else {
         "unreachable"
     };
-    let tally = &status.tally;
+    let counts = &status.tally;
     format!(
         "router {}: configuration {}, key-value service {kv}, {} customers, \
          {} requests waiting, {} running\n\n",
-        status.router, status.revision, tally.customers, tally.waiting, tally.running
+        status.router, status.revision, counts.customers, counts.waiting, counts.running
     )
 }
 
-fn table(nodes: &[Node]) -> Table {
+fn node_table(nodes: &[Node]) -> Table {
     let mut table = Table::new(&[
         "NODE", "ROLE", "ZONE", "STATE", "REVISION", "POOL", "SLOTS", "FREE",
     ]);
@@ -55,9 +55,9 @@
             (true, false) => "up",
             (false, _) => "not heard of",
         };
-        let revision = text(node.revision);
+        let revision = or_dash(node.revision);
         let pool = node.pool.as_deref().unwrap_or("-");
-        let (slots, free) = (text(node.slots), text(node.free));
+        let (slots, free) = (or_dash(node.slots), or_dash(node.free));
         table.row([
             &node.name, &role, &node.zone, &state, &revision, &pool, &slots, &free,
         ]);
@@ -65,6 +65,6 @@
     table
 }
 
-fn text(number: Option<impl ToString>) -> String {
+fn or_dash(number: Option<impl ToString>) -> String {
     number.map_or("-".to_owned(), |number| number.to_string())
 }
--- a/crates/client/src/cmd/waiting.rs
+++ b/crates/client/src/cmd/waiting.rs
@@ -4,47 +4,47 @@
 use mulberryyoke_command::api::{CustomerQueue, Output, WaitingList, WaitingRequest};
 use mulberryyoke_model::Outcome;
 
-use crate::cmd::unexpected;
+use crate::cmd::unexpected_output;
 use crate::error::Error;
 use crate::print::{self, Table, since};
 use crate::session::Session;
 
-/// Shows who is waiting, and why.
+/// Prints the queued requests and why they wait.
 pub(crate) async fn run(
     session: &Session,
     command: &Command,
     words: Vec<String>,
 ) -> Result<(), Error> {
-    let answer = session.send(&words).await?;
-    let Output::Waiting(waiting) = &answer else {
-        return Err(unexpected());
+    let output = session.send(&words).await?;
+    let Output::Waiting(list) = &output else {
+        return Err(unexpected_output());
     };
     if command.json() {
-        print::json(&answer, &[]);
+        print::json(&output, &[]);
         return Ok(());
     }
-    if waiting.requests.is_empty() {
-        println!("router {}: {}", waiting.router, elsewhere(waiting));
+    if list.requests.is_empty() {
+        println!("router {}: {}", list.router, describe_empty(list));
         return Ok(());
     }
-    println!("{}", counters(&waiting.customers));
-    print!("{}", requests(&waiting.requests));
-    if waiting.more > 0 {
-        println!("and {} more", waiting.more);
+    println!("{}", customer_table(&list.customers));
+    print!("{}", request_table(&list.requests));
+    if list.more > 0 {
+        println!("and {} more", list.more);
     }
     Ok(())
 }
 
-/// What is known when nothing that was asked for waits at the asked router.
-fn elsewhere(waiting: &WaitingList) -> String {
-    match waiting.outcome {
+/// Message for an empty list; the outcome is known if the query names a request.
+fn describe_empty(list: &WaitingList) -> String {
+    match list.outcome {
         None => "nothing waits".to_owned(),
         Some(Outcome::Waiting) => "the request waits at another router".to_owned(),
         Some(outcome) => format!("the request does not wait; outcome: {}", outcome.as_str()),
     }
 }
 
-fn counters(customers: &[CustomerQueue]) -> Table {
+fn customer_table(customers: &[CustomerQueue]) -> Table {
     let mut table = Table::new(&[
         "CUSTOMER",
         "SHARE",
@@ -55,25 +55,25 @@
         "TOKENS",
         "PER SHARE",
     ]);
-    for counter in customers {
-        let [urgent, normal, deferrable] = &counter.waiting;
-        let per_share = format!("{:.0}", counter.per_share);
-        let oldest = since(counter.since);
+    for queue in customers {
+        let [urgent, normal, deferrable] = &queue.waiting;
+        let per_share = format!("{:.0}", queue.per_share);
+        let oldest = since(queue.since);
         table.row([
-            &counter.customer,
-            &counter.share,
+            &queue.customer,
+            &queue.share,
             urgent,
             normal,
             deferrable,
             &oldest,
-            &counter.service,
+            &queue.service,
             &per_share,
         ]);
     }
     table
 }
 
-fn requests(requests: &[WaitingRequest]) -> Table {
+fn request_table(requests: &[WaitingRequest]) -> Table {
     let mut table = Table::new(&[
         "REQUEST",
         "CUSTOMER",
@@ -83,17 +83,17 @@
         "WAITS",
         "WAITS FOR",
     ]);
-    for waiter in requests {
-        let class = waiter.class.as_str();
-        let waits = since(waiter.since);
+    for request in requests {
+        let class = request.class.as_str();
+        let waits = since(request.since);
         table.row([
-            &waiter.request,
-            &waiter.customer,
-            &waiter.pool,
+            &request.request,
+            &request.customer,
+            &request.pool,
             &class,
-            &waiter.position,
+            &request.position,
             &waits,
-            &waiter.reason,
+            &request.reason,
         ]);
     }
     table
