--- a/crates/client/src/cmd/config.rs
+++ b/crates/client/src/cmd/config.rs
@@ -6,7 +6,7 @@
 
 use crate::cmd::{customer, pool, server, unexpected_output};
 use crate::error::Error;
-use crate::print::{self, Table, stamp};
+use crate::print::{self, Table, timestamp};
 use crate::session::Session;
 
 /// Prints the configuration or its history.
@@ -45,8 +45,8 @@
     let mut table = Table::new(&["REVISION", "AT", "OPERATOR", "COMMAND", "KEY", "WORDS"]);
     for write in writes {
         let command = format!("{:016x}", write.command);
-        let at = stamp(write.at);
-        table.row([
+        let at = timestamp(write.at);
+        table.add_row([
             &write.revision,
             &at,
             &write.operator,
--- a/crates/client/src/cmd/customer.rs
+++ b/crates/client/src/cmd/customer.rs
@@ -44,7 +44,7 @@
             .map(|key| key.0.get(..8).unwrap_or("?"));
         let keys = keys.collect::<Vec<_>>().join(",");
         let class = customer.class.as_str();
-        table.row([
+        table.add_row([
             &customer.name,
             &customer.share,
             &class,
--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -67,7 +67,7 @@
         return Err(unexpected_output());
     };
     if !command.json() {
-        print::written(result);
+        print::write_result(result);
     }
     if !command.wait() {
         if command.json() {
--- a/crates/client/src/cmd/pool.rs
+++ b/crates/client/src/cmd/pool.rs
@@ -36,7 +36,7 @@
             Kind::Service => "service",
         };
         let routes: Vec<String> = pool.routes.iter().map(format_route).collect();
-        table.row([&pool.name, &kind, &entry.revision, &routes.join("; ")]);
+        table.add_row([&pool.name, &kind, &entry.revision, &routes.join("; ")]);
     }
     table
 }
--- a/crates/client/src/cmd/server.rs
+++ b/crates/client/src/cmd/server.rs
@@ -38,7 +38,7 @@
             State::Draining => "draining",
             State::Removed => "removed",
         };
-        table.row([
+        table.add_row([
             &server.name,
             &server.pool,
             &server.zone,
--- a/crates/client/src/cmd/status.rs
+++ b/crates/client/src/cmd/status.rs
@@ -58,7 +58,7 @@
         let revision = or_dash(node.revision);
         let pool = node.pool.as_deref().unwrap_or("-");
         let (slots, free) = (or_dash(node.slots), or_dash(node.free));
-        table.row([
+        table.add_row([
             &node.name, &role, &node.zone, &state, &revision, &pool, &slots, &free,
         ]);
     }
--- a/crates/client/src/cmd/waiting.rs
+++ b/crates/client/src/cmd/waiting.rs
@@ -6,7 +6,7 @@
 
 use crate::cmd::unexpected_output;
 use crate::error::Error;
-use crate::print::{self, Table, since};
+use crate::print::{self, Table, elapsed};
 use crate::session::Session;
 
 /// Prints the queued requests and why they wait.
@@ -58,8 +58,8 @@
     for queue in customers {
         let [urgent, normal, deferrable] = &queue.waiting;
         let per_share = format!("{:.0}", queue.per_share);
-        let oldest = since(queue.since);
-        table.row([
+        let oldest = elapsed(queue.since);
+        table.add_row([
             &queue.customer,
             &queue.share,
             urgent,
@@ -85,8 +85,8 @@
     ]);
     for request in requests {
         let class = request.class.as_str();
-        let waits = since(request.since);
-        table.row([
+        let waits = elapsed(request.since);
+        table.add_row([
             &request.request,
             &request.customer,
             &request.pool,
--- a/crates/client/src/print/mod.rs
+++ b/crates/client/src/print/mod.rs
@@ -1,33 +1,33 @@
-//! Output for people and for programs.
+//! Human-readable and JSON output.
 
 mod table;
 mod time;
 
 pub(crate) use table::Table;
-pub(crate) use time::{since, stamp};
+pub(crate) use time::{elapsed, timestamp};
 
 use mulberryyoke_command::api::{Output, WriteResult};
 use serde_json::Value;
 
-/// Prints an answer as JSON, with further members.
-pub(crate) fn json(answer: &Output, more: &[(&str, Value)]) {
-    let mut body = serde_json::json!({ "ok": true, "answer": answer });
-    for (name, value) in more {
+/// Prints the output of a command as JSON, with additional members.
+pub(crate) fn json(output: &Output, members: &[(&str, Value)]) {
+    let mut body = serde_json::json!({ "ok": true, "answer": output });
+    for (name, value) in members {
         body[*name] = value.clone();
     }
     println!("{body:#}");
 }
 
-/// Prints an accepted change in a line.
-pub(crate) fn written(written: &WriteResult) {
-    let WriteResult { key, revision, .. } = written;
-    let what = match (written.unchanged, written.repeated) {
+/// Prints the result of a change.
+pub(crate) fn write_result(result: &WriteResult) {
+    let WriteResult { key, revision, .. } = result;
+    let effect = match (result.unchanged, result.repeated) {
         (_, true) => "was accepted before",
         (true, false) => "is so already",
         (false, false) => "accepted",
     };
-    println!("{key}: {what} at revision {revision}");
-    if let Some(later) = written.replaced {
+    println!("{key}: {effect} at revision {revision}");
+    if let Some(later) = result.replaced {
         println!("{key}: replaced since by revision {later}");
     }
 }
--- a/crates/client/src/print/table.rs
+++ b/crates/client/src/print/table.rs
@@ -1,22 +1,21 @@
-//! Tables.
+//! Tables with aligned columns.
 
 use std::fmt;
 
-/// Rows of text under a head, in columns.
+/// Table of text; the first row is the header.
 #[derive(Debug)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table without rows.
-    pub(crate) fn new(head: &[&str]) -> Self {
-        let head = head.iter().map(|&cell| cell.to_owned()).collect();
-        Self { rows: vec![head] }
+    /// Creates a table with a header and no other rows.
+    pub(crate) fn new(header: &[&str]) -> Self {
+        let header = header.iter().map(|&cell| cell.to_owned()).collect();
+        Self { rows: vec![header] }
     }
 
-    /// Adds a row.
-    pub(crate) fn row<const N: usize>(&mut self, cells: [&dyn fmt::Display; N]) {
+    pub(crate) fn add_row<const N: usize>(&mut self, cells: [&dyn fmt::Display; N]) {
         self.rows
             .push(cells.iter().map(ToString::to_string).collect());
     }
