--- a/crates/client/src/args.rs
+++ b/crates/client/src/args.rs
@@ -1,15 +1,15 @@
-//! The client's own options; the doc comments are the help.
+//! Options of the client. The doc comments are the help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use gumdrop::Options;
 
-/// Asks and changes a fleet of mulberryyoke through the operator port of any of
-/// its routers.
+/// Queries and configures a mulberryyoke fleet through the operator port of any
+/// router.
 ///
-/// Exit codes: 0 done, 1 refused or conflict, 2 wrong usage, 3 no router reached,
-/// outcome unknown, or not yet in force everywhere.
+/// Exit codes: 0 success, 1 command rejected or conflict, 2 usage error, 3 no router
+/// reachable, outcome unknown, or change not yet applied by every node.
 ///
 /// Example: mulberryyoke --router 10.0.0.4:7003 --key-file ~/.mulberryyoke status
 #[derive(Debug, Options)]
@@ -21,24 +21,24 @@
     /// print the version
     #[options(short = "V")]
     pub(crate) version: bool,
-    /// operator port of a router; several are tried in turn (else `MULBERRYYOKE_ROUTER`, else 127.0.0.1:7003)
+    /// operator port of a router; may be given several times, tried in order (default: `MULBERRYYOKE_ROUTER`, else 127.0.0.1:7003)
     #[options(meta = "IP:PORT")]
     pub(crate) router: Vec<SocketAddr>,
-    /// file with the operator's bearer key (else `MULBERRYYOKE_KEY` is the key)
+    /// file with the operator's bearer key (default: the key in `MULBERRYYOKE_KEY`)
     #[options(meta = "FILE")]
     pub(crate) key_file: Option<PathBuf>,
-    /// longest time for the command and its --wait
+    /// time limit for the command, including --wait
     #[options(meta = "SECONDS", default = "30")]
     pub(crate) timeout: u64,
-    /// identity of an earlier command, in hex, to send it again
-    #[options(meta = "ID", parse(try_from_str = "hex"))]
+    /// ID of an earlier command, in hexadecimal, for sending it again
+    #[options(meta = "ID", parse(try_from_str = "command_id"))]
     pub(crate) command: Option<u64>,
-    /// the words of a command
+    /// command and its arguments
     #[options(free)]
     pub(crate) words: Vec<String>,
 }
 
-/// Checks a settings file of the daemon without starting it.
+/// Checks a settings file without starting the daemon.
 ///
 /// Example: mulberryyoke check --role router router.json
 #[derive(Debug, Options)]
@@ -47,14 +47,15 @@
     /// print this help
     #[options(short = "h")]
     pub(crate) help: bool,
-    /// gateway, router or sidecar; found out from the file when absent
+    /// gateway, router or sidecar (default: detected from the file)
     #[options(meta = "ROLE")]
     pub(crate) role: Option<mulberryyoke_settings::Role>,
-    /// the settings file, in JSON
+    /// settings file in JSON
     #[options(free, required)]
     pub(crate) file: PathBuf,
 }
 
-fn hex(text: &str) -> Result<u64, String> {
-    u64::from_str_radix(text, 16).map_err(|_| "a hexadecimal number is needed".to_owned())
+fn command_id(text: &str) -> Result<u64, String> {
+    u64::from_str_radix(text, 16)
+        .map_err(|_| "expected a hexadecimal number of at most 16 digits".to_owned())
 }
--- a/crates/client/src/cmd/check.rs
+++ b/crates/client/src/cmd/check.rs
@@ -6,7 +6,7 @@
 use crate::args::Check;
 use crate::error::Error;
 
-/// Checks a settings file without starting anything.
+/// Validates a settings file.
 pub(crate) fn run(words: &[String]) -> Result<(), Error> {
     let check = Check::parse_args_default(words).map_err(|e| Error::Usage(e.to_string()))?;
     if check.help {
