--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -79,7 +79,7 @@
     if command.json() {
         print::json(output, &[("in_force", applied.is_ok().into())]);
     } else if applied.is_ok() {
-        println!("{}: in force everywhere", result.key);
+        println!("{}: applied by every node", result.key);
     }
     applied
 }
--- a/crates/client/src/cmd/waiting.rs
+++ b/crates/client/src/cmd/waiting.rs
@@ -38,9 +38,9 @@
 /// Message for an empty list; the outcome is known if the query names a request.
 fn describe_empty(list: &WaitingList) -> String {
     match list.outcome {
-        None => "nothing waits".to_owned(),
-        Some(Outcome::Waiting) => "the request waits at another router".to_owned(),
-        Some(outcome) => format!("the request does not wait; outcome: {}", outcome.as_str()),
+        None => "no queued requests".to_owned(),
+        Some(Outcome::Waiting) => "the request is queued at another router".to_owned(),
+        Some(outcome) => format!("the request is not queued; outcome: {}", outcome.as_str()),
     }
 }
 
--- a/crates/client/src/print/mod.rs
+++ b/crates/client/src/print/mod.rs
@@ -22,12 +22,12 @@
 pub(crate) fn write_result(result: &WriteResult) {
     let WriteResult { key, revision, .. } = result;
     let effect = match (result.unchanged, result.repeated) {
-        (_, true) => "was accepted before",
-        (true, false) => "is so already",
+        (_, true) => "already accepted",
+        (true, false) => "unchanged",
         (false, false) => "accepted",
     };
     println!("{key}: {effect} at revision {revision}");
     if let Some(later) = result.replaced {
-        println!("{key}: replaced since by revision {later}");
+        println!("{key}: since replaced by revision {later}");
     }
 }
--- a/crates/client/tests/session/faults.rs
+++ b/crates/client/tests/session/faults.rs
@@ -131,7 +131,7 @@
     let again = fleet.done(line).await;
     assert_that!(
         again.out,
-        contains_substring("was accepted before at revision")
+        contains_substring("customer/scouts: already accepted at revision")
     );
     fleet.stop().await;
 }
--- a/crates/client/tests/session/queries.rs
+++ b/crates/client/tests/session/queries.rs
@@ -22,12 +22,15 @@
     );
     assert_that!(nodes.iter().all(|node| node["up"] == true), eq(true));
     let drained = fleet.done("server drain m-1 --wait").await;
-    assert_that!(drained.out, ends_with("server/m-1: in force everywhere\n"));
+    assert_that!(
+        drained.out,
+        ends_with("server/m-1: applied by every node\n")
+    );
     let status = fleet.done("status").await;
     assert_that!(status.out, contains_regex(r"m-1 +sidecar +a +leaving"));
     fleet.done("server resume m-1 --wait").await;
     let waiting = fleet.done("waiting").await;
-    assert_that!(waiting.out, eq("router entry-1: nothing waits\n"));
+    assert_that!(waiting.out, eq("router entry-1: no queued requests\n"));
     let servers = fleet.done("server list").await;
     assert_that!(servers.out, contains_regex(r"m-1 +chat +a +active +4"));
     fleet.stop().await;
