--- a/crates/client/tests/session/fleet.rs
+++ b/crates/client/tests/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet in this process, and the client's process.
+//! Fixture: a fleet in the test process and runs of the client.
 
 use std::process::Output;
 
@@ -11,38 +11,39 @@
 use slog::{Discard, Logger, o};
 use tokio::process::Command;
 
-/// Any free port.
-const ANY: &str = "127.0.0.1:0";
+/// Address of any free local port.
+const ANY_PORT: &str = "127.0.0.1:0";
 
-/// A port on which nothing listens.
-const DEAD: &str = "127.0.0.1:9";
+/// Address that refuses connections.
+pub const CLOSED_PORT: &str = "127.0.0.1:9";
 
-/// The keys of the operators `noor` and `amal`.
-pub const NOOR: &str = "example-key-of-noor";
-pub const AMAL: &str = "example-key-of-amal";
+/// Bearer key of the operator `noor`.
+pub const NOOR_KEY: &str = "example-key-of-noor";
+/// Bearer key of the operator `amal`.
+pub const AMAL_KEY: &str = "example-key-of-amal";
 
-/// What a run of the client said.
+/// Exit code and output of a run of the client.
 #[derive(Debug)]
-pub struct Said {
+pub struct ClientOutput {
     pub code: Option<i32>,
-    pub out: String,
-    pub err: String,
+    pub stdout: String,
+    pub stderr: String,
 }
 
-impl Said {
+impl ClientOutput {
     /// Standard output as JSON.
     pub fn json(&self) -> Value {
-        serde_json::from_str(&self.out).unwrap_or_else(|_| panic!("not JSON: {self:?}"))
+        serde_json::from_str(&self.stdout).unwrap_or_else(|_| panic!("not JSON: {self:?}"))
     }
 }
 
-impl From<Output> for Said {
+impl From<Output> for ClientOutput {
     fn from(output: Output) -> Self {
         let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
         Self {
             code: output.status.code(),
-            out: text(output.stdout),
-            err: text(output.stderr),
+            stdout: text(output.stdout),
+            stderr: text(output.stderr),
         }
     }
 }
@@ -56,10 +57,10 @@
 }
 
 impl Fleet {
-    /// Starts the fleet; nothing is configured yet.
-    pub async fn open() -> Self {
+    /// Starts the fleet without customers, pools and servers.
+    pub async fn start() -> Self {
         let logger = Logger::root(Discard, o!());
-        let any = ANY.parse().expect("an address");
+        let any = ANY_PORT.parse().expect("an address");
         let kv = kv::Store::bind(any).await.expect("a free port");
         let vms = vms::List::bind(any, Vec::new()).await;
         let vms = vms.expect("a free port");
@@ -67,11 +68,12 @@
         let mut routers = Vec::new();
         for name in ["entry-1", "entry-2"] {
             let settings = json!({
-                "name": name, "zone": "a", "callers": ANY, "operators": ANY, "control": ANY,
+                "name": name, "zone": "a", "callers": ANY_PORT, "operators": ANY_PORT,
+                "control": ANY_PORT,
                 "kv": endpoints, "vms": vms.address().to_string(), "exchange_ms": 50,
                 "operator_keys": [
-                    {"name": "noor", "key": model::KeyHash::of(NOOR)},
-                    {"name": "amal", "key": model::KeyHash::of(AMAL)},
+                    {"name": "noor", "key": model::KeyHash::of(NOOR_KEY)},
+                    {"name": "amal", "key": model::KeyHash::of(AMAL_KEY)},
                 ],
             });
             let settings = serde_json::from_value(settings).expect("settings");
@@ -93,7 +95,8 @@
         });
         let settings = json!({
             "name": "m-1", "zone": "a", "pool": "chat", "kind": "model", "slots": 4,
-            "control": ANY, "data": ANY, "status": ANY, "backend": DEAD, "kv": endpoints,
+            "control": ANY_PORT, "data": ANY_PORT, "status": ANY_PORT, "backend": CLOSED_PORT,
+            "kv": endpoints,
         });
         let settings = serde_json::from_value(settings).expect("settings");
         let sidecar = Sidecar::spawn(settings, logger).await;
@@ -105,8 +108,8 @@
         }
     }
 
-    /// Words that add the sidecar's server.
-    pub fn add_server(&self) -> String {
+    /// Command that adds the sidecar's server.
+    pub fn add_server_command(&self) -> String {
         format!(
             "server add m-1 --pool chat --zone a --slots 4 --control {} --data {}",
             self.sidecar.control(),
@@ -115,24 +118,24 @@
     }
 
     /// Runs the client as `noor` against the first router.
-    pub async fn run(&self, line: &str) -> Said {
-        self.run_as(NOOR, 0, line).await
+    pub async fn run(&self, line: &str) -> ClientOutput {
+        self.run_as(NOOR_KEY, 0, line).await
     }
 
-    /// Runs the client and expects it to succeed.
-    pub async fn done(&self, line: &str) -> Said {
-        let said = self.run(line).await;
-        assert_eq!(said.code, Some(0), "{line}: {said:?}");
-        said
+    /// Runs the client as `noor` against the first router and expects it to succeed.
+    pub async fn run_ok(&self, line: &str) -> ClientOutput {
+        let output = self.run(line).await;
+        assert_eq!(output.code, Some(0), "{line}: {output:?}");
+        output
     }
 
-    /// Runs the client with a key against one of the routers.
-    pub async fn run_as(&self, key: &str, router: usize, line: &str) -> Said {
+    /// Runs the client with a bearer key against the router with this index.
+    pub async fn run_as(&self, key: &str, router: usize, line: &str) -> ClientOutput {
         let router = self.routers[router].operators().to_string();
-        client(&[&router], key, line).await
+        run_client(&[&router], key, line).await
     }
 
-    /// Stops every process of the fleet.
+    /// Stops the routers and the sidecar.
     pub async fn stop(self) {
         for router in self.routers {
             router.stop().await;
@@ -142,7 +145,7 @@
 }
 
 /// Runs the client against these operator ports.
-pub async fn client(routers: &[&str], key: &str, line: &str) -> Said {
+pub async fn run_client(routers: &[&str], key: &str, line: &str) -> ClientOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_mulberryyoke"))
         .env("MULBERRYYOKE_ROUTER", routers.join(","))
         .env("MULBERRYYOKE_KEY", key)
