--- a/crates/client/tests/pages.rs
+++ b/crates/client/tests/documentation.rs
@@ -1,5 +1,4 @@
-//! Every command and option stands in the manual page, the completions and the
-//! page of commands.
+//! Every command and option is in the manual page and the shell completions.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -16,7 +15,7 @@
 
 fn read(path: &str) -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    fs::read_to_string(root.join(path)).expect("the page is there")
+    fs::read_to_string(root.join(path)).expect("the file is readable")
 }
 
 fn help(words: &[&str]) -> String {
@@ -29,8 +28,8 @@
     String::from_utf8(output.stdout).expect("help is text")
 }
 
-/// The first words of the lines under the head that names commands.
-fn commands(help: &str) -> Vec<String> {
+/// Names of the commands that a help text lists.
+fn listed_commands(help: &str) -> Vec<String> {
     let lines = help
         .lines()
         .skip_while(|line| !line.starts_with("Commands"));
@@ -40,7 +39,8 @@
     names.map(str::to_owned).collect()
 }
 
-fn options(help: &str) -> BTreeSet<String> {
+/// Long options that a help text lists.
+fn long_options(help: &str) -> BTreeSet<String> {
     let lines = help
         .lines()
         .filter(|line| line.trim_start().starts_with('-'));
@@ -48,35 +48,35 @@
     names.map(str::to_owned).collect()
 }
 
-/// Every command with its words, for example `server drain`.
-fn all() -> Vec<Vec<String>> {
-    let mut all = Vec::new();
-    for group in commands(&help(&[])) {
-        let actions = commands(&help(&[&group]));
-        if actions.is_empty() {
-            all.push(vec![group]);
+/// Words of every command, for example `server drain`.
+fn all_commands() -> Vec<Vec<String>> {
+    let mut commands = Vec::new();
+    for group in listed_commands(&help(&[])) {
+        let subcommands = listed_commands(&help(&[&group]));
+        if subcommands.is_empty() {
+            commands.push(vec![group]);
             continue;
         }
-        for action in actions {
-            all.push(vec![group.clone(), action]);
+        for subcommand in subcommands {
+            commands.push(vec![group.clone(), subcommand]);
         }
     }
-    all
+    commands
 }
 
-/// The part of a manual page under one head.
-fn section<'a>(page: &'a str, words: &str) -> &'a str {
-    let start = page.find(&format!(".SS {words}"));
-    let part = &page[start.unwrap_or_else(|| panic!("{words} stands in the page"))..];
+/// Section of the manual page about a command.
+fn section<'a>(page: &'a str, command: &str) -> &'a str {
+    let start = page.find(&format!(".SS {command}"));
+    let part = &page[start.unwrap_or_else(|| panic!("{command} is not in the manual page"))..];
     let end = part[3..].find("\n.S").map_or(part.len(), |end| end + 3);
     &part[..end]
 }
 
 #[gtest]
-fn there_are_all_commands() {
-    let all = all();
-    expect_that!(all.len(), eq(19));
-    for words in all {
+fn help_of_every_command_has_an_example() {
+    let commands = all_commands();
+    expect_that!(commands.len(), eq(19));
+    for words in commands {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         let help = help(&words);
         let example = format!("Example: mulberryyoke {}", words.join(" "));
@@ -85,15 +85,15 @@
 }
 
 #[gtest]
-fn the_manual_page_has_every_command_and_option() {
+fn manual_page_covers_every_command_and_option() {
     let page = read("man/mulberryyoke.1").replace("\\-", "-");
-    for option in options(&help(&[])) {
+    for option in long_options(&help(&[])) {
         expect_that!(page, contains_substring(option));
     }
-    for words in all() {
+    for words in all_commands() {
         let section = section(&page, &words.join(" "));
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        for option in options(&help(&words)) {
+        for option in long_options(&help(&words)) {
             expect_that!(section, contains_substring(option), "{words:?}");
         }
         expect_that!(section, contains_substring("Example:"), "{words:?}");
@@ -101,17 +101,22 @@
 }
 
 #[gtest]
-fn the_completions_have_every_command_and_option() {
+fn completions_cover_every_command_and_option() {
     for path in COMPLETIONS {
-        let page = read(path);
-        for words in all() {
+        let completions = read(path);
+        for words in all_commands() {
             let words: Vec<&str> = words.iter().map(String::as_str).collect();
             for word in &words {
-                expect_that!(page, contains_regex(format!(r"\b{word}\b")), "{path}");
+                expect_that!(
+                    completions,
+                    contains_regex(format!(r"\b{word}\b")),
+                    "{path}"
+                );
             }
-            for option in options(&help(&words)) {
+            for option in long_options(&help(&words)) {
                 let long = option.trim_start_matches("--");
-                let found = page.contains(&option) || page.contains(&format!("-l {long} "));
+                let found =
+                    completions.contains(&option) || completions.contains(&format!("-l {long} "));
                 expect_that!(found, eq(true), "{path}: {words:?} {option}");
             }
         }
--- a/crates/client/tests/examples.rs
+++ b/crates/client/tests/example_settings.rs
@@ -1,4 +1,4 @@
-//! The example settings are accepted and fit together.
+//! The example settings are valid and consistent with the example commands.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,20 +8,20 @@
 use mulberryyoke_command::{Command, CustomerAction, PoolAction, ServerAction, ServerAdd};
 use mulberryyoke_settings::{read_router, read_sidecar};
 
-fn directory(deployment: &str) -> PathBuf {
+fn example_directory(deployment: &str) -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     root.join("../../settings").join(deployment)
 }
 
 fn files(directory: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(directory).expect("the directory is there");
+    let entries = fs::read_dir(directory).expect("the directory is readable");
     entries
         .map(|entry| entry.expect("an entry").path())
         .collect()
 }
 
-/// Splits a line as `xargs` does: by blanks outside double quotes.
-fn words(line: &str) -> Vec<String> {
+/// Splits a line at whitespace outside double quotes, as `xargs` does.
+fn split_words(line: &str) -> Vec<String> {
     let mut words = Vec::new();
     for (index, part) in line.split('"').enumerate() {
         if index % 2 == 1 {
@@ -34,12 +34,12 @@
 }
 
 fn commands(deployment: &str) -> Vec<Command> {
-    let text = fs::read_to_string(directory(deployment).join("commands"));
-    let text = text.expect("the commands are there");
-    let parsed = text.lines().map(|line| Command::parse(&words(line)));
+    let text = fs::read_to_string(example_directory(deployment).join("commands"));
+    let text = text.expect("the file of commands is readable");
+    let parsed = text.lines().map(|line| Command::parse(&split_words(line)));
     parsed
         .collect::<std::result::Result<_, _>>()
-        .expect("every line is a command")
+        .expect("every line is a valid command")
 }
 
 fn added_servers(commands: &[Command]) -> Vec<ServerAdd> {
@@ -54,27 +54,27 @@
 }
 
 #[gtest]
-fn settings_of_every_process_are_accepted() {
+fn settings_of_every_router_and_sidecar_are_valid() {
     for (deployment, routers, sidecars) in [("trust", 3, 15), ("directorate", 4, 14)] {
-        let directory = directory(deployment);
+        let directory = example_directory(deployment);
         let found = files(&directory.join("routers"));
         expect_that!(found.len(), eq(routers));
         let mut zones = BTreeSet::new();
         for file in found {
-            let router = read_router(&file).expect("a router's settings are accepted");
+            let router = read_router(&file).expect("the router settings are valid");
             zones.insert(router.zone);
         }
-        expect_that!(zones.len(), eq(routers), "a zone each");
+        expect_that!(zones.len(), eq(routers), "every router has its own zone");
         let found = files(&directory.join("sidecars"));
         expect_that!(found.len(), eq(sidecars));
         for file in found {
-            read_sidecar(&file).expect("a sidecar's settings are accepted");
+            read_sidecar(&file).expect("the sidecar settings are valid");
         }
     }
 }
 
 #[gtest]
-fn commands_add_what_the_sidecars_are_set_to() {
+fn added_servers_match_the_sidecar_settings() {
     for deployment in ["trust", "directorate"] {
         let commands = commands(deployment);
         let servers = added_servers(&commands);
@@ -88,10 +88,10 @@
                 _ => None,
             })
             .collect();
-        let sidecars = files(&directory(deployment).join("sidecars"));
+        let sidecars = files(&example_directory(deployment).join("sidecars"));
         expect_that!(servers.len(), eq(sidecars.len()));
         for file in sidecars {
-            let sidecar = read_sidecar(&file).expect("it is accepted");
+            let sidecar = read_sidecar(&file).expect("the sidecar settings are valid");
             let server = servers.iter().find(|server| server.name == sidecar.name);
             let server = server.expect("the server is added");
             expect_that!(pools.contains(&server.pool), eq(true));
@@ -106,7 +106,7 @@
 }
 
 #[gtest]
-fn sixteen_customers_are_added() {
+fn sixteen_customers_are_added_at_least_two_with_large_shares() {
     for deployment in ["trust", "directorate"] {
         let commands = commands(deployment);
         let shares: Vec<u32> = commands
