--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! What each word of the command line does.
+//! Commands of the client.
 
 mod check;
 mod config;
@@ -16,13 +16,13 @@
 use crate::args::Args;
 use crate::error::Error;
 use crate::session::Session;
-use crate::{force, print};
+use crate::{print, rollout};
 
-/// Runs what the command line says.
+/// Parses the command line and runs its command.
 ///
 /// # Errors
 ///
-/// See [`Error`].
+/// Any [`Error`]; help is returned as [`Error::Help`].
 pub(crate) fn run(args: impl Iterator<Item = String>) -> Result<(), Error> {
     let args: Vec<String> = args.collect();
     let usage = |e: gumdrop::Error| Error::Usage(e.to_string());
@@ -41,13 +41,13 @@
         command::ParseError::Help(text) => Error::Help(text),
         command::ParseError::Usage(reason) => Error::Usage(reason),
     })?;
-    let session = Session::open(&args)?;
+    let session = Session::from_args(&args)?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(Error::Runtime)?;
     let result = runtime.block_on(dispatch(&session, &command, args.words));
-    result.map_err(|error| told(error, command.json()))
+    result.map_err(|error| format_error(error, command.json()))
 }
 
 async fn dispatch(session: &Session, command: &Command, words: Vec<String>) -> Result<(), Error> {
@@ -61,31 +61,31 @@
     }
 }
 
-/// Reports an accepted change and waits until it is in force, if asked to.
-async fn report(session: &Session, command: &Command, answer: &Output) -> Result<(), Error> {
-    let Output::Written(written) = answer else {
-        return Err(unexpected());
+/// Prints the result of a change and, with `--wait`, waits until every node has applied it.
+async fn report_write(session: &Session, command: &Command, output: &Output) -> Result<(), Error> {
+    let Output::Written(result) = output else {
+        return Err(unexpected_output());
     };
     if !command.json() {
-        print::written(written);
+        print::write_result(result);
     }
     if !command.wait() {
         if command.json() {
-            print::json(answer, &[]);
+            print::json(output, &[]);
         }
         return Ok(());
     }
-    let in_force = force::wait(session, written.revision).await;
+    let applied = rollout::wait(session, result.revision).await;
     if command.json() {
-        print::json(answer, &[("in_force", in_force.is_ok().into())]);
-    } else if in_force.is_ok() {
-        println!("{}: in force everywhere", written.key);
+        print::json(output, &[("in_force", applied.is_ok().into())]);
+    } else if applied.is_ok() {
+        println!("{}: applied by every node", result.key);
     }
-    in_force
+    applied
 }
 
-fn unexpected() -> Error {
-    Error::Answer("not what was asked for".to_owned())
+fn unexpected_output() -> Error {
+    Error::Protocol("unexpected type of output".to_owned())
 }
 
 fn help(args: &Args) -> Error {
@@ -98,19 +98,19 @@
     if args.help {
         Error::Help(text)
     } else {
-        Error::Usage(format!("a command is missing\n\n{text}"))
+        Error::Usage(format!("command missing\n\n{text}"))
     }
 }
 
-/// A refusal in the form that was asked for.
-fn told(error: Error, json: bool) -> Error {
+/// Formats an error of a command as JSON, if requested.
+fn format_error(error: Error, json: bool) -> Error {
     match error {
-        Error::Refused(refusal) if json => {
-            let code = refusal.code;
-            let reply = Response::from(Err(refusal));
-            let text = serde_json::to_string_pretty(&reply).unwrap_or_default();
-            Error::RefusedJson(code, text)
+        Error::Command(error) if json => {
+            let code = error.code;
+            let response = Response::from(Err(error));
+            let text = serde_json::to_string_pretty(&response).unwrap_or_default();
+            Error::CommandJson(code, text)
         }
-        other => other,
+        error => error,
     }
 }
