--- a/crates/daemon/src/router/dispatch.rs
+++ b/crates/daemon/src/router/dispatch.rs
@@ -160,14 +160,14 @@
                 link.status.clear_free_slots();
                 Ok(())
             }
-            Verdict::Late => Err(queueing::deadline_passed(self.core, &self.call)),
+            Verdict::DeadlineExceeded => Err(queueing::deadline_passed(self.core, &self.call)),
             Verdict::Malformed => Err(malformed()),
-            Verdict::Full => Err(keys_full(retry_after)),
-            Verdict::Doubtful => Err(key_doubtful(retry_after)),
+            Verdict::RetryAfter => Err(keys_full(retry_after)),
+            Verdict::Indeterminate => Err(key_doubtful(retry_after)),
             Verdict::Running => Err(key_used(Outcome::Running)),
-            Verdict::Ran => Err(key_used(Outcome::Ran)),
-            Verdict::Broken => self.handle_lost("the server failed"),
-            Verdict::NotHome | Verdict::Tombstone | Verdict::Unreachable => {
+            Verdict::Completed => Err(key_used(Outcome::Ran)),
+            Verdict::Interrupted => self.handle_lost("the server failed"),
+            Verdict::NotHome | Verdict::Withdrawn | Verdict::Unreachable => {
                 self.withdraw_retry(verdict.as_str())
             }
         }
--- a/crates/daemon/src/router/response.rs
+++ b/crates/daemon/src/router/response.rs
@@ -15,9 +15,9 @@
 >;
 
 /// Returns the sidecar's verdict on a response. An unparsable verdict counts as
-/// [`Verdict::Broken`].
+/// [`Verdict::Interrupted`].
 pub(crate) fn verdict(response: &Response<Incoming>) -> Option<Verdict> {
     let value = response.headers().get(verdict::HEADER)?;
     let verdict = value.to_str().ok().and_then(Verdict::parse);
-    Some(verdict.unwrap_or(Verdict::Broken))
+    Some(verdict.unwrap_or(Verdict::Interrupted))
 }
--- a/crates/daemon/src/sidecar/data.rs
+++ b/crates/daemon/src/sidecar/data.rs
@@ -89,15 +89,15 @@
 fn reject(shared: &Shared, ticket: &Ticket, decision: &Decision) -> Response<Body> {
     let (verdict, retry_at) = match decision {
         Decision::Replay(stored) => return response::replay(stored),
-        Decision::RetryAt(at) => (Verdict::Full, Some(*at)),
+        Decision::RetryAt(at) => (Verdict::RetryAfter, Some(*at)),
         Decision::Started | Decision::Busy => (Verdict::Busy, None),
         Decision::Draining => (Verdict::Draining, None),
-        Decision::Withdrawn => (Verdict::Tombstone, None),
-        Decision::DeadlineExceeded => (Verdict::Late, None),
-        Decision::Indeterminate => (Verdict::Doubtful, None),
+        Decision::Withdrawn => (Verdict::Withdrawn, None),
+        Decision::DeadlineExceeded => (Verdict::DeadlineExceeded, None),
+        Decision::Indeterminate => (Verdict::Indeterminate, None),
         Decision::Running => (Verdict::Running, None),
-        Decision::Completed => (Verdict::Ran, None),
-        Decision::Interrupted => (Verdict::Broken, None),
+        Decision::Completed => (Verdict::Completed, None),
+        Decision::Interrupted => (Verdict::Interrupted, None),
     };
     log!(shared.logger, Event::Rejected,
         "request" => ticket.attempt.request_id(), "attempt" => ticket.attempt.number,
--- a/crates/daemon/src/sidecar/exchange.rs
+++ b/crates/daemon/src/sidecar/exchange.rs
@@ -24,7 +24,7 @@
     let (sender, receiver) = oneshot::channel();
     let tasks = slot.shared.tasks.clone();
     tasks.spawn(run(slot, request, sender));
-    let interrupted = |_| response::reject(Verdict::Broken, None);
+    let interrupted = |_| response::reject(Verdict::Interrupted, None);
     receiver.await.unwrap_or_else(interrupted)
 }
 
@@ -56,7 +56,7 @@
         "request" => slot.ticket.attempt.request_id(), "attempt" => slot.ticket.attempt.number,
         "sent" => sent, "error" => error.to_string());
     if sent {
-        return response::reject(Verdict::Broken, None);
+        return response::reject(Verdict::Interrupted, None);
     }
     slot.shared.mark_backend_down();
     slot.end(Termination::Unsent);
--- a/crates/daemon/tests/router/outcome.rs
+++ b/crates/daemon/tests/router/outcome.rs
@@ -65,8 +65,8 @@
 async fn idempotent_requests_are_retried() {
     let rows = [
         Behavior::Verdict(Verdict::Unreachable),
-        Behavior::Verdict(Verdict::Tombstone),
-        Behavior::Verdict(Verdict::Broken),
+        Behavior::Verdict(Verdict::Withdrawn),
+        Behavior::Verdict(Verdict::Interrupted),
     ];
     for behavior in rows {
         let fake = FakeSidecar::bind("s1", MODEL, 4).await;
@@ -87,8 +87,8 @@
 async fn refusal_without_retry_budget_reports_the_outcome() {
     let rows = [
         (Verdict::Unreachable, "not-run"),
-        (Verdict::Tombstone, "not-run"),
-        (Verdict::Broken, "unknown"),
+        (Verdict::Withdrawn, "not-run"),
+        (Verdict::Interrupted, "unknown"),
     ];
     let fake = FakeSidecar::bind("s1", MODEL, 4).await;
     let fleet = Fleet::spawn(&[&fake], &json!({"limits": {"retry_percent": 0}})).await;
--- a/crates/wire/src/verdict.rs
+++ b/crates/wire/src/verdict.rs
@@ -11,25 +11,25 @@
     /// The server is draining; not run.
     Draining,
     /// The attempt was withdrawn before it arrived; not run.
-    Tombstone,
+    Withdrawn,
     /// The server is not the key's home in the sidecar's configuration; not run.
     NotHome,
     /// The key may have run in an earlier instance or at a former home; unknown.
-    Doubtful,
+    Indeterminate,
     /// A request with this key is running.
     Running,
     /// A request with this key completed; its response is not stored.
-    Ran,
+    Completed,
     /// The backend refused the connection or was unreachable; nothing was sent; not run.
     Unreachable,
     /// The backend failed after the request was sent; unknown.
-    Broken,
+    Interrupted,
     /// The ticket could not be decoded; not run.
     Malformed,
     /// The deadline had passed on arrival; not run.
-    Late,
+    DeadlineExceeded,
     /// The idempotency key cannot be stored yet; not run. `retry-after` gives the time to retry.
-    Full,
+    RetryAfter,
 }
 
 impl Verdict {
@@ -37,16 +37,16 @@
     pub const ALL: [Self; 12] = [
         Self::Busy,
         Self::Draining,
-        Self::Tombstone,
+        Self::Withdrawn,
         Self::NotHome,
-        Self::Doubtful,
+        Self::Indeterminate,
         Self::Running,
-        Self::Ran,
+        Self::Completed,
         Self::Unreachable,
-        Self::Broken,
+        Self::Interrupted,
         Self::Malformed,
-        Self::Late,
-        Self::Full,
+        Self::DeadlineExceeded,
+        Self::RetryAfter,
     ];
 
     /// Value in [`HEADER`].
@@ -55,16 +55,16 @@
         match self {
             Self::Busy => "busy",
             Self::Draining => "draining",
-            Self::Tombstone => "tombstone",
+            Self::Withdrawn => "tombstone",
             Self::NotHome => "not-home",
-            Self::Doubtful => "doubtful",
+            Self::Indeterminate => "doubtful",
             Self::Running => "running",
-            Self::Ran => "ran",
+            Self::Completed => "ran",
             Self::Unreachable => "unreachable",
-            Self::Broken => "broken",
+            Self::Interrupted => "broken",
             Self::Malformed => "malformed",
-            Self::Late => "late",
-            Self::Full => "full",
+            Self::DeadlineExceeded => "late",
+            Self::RetryAfter => "full",
         }
     }
 
@@ -82,13 +82,13 @@
         match self {
             Self::Busy
             | Self::Draining
-            | Self::Tombstone
+            | Self::Withdrawn
             | Self::NotHome
             | Self::Unreachable
             | Self::Malformed
-            | Self::Late
-            | Self::Full => true,
-            Self::Doubtful | Self::Running | Self::Ran | Self::Broken => false,
+            | Self::DeadlineExceeded
+            | Self::RetryAfter => true,
+            Self::Indeterminate | Self::Running | Self::Completed | Self::Interrupted => false,
         }
     }
 }
