--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use mulberryyoke_platform::kv::Position;
-use mulberryyoke_wire::relay::{CHANGES, LIST, Relayed};
+use mulberryyoke_wire::relay::{Batch, CHANGES, LIST};
 
 use crate::core::Core;
 use crate::{clock, quarantine, readiness};
@@ -65,7 +65,7 @@
     matching.next()?.1.parse().ok()
 }
 
-fn relay_response(relayed: Option<Relayed>) -> Response<Full<Bytes>> {
+fn relay_response(relayed: Option<Batch>) -> Response<Full<Bytes>> {
     match relayed {
         Some(relayed) => Response::new(Full::new(Bytes::from(relayed.encode()))),
         None => status_response(StatusCode::GONE),
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -12,7 +12,7 @@
 use mulberryyoke_event::{Event, log};
 use mulberryyoke_platform::kv::{Error, Position};
 use mulberryyoke_platform::{Backoff, HttpError};
-use mulberryyoke_wire::relay::Relayed;
+use mulberryyoke_wire::relay::Batch;
 use tokio::time::{Instant, sleep, sleep_until};
 
 use self::applier::Applier;
@@ -109,7 +109,7 @@
 
     /// Rejects a response that is older than the state applied here: a peer may lag. The service
     /// itself is never behind within an era.
-    fn reject_stale(&self, source: Source, relayed: Relayed) -> Result<Relayed, Error> {
+    fn reject_stale(&self, source: Source, relayed: Batch) -> Result<Batch, Error> {
         let (received, known) = (position(&relayed), self.applier.position());
         let is_stale = match source {
             Source::Store => received.era < known.era,
@@ -165,7 +165,7 @@
     }
 }
 
-const fn position(relayed: &Relayed) -> Position {
+const fn position(relayed: &Batch) -> Position {
     Position {
         era: relayed.era,
         revision: relayed.revision,
--- a/crates/gateway/src/follow/source.rs
+++ b/crates/gateway/src/follow/source.rs
@@ -9,7 +9,7 @@
 use mulberryyoke_platform::HttpError;
 use mulberryyoke_platform::http::{self, Http};
 use mulberryyoke_platform::kv::{Error, Feed, Position};
-use mulberryyoke_wire::relay::{CHANGES, LIST, Relayed, Write};
+use mulberryyoke_wire::relay::{Batch, CHANGES, LIST, Write};
 use tokio::time::Instant;
 
 use crate::clock;
@@ -128,7 +128,7 @@
     }
 
     /// Lists every key.
-    pub(super) async fn list(&self, source: Source) -> Result<Relayed, Error> {
+    pub(super) async fn list(&self, source: Source) -> Result<Batch, Error> {
         match source {
             Source::Store => {
                 let listing = self.feed.list(ALL_KEYS).await?;
@@ -137,7 +137,7 @@
                     value: Some(pair.value),
                     revision: pair.revision,
                 });
-                Ok(Relayed {
+                Ok(Batch {
                     known_ms: 0,
                     revision: listing.position.revision,
                     writes: writes.collect(),
@@ -149,7 +149,7 @@
     }
 
     /// Reads the writes after a position. If the era changed, only the result's position counts.
-    pub(super) async fn changes(&self, source: Source, after: Position) -> Result<Relayed, Error> {
+    pub(super) async fn changes(&self, source: Source, after: Position) -> Result<Batch, Error> {
         match source {
             Source::Store => {
                 let wait_ms = if self.is_store_down { 0 } else { STORE_WAIT_MS };
@@ -163,7 +163,7 @@
                     value: event.value,
                     revision: event.revision,
                 });
-                Ok(Relayed {
+                Ok(Batch {
                     known_ms: 0,
                     revision,
                     writes: writes.collect(),
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn fetch(&self, peer: SocketAddr, path: &str, wait_ms: u64) -> Result<Relayed, Error> {
+    async fn fetch(&self, peer: SocketAddr, path: &str, wait_ms: u64) -> Result<Batch, Error> {
         let started_ms = clock::now_ms();
         let deadline = std::time::Instant::now() + Duration::from_millis(wait_ms + CALL_TIMEOUT_MS);
         let request = http::request(Method::GET, peer, path, Bytes::new());
@@ -194,7 +194,7 @@
         }
         let body = http::read_body(response, MAX_RESPONSE_BYTES, deadline).await;
         let body = body.map_err(|failure| Error::Unknown(failure.cause))?;
-        let relayed = Relayed::decode(&body);
+        let relayed = Batch::decode(&body);
         let now_ms = clock::now_ms();
         let relayed = relayed.filter(|relayed| {
             let known_ms = started_ms.saturating_add_signed(relayed.known_ms);
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mulberryyoke_platform::kv::{Position, Revision};
-use mulberryyoke_wire::relay::{Relayed, Write};
+use mulberryyoke_wire::relay::{Batch, Write};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use tokio::time::timeout;
@@ -72,10 +72,10 @@
     }
 
     /// Lists every key; `None` before the first listing.
-    pub(crate) fn list(&self, known_ms: i64) -> Option<Relayed> {
+    pub(crate) fn list(&self, known_ms: i64) -> Option<Batch> {
         let inner = self.inner.lock();
         let Position { era, revision } = inner.position;
-        (revision > 0).then(|| Relayed {
+        (revision > 0).then(|| Batch {
             known_ms,
             revision,
             writes: inner.keys.values().cloned().collect(),
@@ -91,13 +91,13 @@
     }
 
     /// The writes after a position; `None` if some are no longer kept, or if the era differs.
-    pub(crate) fn changes(&self, after: Position, known_ms: i64) -> Option<Relayed> {
+    pub(crate) fn changes(&self, after: Position, known_ms: i64) -> Option<Batch> {
         let inner = self.inner.lock();
         let Position { era, revision } = inner.position;
         let is_available = revision > 0 && after.era == era && after.revision >= inner.compacted;
         let newer = inner.writes.iter();
         let newer = newer.filter(|write| write.revision > after.revision);
-        is_available.then(|| Relayed {
+        is_available.then(|| Batch {
             known_ms,
             revision: revision.max(after.revision),
             writes: newer.cloned().collect(),
--- a/crates/gateway/tests/gateway/lagging.rs
+++ b/crates/gateway/tests/gateway/lagging.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use mulberryyoke_wire::relay::{Relayed, Write};
+use mulberryyoke_wire::relay::{Batch, Write};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
     let service = Service::new();
     service.set("config", Some("5 secret"));
     let revision = service.revision();
-    let listing = Relayed {
+    let listing = Batch {
         known_ms: 0,
         revision,
         writes: vec![Write {
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -11,7 +11,7 @@
 
 /// Writes known to a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct Batch {
     /// Time at which the gateway last confirmed that the list is complete, in milliseconds
     /// after it received the call; negative if before.
     pub known_ms: i64,
@@ -35,7 +35,7 @@
     pub revision: u64,
 }
 
-impl Relayed {
+impl Batch {
     /// Encodes the writes.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
