--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -16,7 +16,7 @@
     NotRun,
     /// Started and interrupted.
     Cut,
-    /// Indeterminate.
+    /// May or may not have run.
     Unknown,
 }
 
--- a/crates/model/src/statement.rs
+++ b/crates/model/src/statement.rs
@@ -41,8 +41,8 @@
 pub struct OriginSum {
     /// Instance of the origin.
     pub origin: Incarnation,
-    /// Sum of the known counters; the maximum value if the origin itself was received from
-    /// recently, so that its counters need not be relayed.
+    /// Sum of the known counters; `u64::MAX` if the sender is the origin or recently received a
+    /// message from it, so that its counters need not be relayed.
     pub sum: u64,
 }
 
