--- a/crates/wire/src/aggregate/assembler.rs
+++ b/crates/wire/src/aggregate/assembler.rs
@@ -7,8 +7,8 @@
 use super::packet::{self, Packet};
 use super::{DecodeError, Message};
 
-/// Maximum number of senders with partial messages; beyond it all are dropped. Bounds the memory
-/// that packets from unknown senders can occupy.
+/// Maximum number of senders with partial messages; at the limit, all partial messages are
+/// discarded. Bounds the memory that packets from unknown senders can occupy.
 const MAX_SENDERS: usize = 512;
 
 /// A partially received message.
--- a/crates/wire/src/aggregate/packet.rs
+++ b/crates/wire/src/aggregate/packet.rs
@@ -7,8 +7,7 @@
 /// Largest packet, in bytes; fits an Ethernet frame without fragmentation.
 pub const MAX_BYTES: usize = 1_400;
 
-/// Version of the message format. Packets of other versions are counted as unreadable and
-/// ignored.
+/// Version of the message format. Packets of other versions are rejected.
 const VERSION: u8 = 2;
 
 /// Length of the packet header: version, sender's incarnation, sequence number of the message,
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -9,7 +9,7 @@
 /// `era=ERA&after=REVISION&wait_ms=MILLISECONDS`.
 pub const CHANGES: &str = "/relay/changes";
 
-/// Writes known to a gateway.
+/// Writes known to a gateway: the latest of every key, or those after a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Time at which the gateway last confirmed that the list is complete, in milliseconds
--- a/crates/wire/src/sidecar.rs
+++ b/crates/wire/src/sidecar.rs
@@ -40,7 +40,7 @@
 pub struct Withdrawal {
     /// Outcome of the attempt or of its key.
     pub outcome: Outcome,
-    /// Whether an earlier instance of the sidecar may have started it.
+    /// Whether an earlier instance of the sidecar may have started the request.
     pub doubtful: bool,
 }
 
--- a/crates/wire/src/verdict.rs
+++ b/crates/wire/src/verdict.rs
@@ -1,28 +1,29 @@
-//! Results that a sidecar reports for requests that it did not pass on.
+//! Verdicts: why a sidecar answered a request itself instead of relaying the backend's response.
 
 /// Response header that carries the [`Verdict`]; absent from responses of the backend.
 pub const HEADER: &str = "verdict";
 
-/// Why a sidecar answered a request itself.
+/// Why a sidecar answered a request itself, and whether the attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
     /// No slot is free; the attempt did not run and never will.
     Busy,
     /// The server is draining; not run.
     Draining,
-    /// The attempt was withdrawn before it arrived; not run.
+    /// The attempt or its key was withdrawn before it arrived; not run.
     Withdrawn,
     /// The server is not the key's home in the sidecar's configuration; not run.
     NotHome,
-    /// The key may have run in an earlier instance or at a former home; unknown.
+    /// The key may have run in an earlier instance or at a former home; outcome unknown.
     Indeterminate,
-    /// A request with this key is running.
+    /// The attempt, or a request with the same key, is running.
     Running,
-    /// A request with this key completed; its response is not stored.
+    /// The attempt, or a request with the same key, completed; the response is not stored.
     Completed,
     /// The backend refused the connection or was unreachable; nothing was sent; not run.
     Unreachable,
-    /// The backend failed after the request was sent; unknown.
+    /// The attempt, or a request with the same key, was sent to the backend and interrupted;
+    /// outcome unknown.
     Interrupted,
     /// The ticket could not be decoded; not run.
     Malformed,
@@ -49,7 +50,8 @@
         Self::RetryAfter,
     ];
 
-    /// Value in [`HEADER`].
+    /// Value in [`HEADER`]. Independent of the names of the variants, for compatibility with other
+    /// releases.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/wire/tests/aggregate.rs
+++ b/crates/wire/tests/aggregate.rs
@@ -13,7 +13,7 @@
 /// Length of the packet header.
 const HEADER_BYTES: usize = 15;
 
-/// A fleet message with this many servers, customers and prefills.
+/// A message of fleet scope with the given numbers of servers, customers and prefills.
 fn message(sequence: u32, servers: u32, customers: u32, prefills: u32) -> Message {
     let load = Load {
         prefill_tokens: 123_456,
@@ -155,7 +155,7 @@
     expect_that!(messages.len(), eq(1));
 }
 
-/// This many suspected requests with three crashes each.
+/// The given number of suspected requests, with three crashes each.
 fn suspects(count: u32) -> Vec<Suspect> {
     let crash = |server| Crash {
         server: ServerId(u32::MAX - server),
