--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -9,9 +9,9 @@
 /// `era=ERA&after=REVISION&wait_ms=MILLISECONDS`.
 pub const CHANGES: &str = "/relay/changes";
 
-/// Writes known to a gateway.
+/// Writes known to a gateway: the latest of every key, or those after a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct Batch {
     /// Time at which the gateway last confirmed that the list is complete, in milliseconds
     /// after it received the call; negative if before.
     pub known_ms: i64,
@@ -35,7 +35,7 @@
     pub revision: u64,
 }
 
-impl Relayed {
+impl Batch {
     /// Encodes the writes.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
--- a/crates/wire/src/verdict.rs
+++ b/crates/wire/src/verdict.rs
@@ -1,35 +1,36 @@
-//! Results that a sidecar reports for requests that it did not pass on.
+//! Verdicts: why a sidecar answered a request itself instead of relaying the backend's response.
 
 /// Response header that carries the [`Verdict`]; absent from responses of the backend.
 pub const HEADER: &str = "verdict";
 
-/// Why a sidecar answered a request itself.
+/// Why a sidecar answered a request itself, and whether the attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
     /// No slot is free; the attempt did not run and never will.
     Busy,
     /// The server is draining; not run.
     Draining,
-    /// The attempt was withdrawn before it arrived; not run.
-    Tombstone,
+    /// The attempt or its key was withdrawn before it arrived; not run.
+    Withdrawn,
     /// The server is not the key's home in the sidecar's configuration; not run.
     NotHome,
-    /// The key may have run in an earlier instance or at a former home; unknown.
-    Doubtful,
-    /// A request with this key is running.
+    /// The key may have run in an earlier instance or at a former home; outcome unknown.
+    Indeterminate,
+    /// The attempt, or a request with the same key, is running.
     Running,
-    /// A request with this key completed; its response is not stored.
-    Ran,
+    /// The attempt, or a request with the same key, completed; the response is not stored.
+    Completed,
     /// The backend refused the connection or was unreachable; nothing was sent; not run.
     Unreachable,
-    /// The backend failed after the request was sent; unknown.
-    Broken,
+    /// The attempt, or a request with the same key, was sent to the backend and interrupted;
+    /// outcome unknown.
+    Interrupted,
     /// The ticket could not be decoded; not run.
     Malformed,
     /// The deadline had passed on arrival; not run.
-    Late,
+    DeadlineExceeded,
     /// The idempotency key cannot be stored yet; not run. `retry-after` gives the time to retry.
-    Full,
+    RetryAfter,
 }
 
 impl Verdict {
@@ -37,34 +38,35 @@
     pub const ALL: [Self; 12] = [
         Self::Busy,
         Self::Draining,
-        Self::Tombstone,
+        Self::Withdrawn,
         Self::NotHome,
-        Self::Doubtful,
+        Self::Indeterminate,
         Self::Running,
-        Self::Ran,
+        Self::Completed,
         Self::Unreachable,
-        Self::Broken,
+        Self::Interrupted,
         Self::Malformed,
-        Self::Late,
-        Self::Full,
+        Self::DeadlineExceeded,
+        Self::RetryAfter,
     ];
 
-    /// Value in [`HEADER`].
+    /// Value in [`HEADER`]. Independent of the names of the variants, for compatibility with other
+    /// releases.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Busy => "busy",
             Self::Draining => "draining",
-            Self::Tombstone => "tombstone",
+            Self::Withdrawn => "tombstone",
             Self::NotHome => "not-home",
-            Self::Doubtful => "doubtful",
+            Self::Indeterminate => "doubtful",
             Self::Running => "running",
-            Self::Ran => "ran",
+            Self::Completed => "ran",
             Self::Unreachable => "unreachable",
-            Self::Broken => "broken",
+            Self::Interrupted => "broken",
             Self::Malformed => "malformed",
-            Self::Late => "late",
-            Self::Full => "full",
+            Self::DeadlineExceeded => "late",
+            Self::RetryAfter => "full",
         }
     }
 
@@ -82,13 +84,13 @@
         match self {
             Self::Busy
             | Self::Draining
-            | Self::Tombstone
+            | Self::Withdrawn
             | Self::NotHome
             | Self::Unreachable
             | Self::Malformed
-            | Self::Late
-            | Self::Full => true,
-            Self::Doubtful | Self::Running | Self::Ran | Self::Broken => false,
+            | Self::DeadlineExceeded
+            | Self::RetryAfter => true,
+            Self::Indeterminate | Self::Running | Self::Completed | Self::Interrupted => false,
         }
     }
 }
