--- a/crates/daemon/tests/proof/at_most_once.rs
+++ b/crates/daemon/tests/proof/at_most_once.rs
@@ -63,7 +63,7 @@
 ) -> Response {
     wait::until(&format!("{expected:?} of {}", request.op), async || {
         let response = request.send(fleet.caller_address(router)).await;
-        let is_expected = response.end == expected;
+        let is_expected = response.call_outcome == expected;
         is_expected
             .then(|| response.clone())
             .ok_or(format!("{response:?}"))
@@ -74,7 +74,11 @@
 /// Repeats a call through all routers and expects that it does not run again.
 async fn expect_not_run_again(fleet: &Fleet, request: &Request, expected: &[CallOutcome]) {
     for response in send_through_all_routers(fleet, request).await {
-        expect_that!(expected, contains(eq(&response.end)), "{response:?}");
+        expect_that!(
+            expected,
+            contains(eq(&response.call_outcome)),
+            "{response:?}"
+        );
     }
     expect_that!(fleet.start_count(&request.op), eq(1), "{}", request.op);
 }
@@ -112,7 +116,10 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
+    expect_that!(
+        pending.await.unwrap().call_outcome,
+        eq(CallOutcome::Unknown)
+    );
     fleet.sidecars[0].restart();
     expect_not_run_again(&fleet, &request, &[CallOutcome::Unknown]).await;
     let next = Request::booking("next").with_key();
@@ -129,7 +136,10 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     expect_that!(fleet.sidecars[0].stop().await, some(eq(0)));
-    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Complete));
+    expect_that!(
+        pending.await.unwrap().call_outcome,
+        eq(CallOutcome::Complete)
+    );
     fleet.sidecars[0].restart();
     retry_until(&fleet, 1, &request, CallOutcome::Ran).await;
     expect_not_run_again(&fleet, &request, &[CallOutcome::Ran]).await;
@@ -143,7 +153,10 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.routers[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
+    expect_that!(
+        pending.await.unwrap().call_outcome,
+        eq(CallOutcome::Unknown)
+    );
     retry_until(&fleet, 1, &request, CallOutcome::Complete).await;
     fleet.routers[0].restart();
     fleet.wait_connected(0).await;
@@ -160,7 +173,10 @@
     // No process that knows the key is left.
     fleet.routers[0].kill().await;
     fleet.sidecars[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
+    expect_that!(
+        pending.await.unwrap().call_outcome,
+        eq(CallOutcome::Unknown)
+    );
     fleet.sidecars[0].restart();
     fleet.routers[0].restart();
     fleet.wait_connected(0).await;
@@ -183,7 +199,10 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.wait_started(&request.op, 1).await;
     fleet.sidecars[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
+    expect_that!(
+        pending.await.unwrap().call_outcome,
+        eq(CallOutcome::Unknown)
+    );
     fleet.sidecars[0].restart();
     fleet.sidecars[0].wait_event(Event::KvDown, |_| true).await;
     for request in [&before, &request] {
@@ -239,7 +258,10 @@
     for (request, responses) in during.iter().zip(responses) {
         wait::until("a response that the call ran", async || {
             let response = request.send(fleet.caller_address(1)).await;
-            let has_run = matches!(response.end, CallOutcome::Complete | CallOutcome::Ran);
+            let has_run = matches!(
+                response.call_outcome,
+                CallOutcome::Complete | CallOutcome::Ran
+            );
             has_run.then_some(()).ok_or(format!("{response:?}"))
         })
         .await;
@@ -266,7 +288,7 @@
     fleet.run_command(1, "server drain booking-0").await;
     for response in send_through_all_routers(&fleet, &request).await {
         expect_that!(
-            response.end,
+            response.call_outcome,
             any![
                 eq(CallOutcome::Complete),
                 eq(CallOutcome::Ran),
@@ -275,7 +297,10 @@
             "{response:?}"
         );
     }
-    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Complete));
+    expect_that!(
+        pending.await.unwrap().call_outcome,
+        eq(CallOutcome::Complete)
+    );
     let next = Request::booking_at(&POOL, POOL[0], 2);
     for router in 0..2 {
         retry_until(&fleet, router, &next, CallOutcome::Complete).await;
@@ -310,7 +335,7 @@
     retry_until(&fleet, 0, &request, CallOutcome::Complete).await;
     data.resume();
     let late = late.await.unwrap();
-    expect_that!(late.end, eq(CallOutcome::Complete), "{late:?}");
+    expect_that!(late.call_outcome, eq(CallOutcome::Complete), "{late:?}");
     expect_that!(fleet.start_count(&request.op), eq(1), "{late:?}");
 }
 
--- a/crates/daemon/tests/proof/common/request.rs
+++ b/crates/daemon/tests/proof/common/request.rs
@@ -43,8 +43,8 @@
     pub(crate) retry_after: Option<u64>,
     /// Body, or the reason why it is incomplete.
     pub(crate) body: Result<String, String>,
-    /// Classification of the response.
-    pub(crate) end: CallOutcome,
+    /// Outcome of the call as the caller sees it.
+    pub(crate) call_outcome: CallOutcome,
 }
 
 impl Request {
@@ -179,9 +179,9 @@
             id: header("x-request-id").to_owned(),
             retry_after: header("retry-after").parse().ok(),
             body: text,
-            end: CallOutcome::Unknown,
+            call_outcome: CallOutcome::Unknown,
         };
-        response.end = self.classify(&response);
+        response.call_outcome = self.classify(&response);
         response
     }
 
@@ -196,7 +196,7 @@
 }
 
 impl Response {
-    fn missing(end: CallOutcome, reason: &str) -> Self {
+    fn missing(call_outcome: CallOutcome, reason: &str) -> Self {
         Self {
             status: 0,
             outcome: String::new(),
@@ -204,7 +204,7 @@
             id: String::new(),
             retry_after: None,
             body: Err(reason.to_owned()),
-            end,
+            call_outcome,
         }
     }
 
--- a/crates/daemon/tests/proof/fairness.rs
+++ b/crates/daemon/tests/proof/fairness.rs
@@ -34,7 +34,7 @@
         for response in join_all(pending).await {
             let response = response.unwrap();
             assert_that!(
-                response.end,
+                response.call_outcome,
                 eq(CallOutcome::Complete),
                 "{round}: {response:?}"
             );
--- a/crates/daemon/tests/proof/leaving.rs
+++ b/crates/daemon/tests/proof/leaving.rs
@@ -88,7 +88,11 @@
         .collect();
     for response in join_all(responses).await {
         let response = response.unwrap();
-        expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
+        expect_that!(
+            response.call_outcome,
+            eq(CallOutcome::Complete),
+            "{response:?}"
+        );
     }
     fleet.backends[0].journal().runs().len() - before
 }
--- a/crates/daemon/tests/proof/outcomes.rs
+++ b/crates/daemon/tests/proof/outcomes.rs
@@ -64,7 +64,7 @@
 /// Expects that requests reported as not run did not run.
 fn expect_not_run(fleet: &Fleet, requests: &[Request], responses: &[Response]) {
     for (request, response) in requests.iter().zip(responses) {
-        if response.end == CallOutcome::NotRun {
+        if response.call_outcome == CallOutcome::NotRun {
             expect_that!(fleet.start_count(&request.op), eq(0), "{response:?}");
         }
     }
@@ -94,7 +94,7 @@
     expect_that!(
         responses
             .iter()
-            .filter(|response| response.end == CallOutcome::Complete)
+            .filter(|response| response.call_outcome == CallOutcome::Complete)
             .count(),
         ge(4)
     );
@@ -117,7 +117,7 @@
     drop(running);
     // The next request gets the free slot; the expired one is never started.
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(CallOutcome::Complete));
+    expect_that!(next.call_outcome, eq(CallOutcome::Complete));
     expect_that!(fleet.start_count(&request.op), eq(0));
 }
 
@@ -168,7 +168,7 @@
     }
     drop(running);
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(CallOutcome::Complete));
+    expect_that!(next.call_outcome, eq(CallOutcome::Complete));
     expect_not_run(&fleet, &requests, &responses);
 }
 
@@ -227,12 +227,12 @@
     }
     expect_that!(
         responses,
-        contains(field!(&Response.end, eq(CallOutcome::Unknown)))
+        contains(field!(&Response.call_outcome, eq(CallOutcome::Unknown)))
     );
     fleet.sidecars[0].resume();
     fleet.wait_reconnected(0, 0).await;
     let next = Request::booking("next").send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(CallOutcome::Complete), "{next:?}");
+    expect_that!(next.call_outcome, eq(CallOutcome::Complete), "{next:?}");
     for (request, response) in requests.iter().zip(&responses) {
         expect_correct_outcome(&fleet, 0, request, &response.id).await;
     }
@@ -303,13 +303,16 @@
     let pending = request.spawn(fleet.caller_address(0));
     fleet.routers[0].wait_event(Event::Routed, |_| true).await;
     fleet.routers[0].kill().await;
-    expect_that!(pending.await.unwrap().end, eq(CallOutcome::Unknown));
+    expect_that!(
+        pending.await.unwrap().call_outcome,
+        eq(CallOutcome::Unknown)
+    );
     let repeat = request.send(fleet.caller_address(1)).await;
     expect_that!(repeat.outcome.as_str(), eq("unknown"), "{repeat:?}");
     fleet.sidecars[0].resume();
     let completed = wait::until("a complete response", async || {
         let response = request.send(fleet.caller_address(1)).await;
-        (response.end == CallOutcome::Complete)
+        (response.call_outcome == CallOutcome::Complete)
             .then_some(())
             .ok_or(format!("{response:?}"))
     });
@@ -323,7 +326,7 @@
     let fleet = Fleet::spawn(one_service()).await;
     let request = Request::booking("slot");
     let response = request.send(fleet.caller_address(0)).await;
-    expect_that!(response.end, eq(CallOutcome::Complete));
+    expect_that!(response.call_outcome, eq(CallOutcome::Complete));
     fleet.routers[0].kill().await;
     fleet.routers[0].restart();
     fleet.wait_connected(0).await;
--- a/crates/daemon/tests/proof/responses.rs
+++ b/crates/daemon/tests/proof/responses.rs
@@ -70,7 +70,7 @@
     expect_that!(body, err(anything()));
     // The engine slot is released for other requests.
     let next = Request::chat("b", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(CallOutcome::Complete));
+    expect_that!(next.call_outcome, eq(CallOutcome::Complete));
 }
 
 #[gtest]
@@ -88,7 +88,7 @@
     fleet.backends[0].relay.block();
     fleet.backends[0].relay.unblock();
     for response in join_all(pending).await {
-        expect_that!(response.unwrap().end, eq(CallOutcome::Complete));
+        expect_that!(response.unwrap().call_outcome, eq(CallOutcome::Complete));
     }
     expect_that!(fleet.sidecars[0].events(Event::Resumed), not(is_empty()));
     for request in &requests {
@@ -112,7 +112,7 @@
     fleet.backends[0].relay.unblock();
     let next = Request::chat("b", 4).send(fleet.caller_address(1)).await;
     expect_that!(
-        next.end,
+        next.call_outcome,
         any![eq(CallOutcome::Complete), eq(CallOutcome::NotRun)],
         "{next:?}"
     );
@@ -137,7 +137,7 @@
     for response in responses {
         let response = response.unwrap();
         expect_that!(
-            response.end,
+            response.call_outcome,
             any![eq(CallOutcome::Complete), eq(CallOutcome::Unknown)],
             "{response:?}"
         );
@@ -186,7 +186,7 @@
     for (request, response) in requests.iter().zip(join_all(pending).await) {
         let response = response.unwrap();
         expect_that!(
-            response.end,
+            response.call_outcome,
             any![
                 eq(CallOutcome::Complete),
                 eq(CallOutcome::Unknown),
@@ -195,7 +195,7 @@
             "{}: {response:?}",
             request.op
         );
-        complete += u32::from(response.end == CallOutcome::Complete);
+        complete += u32::from(response.call_outcome == CallOutcome::Complete);
     }
     // At least the requests at the third server complete.
     expect_that!(complete, ge(8));
@@ -217,7 +217,11 @@
     for round in 0..2 {
         for request in &requests {
             let response = request.send(fleet.caller_address(round)).await;
-            expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
+            expect_that!(
+                response.call_outcome,
+                eq(CallOutcome::Complete),
+                "{response:?}"
+            );
         }
     }
 }
@@ -243,7 +247,7 @@
         let next = Request::chat(&format!("{n}"), 50)
             .send(fleet.caller_address(0))
             .await;
-        expect_that!(next.end, eq(CallOutcome::Complete));
+        expect_that!(next.call_outcome, eq(CallOutcome::Complete));
     }
     let body = stream.read_to_end().await.unwrap();
     expect_that!(
--- a/crates/daemon/tests/proof/shutdown.rs
+++ b/crates/daemon/tests/proof/shutdown.rs
@@ -56,7 +56,11 @@
 async fn expect_complete(pending: Vec<tokio::task::JoinHandle<Response>>) {
     for response in join_all(pending).await {
         let response = response.unwrap();
-        expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
+        expect_that!(
+            response.call_outcome,
+            eq(CallOutcome::Complete),
+            "{response:?}"
+        );
     }
 }
 
@@ -69,9 +73,9 @@
     expect_complete(pending).await;
     expect_that!(fleet.routers[0].events(Event::Truncated), is_empty());
     let refused = Request::chat("next", 4).send(fleet.caller_address(0)).await;
-    expect_that!(refused.end, eq(CallOutcome::NotRun));
+    expect_that!(refused.call_outcome, eq(CallOutcome::NotRun));
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(CallOutcome::Complete));
+    expect_that!(next.call_outcome, eq(CallOutcome::Complete));
 }
 
 #[gtest]
@@ -90,7 +94,11 @@
     expect_that!(codes, each(some(eq(&0))));
     expect_complete(pending).await;
     for response in responses {
-        expect_that!(response.end, eq(CallOutcome::Complete), "{response:?}");
+        expect_that!(
+            response.call_outcome,
+            eq(CallOutcome::Complete),
+            "{response:?}"
+        );
     }
 }
 
@@ -137,7 +145,7 @@
         expect_that!(fleet.outcome(1, &id).await, eq("unknown"));
     }
     let next = Request::chat("next", 4).send(fleet.caller_address(1)).await;
-    expect_that!(next.end, eq(CallOutcome::Complete));
+    expect_that!(next.call_outcome, eq(CallOutcome::Complete));
     expect_that!(fleet.start_count(&queued.op), eq(0));
 }
 
@@ -206,7 +214,7 @@
     expect_that!(results.len(), ge(8));
     for (op, response) in results {
         expect_that!(
-            response.end,
+            response.call_outcome,
             eq(CallOutcome::Complete),
             "{op}: {response:?}"
         );
@@ -271,7 +279,7 @@
                     attempt % 2
                 };
                 let response = request.send(fleet.caller_address(router)).await;
-                let is_final = response.end != CallOutcome::NotRun;
+                let is_final = response.call_outcome != CallOutcome::NotRun;
                 is_final
                     .then(|| response.clone())
                     .ok_or(format!("{response:?}"))
