--- a/crates/decide/src/account/demand.rs
+++ b/crates/decide/src/account/demand.rs
@@ -4,11 +4,11 @@
 
 use crate::admission::LinkKey;
 
-/// Requests of one customer that wait at one link's router, excluding those that
-/// got a reserved slot since the router declared them.
+/// Requests of one customer queued at one link's router, excluding those for which a
+/// slot was reserved since the router declared them.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// The link whose router holds the requests.
+    /// The link whose router queues the requests.
     pub link: LinkKey,
     /// Number of waiting requests by class.
     waiting: [u16; 3],
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Restores a request whose router was never told of its reserved slot.
+    /// Restores a request whose reserved slot was released before its grant was sent.
     pub(crate) fn release_one(&mut self, class: usize) {
         if let Some(waiting) = self.waiting.get_mut(class) {
             *waiting = waiting.saturating_add(1);
--- a/crates/decide/src/admission/poll.rs
+++ b/crates/decide/src/admission/poll.rs
@@ -69,27 +69,28 @@
         }
     }
 
-    /// Applies the counts in a poll; only those of the collector are used. `counted`
-    /// is the last report included in them, `heard` the time up to which they
-    /// include service reported by peers.
+    /// Applies the counts in a poll; only those of the collector are used.
+    /// `acknowledged` is the last report included in them, `fleet_as_of` the time up
+    /// to which they include service reported by peers.
     pub fn poll(
         &mut self,
         link: LinkKey,
-        counted: u64,
+        acknowledged: u64,
         fleet: &[Usage],
-        heard: Millis,
+        fleet_as_of: Millis,
         now: Millis,
     ) {
         self.expire_grants(now);
         self.mark_alive(link);
         if self.collector == Some(link) {
-            self.reporter.set_lag(now.saturating_sub(heard));
+            self.reporter.set_lag(now.saturating_sub(fleet_as_of));
             self.reporter.catch_up(&mut self.ledger, now);
-            self.reporter.acknowledge(&mut self.ledger, counted, now);
-            let own = fleet.iter().filter(|usage| usage.pool == self.setup.pool);
-            let own = own.map(|usage| (usage.customer, usage.tokens));
+            self.reporter
+                .acknowledge(&mut self.ledger, acknowledged, now);
+            let totals = fleet.iter().filter(|usage| usage.pool == self.setup.pool);
+            let totals = totals.map(|usage| (usage.customer, usage.tokens));
             let settling = self.reporter.is_settling(now);
-            self.ledger.apply_fleet_totals(own, settling);
+            self.ledger.apply_fleet_totals(totals, settling);
         }
         self.grant_free_slots(now);
     }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Takes the grants and the report for a poll response.
+    /// Removes and returns the pending grants and the next report for a poll response.
     pub fn poll_response(&mut self, link: LinkKey, now: Millis) -> (Vec<Grant>, Option<Report>) {
         let reported = ReportedLoad {
             is_idle: self.is_idle(),
--- a/crates/decide/src/limiter.rs
+++ b/crates/decide/src/limiter.rs
@@ -111,12 +111,12 @@
             > u64::from(small.waiting + 1) * u64::from(large.share)
     }
 
-    /// Removes a request from the count. `started` tells whether it left the queue
-    /// for a server.
+    /// Removes a request from the count. `started` is whether it was dispatched to a
+    /// server.
     ///
     /// # Panics
     ///
-    /// If the customer has no request counted, which is a bug.
+    /// If no request of the customer is counted, which is a bug.
     pub fn remove(&mut self, customer: CustomerId, started: bool, now: Millis) {
         let state = self.customers.get_mut(&customer);
         let state = state.filter(|state| state.waiting > 0);
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -1,7 +1,7 @@
 //! Deterministic subsetting: which servers of a large pool a router stays connected to.
 //!
-//! Rendezvous hashing keeps the subset stable: a server or router that comes or goes changes only
-//! the connections it must. Servers of the router's own zone are preferred, but some of other
+//! Rendezvous hashing keeps the subset stable: adding or removing a server or router changes as few
+//! connections as possible. Servers of the router's own zone are preferred, but some of other
 //! zones are always included, so that queued work can reach idle servers there. The first few
 //! routers of every server are guaranteed to include it, so that no server is left unconnected.
 
@@ -50,15 +50,15 @@
     let (local, remote): (Vec<_>, Vec<_>) = optional
         .into_iter()
         .partition(|(s, _)| s.zone == selector.zone);
-    let left = selector.size.saturating_sub(guaranteed.len());
+    let remaining = selector.size.saturating_sub(guaranteed.len());
     let guaranteed_remote = guaranteed
         .iter()
         .filter(|(s, _)| s.zone != selector.zone)
         .count();
     let remote_quota = (selector.size / REMOTE_DIVISOR).saturating_sub(guaranteed_remote);
-    let from_remote = remote_quota.min(left).min(remote.len());
-    let from_local = (left - from_remote).min(local.len());
-    let from_remote = left - from_local;
+    let from_remote = remote_quota.min(remaining).min(remote.len());
+    let from_local = (remaining - from_remote).min(local.len());
+    let from_remote = remaining - from_local;
     let mut selected = guaranteed;
     selected.extend(local.into_iter().take(from_local));
     selected.extend(remote.into_iter().take(from_remote));
@@ -71,13 +71,13 @@
 pub fn widen(
     selector: &Selector<'_>,
     servers: &[Arc<Server>],
-    held: &[ServerId],
+    connected: &[ServerId],
     idle: &[ServerId],
     max: usize,
 ) -> Vec<ServerId> {
     let eligible = servers.iter().filter(|server| {
         let id = ServerId::of(&server.name);
-        server.state == State::Active && idle.contains(&id) && !held.contains(&id)
+        server.state == State::Active && idle.contains(&id) && !connected.contains(&id)
     });
     let mut ranked: Vec<(&Server, u64)> = eligible
         .map(|server| (server.as_ref(), weight(selector.router, server)))
--- a/crates/decide/tests/admission/simulation/params.rs
+++ b/crates/decide/tests/admission/simulation/params.rs
@@ -16,7 +16,7 @@
     pub links_per_router: usize,
     /// Number of servers in the configuration of the pool.
     pub configured_servers: usize,
-    /// Age of peer counts as told to the sidecars, in milliseconds.
+    /// Age of peer counts that is reported to the sidecars, in milliseconds.
     pub assumed_lag: Millis,
     /// Interval of the exchanges between routers, in milliseconds.
     pub exchange_interval: Millis,
