--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -20,7 +20,7 @@
 use crate::refusal::Refusal;
 
 /// Selects a server that is not in `tried` and counts the request there. A request that
-/// `may_have_run` is not refused because of load: the caller could not be told that it has not
+/// `may_have_run` is not refused because of load: such a refusal states that the request has not
 /// run. One that `is_isolated` gets a server without other isolated suspects if there is one.
 pub(crate) fn assign(
     core: &Core,
--- a/crates/gateway/src/exchange/inner.rs
+++ b/crates/gateway/src/exchange/inner.rs
@@ -42,7 +42,7 @@
     applied_ms: u64,
     /// Whether received state has changed since then.
     pub(super) is_dirty: bool,
-    /// Whether peers are registered but none has been heard from.
+    /// Whether peers are registered but no current state of any of them is available.
     is_isolated: bool,
 }
 
@@ -89,7 +89,8 @@
         self.peers.collectors(own, skipped)
     }
 
-    /// Returns the addresses of other zones' collectors, both registered and heard from.
+    /// Returns the addresses of other zones' collectors: those registered and those from which
+    /// messages were received.
     pub(super) fn remote_collectors(&self) -> Vec<SocketAddr> {
         let mut addresses = self.peers.remote_collectors(&self.placement.zone);
         addresses.extend(self.remote_collectors.values());
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Merges a message; returns `false` if a later one was received before it.
+    /// Merges a message; returns `false` if a later one has already been received.
     pub(super) fn receive(&mut self, message: &Message, from: SocketAddr, now: u64) -> bool {
         let sum = message.sum();
         match message.scope {
