--- a/crates/daemon/src/router/inspect.rs
+++ b/crates/daemon/src/router/inspect.rs
@@ -29,7 +29,7 @@
     pub position: usize,
     /// The server it is pinned to, if any.
     pub server: Option<String>,
-    /// What it waits for.
+    /// Condition for its dispatch.
     pub waits_for: String,
 }
 
@@ -44,7 +44,7 @@
     pub waiting: u32,
     /// Running requests sent by this router.
     pub running: u32,
-    /// Service over the whole fleet, as far as known, in tokens.
+    /// Known service across the fleet, in tokens.
     pub served: u64,
     /// Service per share, by which customers are compared.
     pub served_per_share: f64,
@@ -59,15 +59,15 @@
     pub pool: String,
     /// Whether its sidecar responds.
     pub up: bool,
-    /// Whether it gets no new requests, by configuration or VM list.
+    /// Whether the configuration or the VM list excludes it from new requests.
     pub excluded: bool,
     /// Whether its sidecar refuses new requests.
     pub draining: bool,
     /// Slots expected to be free.
     pub free: u32,
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u32,
-    /// Requests of this router that run there.
+    /// Running requests sent by this router.
     pub running: u32,
     /// Highest configuration revision applied there.
     pub revision: Revision,
@@ -115,7 +115,7 @@
                         deadline: entry.deadline,
                         since: entry.arrived_at,
                         position: queue.position(entry),
-                        waits_for: waits_for(server.as_deref()),
+                        waits_for: dispatch_condition(server.as_deref()),
                         server,
                     });
                 }
@@ -173,7 +173,7 @@
     }
 }
 
-fn waits_for(server: Option<&str>) -> String {
+fn dispatch_condition(server: Option<&str>) -> String {
     match server {
         Some(server) => format!("a free slot at {server}, home of its key"),
         None => "a free slot at any server of the pool, at its customer's turn".to_owned(),
--- a/crates/daemon/tests/soak/audit.rs
+++ b/crates/daemon/tests/soak/audit.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// A valid key is accepted, a revoked one is rejected, and servers are told the customer.
+/// A valid key is accepted, a revoked one is rejected, and servers receive the customer's name.
 fn check_key(audit: &mut Audit, run: &Run, call: &Call, attempts: &[&RecordedRequest]) {
     let (from, to) = (call.sent_at, call.ended_at);
     let Some(key) = &call.key else {
@@ -262,12 +262,12 @@
             .filter(is_retry)
             .map(|request| request.received_at)
             .collect();
-        for begin in &retries {
-            let is_within = |at: &Instant| *at >= *begin && *at < *begin + RETRY_WINDOW;
+        for start in &retries {
+            let is_within = |at: &Instant| *at >= *start && *at < *start + RETRY_WINDOW;
             let count = retries.iter().filter(|at| is_within(at)).count();
             // The budget of a window may also come from the requests of an earlier one.
             let requests = [RETRY_WINDOW, RETRY_WINDOW / 2, Duration::ZERO].map(|before| {
-                let from = begin.checked_sub(before).unwrap_or(*begin);
+                let from = start.checked_sub(before).unwrap_or(*start);
                 let of_pool = calls.iter().filter(|call| {
                     is_model_kind(call.kind) == is_model
                         && call.sent_at >= from
